--- a/benchmarks/catalog_lookup.py
+++ b/benchmarks/catalog_lookup.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from loftweir.catalog.build import Catalog, Service, Site, State
-from loftweir.catalog.claims import Claim, Declared
+from loftweir.catalog.claims import Claim, Declaration
 from loftweir.catalog.contract import clause
 from loftweir.interface import Effect
 from loftweir.partners.merge import Used
@@ -36,7 +36,7 @@
         border = tuple(Provider(f"b{n}", f"10.0.{number % 250}.{n}:8443", "a", "plain") for n in range(3))
         route = Route(name, (mesh,), border, ("read", "write"), 0.1, None, 60 * SECOND, OPEN)
         contract = {"read": clause(Effect.REPEATABLE), "write": clause(Effect.ONCE)}
-        used[name], claims[name] = Used(mesh, route), Claim(number + 1, Declared(contract))
+        used[name], claims[name] = Used(mesh, route), Claim(number + 1, Declaration(contract))
     return State({}, used, {}, claims, {})
 
 
--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from loftweir.catalog.claims import Claim, Declared
+from loftweir.catalog.claims import Claim, Declaration
 from loftweir.catalog.collisions import NEVER, RULES, Collision, Contender, Rule, View, resolve
 from loftweir.catalog.contract import Clause, apart, once, strictest
 from loftweir.catalog.names import BadName, global_name, mesh_name, of_host, parts, short_name
@@ -34,7 +34,7 @@
 
     endpoints: dict[str, Endpoint] = {}  # by provider
     addresses: dict[str, str] = {}
-    declared: Declared = Declared()
+    declared: Declaration = Declaration()
 
 
 class Service(msgspec.Struct, frozen=True, gc=False):
--- a/loftweir/catalog/claims.py
+++ b/loftweir/catalog/claims.py
@@ -34,7 +34,7 @@
 LIMITS = Limits()
 
 
-class Declared(msgspec.Struct, frozen=True):
+class Declaration(msgspec.Struct, frozen=True):
     """What a mesh says of its service."""
 
     contract: dict[str, Clause] = {}
@@ -43,48 +43,48 @@
 
 class Claim(msgspec.Struct, frozen=True):
     index: int  # of the log, at which it was made: its age
-    declared: Declared
+    declared: Declaration
 
 
-class Put(msgspec.Struct, frozen=True, tag="claim"):
+class PutClaim(msgspec.Struct, frozen=True, tag="claim"):
     """Claim a name, or say anew what is declared of it; the age of a claim stays."""
 
     name: str
-    declared: Declared
+    declared: Declaration
 
 
-class Release(msgspec.Struct, frozen=True, tag="unclaim"):
+class ReleaseClaim(msgspec.Struct, frozen=True, tag="unclaim"):
     """Let a name go, if its claim is still the one of that index: a late copy touches no later claim."""
 
     name: str
     index: int
 
 
-class Taken(msgspec.Struct, frozen=True):
+class ClaimAccepted(msgspec.Struct, frozen=True):
     """Of a put: the claim's age. Of a release: 0."""
 
     index: int
 
 
-class Not(msgspec.Struct, frozen=True):
+class ClaimRejected(msgspec.Struct, frozen=True):
     """Refused, for good or for now: says why and what to do."""
 
     text: str
 
 
 Table = dict[str, Claim]
-_acts = msgspec.msgpack.Decoder(Put | Release)
+_acts = msgspec.msgpack.Decoder(PutClaim | ReleaseClaim)
 _tables = msgspec.msgpack.Decoder(list[tuple[str, Claim]])
-written = msgspec.msgpack.Encoder().encode
+encode = msgspec.msgpack.Encoder().encode
 
 
-def read(data: bytes) -> Put | Release:
+def decode_command(data: bytes) -> PutClaim | ReleaseClaim:
     """What `written` made of it. Raises ValueError, of which msgspec's errors are kinds, and RecursionError."""
-    act: Put | Release = _acts.decode(data)
+    act: PutClaim | ReleaseClaim = _acts.decode(data)
     return act
 
 
-def read_table(data: msgspec.Raw) -> list[tuple[str, Claim]]:
+def decode_table(data: msgspec.Raw) -> list[tuple[str, Claim]]:
     """What `written` made of a dump. Raises as `read` does."""
     return _tables.decode(data)
 
@@ -98,41 +98,45 @@
         self.counts: dict[str, int] = {}  # by mesh; none of 0
         self.changes = 0  # of the table since it was made or loaded; not kept: for who follows it
 
-    def apply(self, index: int, act: Put | Release) -> Taken | Not:
+    def apply(self, index: int, act: PutClaim | ReleaseClaim) -> ClaimAccepted | ClaimRejected:
         self.changes += 1
-        return self._put(index, act) if isinstance(act, Put) else self._release(act)
+        return self._put(index, act) if isinstance(act, PutClaim) else self._release(act)
 
-    def _put(self, index: int, act: Put) -> Taken | Not:
+    def _put(self, index: int, act: PutClaim) -> ClaimAccepted | ClaimRejected:
         try:
             names = [global_name(name, f"claim.same.{n}") for n, name in enumerate(act.declared.same)]
             if global_name(act.name, "claim.name") != act.name or names != list(act.declared.same):
-                return Not(f"claim {act.name}: names are kept in small letters; write them so")
+                return ClaimRejected(f"claim {act.name}: names are kept in small letters; write them so")
         except BadName as error:
-            return Not(str(error))
+            return ClaimRejected(str(error))
         if len(names) > MOST_SAME or len(act.declared.contract) > MOST_CLASSES:
-            return Not(f"claim {act.name}: at most {MOST_CLASSES} classes and {MOST_SAME} names; declare fewer")
+            return ClaimRejected(
+                f"claim {act.name}: at most {MOST_CLASSES} classes and {MOST_SAME} names; declare fewer"
+            )
         known, mesh = self.table.get(act.name), parts(act.name)[1]
         if known is None:
             count = self.counts.get(mesh, 0)
             if count >= self.limits.of_mesh:
-                return Not(f"{mesh} holds {count} names, as many as a mesh may: let some of its names go first")
+                return ClaimRejected(
+                    f"{mesh} holds {count} names, as many as a mesh may: let some of its names go first"
+                )
             if len(self.table) >= self.limits.all:
-                return Not(f"{len(self.table)} names are claimed, as many as are kept: let some go first")
+                return ClaimRejected(f"{len(self.table)} names are claimed, as many as are kept: let some go first")
             self.counts[mesh] = count + 1
         age = known.index if known is not None else index
         self.table[act.name] = Claim(age, act.declared)
-        return Taken(age)
+        return ClaimAccepted(age)
 
-    def _release(self, act: Release) -> Taken | Not:
+    def _release(self, act: ReleaseClaim) -> ClaimAccepted | ClaimRejected:
         known = self.table.get(act.name)
         if known is None or known.index != act.index:
-            return Not(f"{act.name} is not claimed at index {act.index}: read what holds now")
+            return ClaimRejected(f"{act.name} is not claimed at index {act.index}: read what holds now")
         del self.table[act.name]
         mesh = parts(act.name)[1]
         self.counts[mesh] -= 1
         if not self.counts[mesh]:
             del self.counts[mesh]
-        return Taken(0)
+        return ClaimAccepted(0)
 
     def dump(self) -> list[tuple[str, Claim]]:
         """For the machine's snapshot, in order of names."""
@@ -151,7 +155,7 @@
 class Seen(NamedTuple):
     """Of a mesh's service, by who keeps the session with the mesh; times on a clock of its own, ns."""
 
-    declared: Declared | None  # None: its routes are away
+    declared: Declaration | None  # None: its routes are away
     since: int  # when this came to be so
     withdrawn: bool = False  # away because the mesh said so, over a good session
 
@@ -164,16 +168,18 @@
     settle: int = 10_000_000_000  # ns that another declaration has to stand before it is written
 
 
-def orders(table: Mapping[str, Claim], seen: Mapping[str, Seen], now: int, damping: Damping) -> list[Put | Release]:
+def orders(
+    table: Mapping[str, Claim], seen: Mapping[str, Seen], now: int, damping: Damping
+) -> list[PutClaim | ReleaseClaim]:
     """What the keeper of a mesh's session should write, in order of names. Nothing waits for `settle` but a new
     declaration of a claimed name: until it is written the strictest of both holds (`build`)."""
-    found: list[Put | Release] = []
+    found: list[PutClaim | ReleaseClaim] = []
     for name, one in sorted(seen.items()):
         claim = table.get(name)
         if one.declared is not None:
             stood = now - one.since >= damping.settle
             if claim is None or (claim.declared != one.declared and stood):
-                found.append(Put(name, one.declared))
+                found.append(PutClaim(name, one.declared))
         elif claim is not None and now - one.since >= (damping.withdrawn if one.withdrawn else damping.away):
-            found.append(Release(name, claim.index))
+            found.append(ReleaseClaim(name, claim.index))
     return found
--- a/loftweir/catalog/collisions.py
+++ b/loftweir/catalog/collisions.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from loftweir.catalog.claims import Declared
+from loftweir.catalog.claims import Declaration
 from loftweir.catalog.names import parts
 
 NEVER = (1 << 63) - 1
@@ -23,7 +23,7 @@
 class Contender(NamedTuple):
     name: str  # global
     age: int  # its claim's index; NEVER: none
-    declared: Declared | None  # None: a pin of which nothing is known
+    declared: Declaration | None  # None: a pin of which nothing is known
 
 
 class View(NamedTuple):
--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -24,7 +24,7 @@
 import ujson
 
 from loftweir.catalog.build import Own
-from loftweir.catalog.claims import MOST_SAME, Declared
+from loftweir.catalog.claims import MOST_SAME, Declaration
 from loftweir.catalog.contract import ONCE, of
 from loftweir.catalog.names import BadName, global_name, mesh_name, parts, short_name
 from loftweir.config.faults import MISSING, Fault, Faulty
@@ -62,7 +62,7 @@
             if not self.classes or name.lower() in self.classes
         }
         endpoints = {name: one for name, one in known.items() if self.serves(one)}
-        return Own(endpoints, {name: addresses[name] for name in endpoints}, Declared(contract, self.same))
+        return Own(endpoints, {name: addresses[name] for name in endpoints}, Declaration(contract, self.same))
 
 
 class Services(NamedTuple):
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from loftweir.catalog.build import Catalog, Changed, Service, Site, State, Unknown, Why
-from loftweir.catalog.claims import Claims, Damping, Declared, Put, Seen, orders, written
+from loftweir.catalog.claims import Claims, Damping, Declaration, PutClaim, Seen, encode, orders
 from loftweir.catalog.contract import applied, once
 from loftweir.catalog.file import Mine, Services
 from loftweir.catalog.names import parts
@@ -344,7 +344,7 @@
             mesh = parts(name)[1]  # the own one speaks in the file, and its names are its without a claim
             if mesh == self.services.mesh or meshes.get(site, site) != mesh or name in self.catalog.refused:
                 continue
-            declared = Declared(once(used.route.classes))
+            declared = Declaration(once(used.route.classes))
             if known is None or known[1].declared != declared or known[0] != used.partner:
                 self.seen[name] = used.partner, Seen(declared, now)
                 self.unsettled.add(name)
@@ -365,12 +365,12 @@
                 }
                 for act in orders(self.claims, seen, now, DAMPING):
                     try:
-                        result = yield from duty.claim(written(act), CLAIM_WITHIN)
+                        result = yield from duty.claim(encode(act), CLAIM_WITHIN)
                     except LoftweirError:  # the lease or the majority is gone: whoever has it next, or the next look
                         break
                     if isinstance(result, Ok):
                         self.refused.pop(act.name, None)
-                        if not isinstance(act, Put):
+                        if not isinstance(act, PutClaim):
                             self.seen.pop(act.name, None)
                         say(CATALOG_CLAIMED, name=act.name, index=result.value, why="")
                     else:
--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
-    from loftweir.partners.file import Sites
+    from loftweir.partners.file import PartnersConfig
 
 UNUSABLE = 2  # the exit code where the configuration or the start failed
 
@@ -31,7 +31,7 @@
 
     platform: platform.Platform
     operator: operator.Loaded
-    sites: Sites | None = None
+    sites: PartnersConfig | None = None
     services: Services | None = None
 
 
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -9,7 +9,7 @@
 import random
 
 from loftweir.catalog.build import Catalog, Own, Site, State, Unknown
-from loftweir.catalog.claims import Claims, Damping, Declared, Put, Release, Seen, Taken, orders
+from loftweir.catalog.claims import ClaimAccepted, Claims, Damping, Declaration, PutClaim, ReleaseClaim, Seen, orders
 from loftweir.catalog.contract import ONCE, Clause, clause
 from loftweir.catalog.oracle import Begun, Oracle
 from loftweir.interface import Effect, Endpoint, Lifecycle, Scope
@@ -28,7 +28,7 @@
 )
 
 
-def own(number: int, declared: Declared, life: Lifecycle = Lifecycle.READY, zone: str = "z1") -> Own:
+def own(number: int, declared: Declaration, life: Lifecycle = Lifecycle.READY, zone: str = "z1") -> Own:
     ends = {f"p{n}": Endpoint(f"p{n}", zone, "plain", n, life) for n in range(number)}
     return Own(ends, dict.fromkeys(ends, "10.0.0.1:80"), declared)
 
@@ -56,7 +56,7 @@
     def __init__(self, seed: int) -> None:
         self.dice = random.Random(seed)
         self.meshes = MESHES[seed % 2 :]  # every second site has no such service of its own
-        self.log: list[Put | Release] = []
+        self.log: list[PutClaim | ReleaseClaim] = []
         self.truth, self.acked = Claims(), dict[str, int]()
         self.cars = [Car() for _ in range(3)]
         self.cut: set[int] = set()
@@ -91,8 +91,8 @@
         else:
             self.cut = set() if self.cut else {self.dice.randrange(3)}
 
-    def _declared(self, mesh: str) -> Declared:
-        return Declared({"read": self.said[mesh]}, SAME)
+    def _declared(self, mesh: str) -> Declaration:
+        return Declaration({"read": self.said[mesh]}, SAME)
 
     def _keep(self, number: int, mesh: str, now: int) -> None:
         """A sidecar that holds a mesh's session, as it thinks. Cut off, its word is lost, or comes late."""
@@ -103,9 +103,9 @@
                 continue
             self.log.append(act)
             answer = self.truth.apply(len(self.log), act)
-            if isinstance(act, Put) and isinstance(answer, Taken):
+            if isinstance(act, PutClaim) and isinstance(answer, ClaimAccepted):
                 self.acked.setdefault(act.name, answer.index)
-            elif isinstance(answer, Taken):
+            elif isinstance(answer, ClaimAccepted):
                 del self.acked[act.name]
 
     def follow(self, car: Car) -> None:
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -63,12 +63,12 @@
     shares_keys: bool = False  # its providers and ours drop the repeats of what either has run
 
 
-class Sites(NamedTuple):
+class PartnersConfig(NamedTuple):
     neighbours: dict[str, Neighbour]
     routes: dict[str, Route]  # this site's own, by service
 
 
-def load(path: str, site: str, limits: Limits) -> Sites:
+def load(path: str, site: str, limits: Limits) -> PartnersConfig:
     """Raises `Faulty` with every fault: its place, as routes.0.terms.show, the value, and what was expected."""
     faults: list[Fault] = []
     data = _json(path, faults) if path.endswith(".json") else read_table(path, faults)
@@ -98,7 +98,7 @@
         fault("routes", len(routes), f"at most {limits.routes}, as `partners.routes` says")
     if faults:
         raise Faulty(faults)
-    return Sites(neighbours, routes)
+    return PartnersConfig(neighbours, routes)
 
 
 def _json(path: str, faults: list[Fault]) -> Any:
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -18,7 +18,7 @@
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.operations.calls import Call, No
-from loftweir.partners.file import Sites
+from loftweir.partners.file import PartnersConfig
 from loftweir.partners.link import Link, keys_of, limits, timing
 from loftweir.partners.merge import Changed, Merged, Merger, Policy, Reason, Standing
 from loftweir.partners.offer import Listener
@@ -47,7 +47,7 @@
 Told = Callable[[MembershipUpdate, dict[str, str]], None]
 
 
-def descriptors(options: PartnersOptions, sites: Sites) -> int:
+def descriptors(options: PartnersOptions, sites: PartnersConfig) -> int:
     """How many of the sidecar's descriptors the partners may take."""
     listens = options.callers + 2 if options.listen else 0
     return OWN + 2 * (len(sites.neighbours) + SPARE) + listens
@@ -70,7 +70,7 @@
         loop: Loop,
         name: str,
         options: Options,
-        sites: Sites,
+        sites: PartnersConfig,
         fleet: Part,
         told: Told,
         settings: Callable[[], Settings],
@@ -134,7 +134,7 @@
         if not self.leaves:
             self.task = self.loop.spawn(self._run(), self._crashed)
 
-    def use(self, sites: Sites) -> None:
+    def use(self, sites: PartnersConfig) -> None:
         """These are the neighbours and own routes from now on."""
         self.sites = sites
         for name in self.shelves.keys() - sites.neighbours.keys():
@@ -282,7 +282,9 @@
 
     # ---- use ------------------------------------------------------------------------------------
 
-    def through(self, update: MembershipUpdate, addresses: dict[str, str]) -> tuple[MembershipUpdate, dict[str, str]]:
+    def with_partner_providers(
+        self, update: MembershipUpdate, addresses: dict[str, str]
+    ) -> tuple[MembershipUpdate, dict[str, str]]:
         """What the balancer is told in place of a word on this site's own providers."""
         needed = self.standby.needed
         told = self.standby.update(update, addresses)
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -518,13 +518,13 @@
         if refused is not None:
             return refused
         try:
-            said = claims.read(act.act)
+            said = claims.decode_command(act.act)
         except (ValueError, RecursionError):
             return Unfit(self.index, "not a claim in its form")
         if self.claims is None:
             self.claims = claims.Claims()
         found = self.claims.apply(self.index, said)
-        return Unfit(self.index, found.text) if isinstance(found, claims.Not) else Ok(self.index, found.index)
+        return Unfit(self.index, found.text) if isinstance(found, claims.ClaimRejected) else Ok(self.index, found.index)
 
     def _end_session(self, act: EndSession) -> AnyResult:
         """It stays as one that takes no more, until there is no room: a late copy of its orders finds it."""
@@ -569,7 +569,7 @@
             if isinstance(kept, _DumpWithClaims):
                 from loftweir.catalog import claims
 
-                claimed = claims.Claims.load(claims.read_table(kept.claims))
+                claimed = claims.Claims.load(claims.decode_table(kept.claims))
         except (ValueError, RecursionError) as error:
             raise Foreign(f"a snapshot that is not in its form: {error}") from None
         machine = cls()
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -40,7 +40,7 @@
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
     from loftweir.catalog.hosts import Hosts
-    from loftweir.partners.file import Sites
+    from loftweir.partners.file import PartnersConfig
     from loftweir.partners.part import Partners
     from loftweir.replication.part import Part
 
@@ -65,7 +65,7 @@
         loop: Loop,
         platform: Platform,
         options: Options,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """`sites` and `services`: of the files that the operator's names for the partners and the catalog, if any."""
@@ -130,7 +130,7 @@
         if self.partners is None:
             self.host.listed(update, addresses)
         else:
-            self.host.listed(*self.partners.through(update, addresses))
+            self.host.listed(*self.partners.with_partner_providers(update, addresses))
         if self.catalog is not None:
             self.catalog.listed(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
@@ -154,7 +154,7 @@
         options: Options,
         discovery: str,
         settings: Settings,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """Other options and settings, whole, from now on; what was spent at the start waits for the next one."""
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -12,7 +12,19 @@
 
 from loftweir.catalog import build, claims, collisions, contract, names, providers
 from loftweir.catalog.build import Catalog, Site, State, Why
-from loftweir.catalog.claims import Claim, Claims, Damping, Declared, Limits, Not, Put, Release, Seen, Taken, orders
+from loftweir.catalog.claims import (
+    Claim,
+    ClaimAccepted,
+    ClaimRejected,
+    Claims,
+    Damping,
+    Declaration,
+    Limits,
+    PutClaim,
+    ReleaseClaim,
+    Seen,
+    orders,
+)
 from loftweir.catalog.collisions import Contender, View, resolve
 from loftweir.catalog.contract import applied, clause, strictest
 from loftweir.catalog.names import BadName
@@ -32,11 +44,11 @@
 
 
 def own(number=1, declared=FREE, **more):
-    return meshes.own(number, Declared(declared), **more)
+    return meshes.own(number, Declaration(declared), **more)
 
 
 def claim(index, declared=FREE, same=()):
-    return Claim(index, Declared(declared, same))
+    return Claim(index, Declaration(declared, same))
 
 
 def why(catalog, host):
@@ -101,7 +113,7 @@
 
 def contenders(*declared):
     others = tuple(f"shop@{mesh}" for mesh, _ in THREE)
-    return [Contender(f"shop@{m}", age, Declared(d, others)) for (m, age), d in zip(THREE, declared, strict=True)]
+    return [Contender(f"shop@{m}", age, Declaration(d, others)) for (m, age), d in zip(THREE, declared, strict=True)]
 
 
 @pytest.mark.parametrize(
@@ -131,10 +143,12 @@
     """A mesh that claims every short name, and offers others' services as its own."""
     table, answers = Claims(Limits(of_mesh=100, all=250)), []
     for n in range(10):
-        assert table.apply(n + 1, Put(f"s{n}@bb", Declared(FREE))) == Taken(n + 1)
+        assert table.apply(n + 1, PutClaim(f"s{n}@bb", Declaration(FREE))) == ClaimAccepted(n + 1)
     for n in range(300):
-        answers.append(table.apply(100 + n, Put(f"s{n}@evil", Declared(FREE, (f"s{n}@bb", f"s{n}@aa")))))
-    assert [type(one) for one in answers] == [Taken] * 100 + [Not] * 200 and "let some" in answers[-1].text
+        answers.append(table.apply(100 + n, PutClaim(f"s{n}@evil", Declaration(FREE, (f"s{n}@bb", f"s{n}@aa")))))
+    assert [type(one) for one in answers] == [ClaimAccepted] * 100 + [ClaimRejected] * 200 and "let some" in answers[
+        -1
+    ].text
     routes = {f"s{n}@evil": used(f"s{n}@evil") for n in range(300)} | {f"s{n}@bb": used(f"s{n}@bb") for n in range(10)}
     routes |= {"pay@aa": used("pay@aa", "evil"), "pay@bb": used("pay@bb", "evil")}
     state = State({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
@@ -144,7 +158,7 @@
     assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is Why.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
     assert why(catalog, "pay@bb") is Why.UNFIT
-    assert table.apply(999, Put("x@cc", Declared(FREE))) == Taken(999)  # a good one still gets in
+    assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)  # a good one still gets in
 
 
 def contracts():
@@ -167,12 +181,12 @@
 def flap():
     """A service that comes and goes every second: one entry in the log; the name stays, the loser is reachable."""
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
-    table.apply(1, Put("shop@bb", Declared(FREE)))
-    table.apply(2, Put("shop@cc", Declared(FREE)))
+    table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
+    table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
     catalog = Catalog(HERE, State({}, {"shop@cc": used("shop@cc")}, {}, table.table))
     for now in range(100):
         there = now % 2 == 0
-        seen = {"shop@bb": Seen(Declared(FREE) if there else None, now, withdrawn=True)}
+        seen = {"shop@bb": Seen(Declaration(FREE) if there else None, now, withdrawn=True)}
         writes += orders(table.table, seen, now, damping)
         for act in writes[:]:
             table.apply(10 + now, act)
@@ -183,20 +197,28 @@
     assert not writes and table.table["shop@bb"].index == 1
     away = {"shop@bb": Seen(None, 100, True)}
     assert not orders(table.table, away, 119, damping) and orders(table.table, away, 120, damping)
-    other = {"shop@bb": Seen(Declared(ONCE), 100), "new@bb": Seen(Declared(ONCE), 104)}
+    other = {"shop@bb": Seen(Declaration(ONCE), 100), "new@bb": Seen(Declaration(ONCE), 104)}
     assert [act.name for act in orders(table.table, other, 104, damping)] == ["new@bb"]
     assert len(orders(table.table, other, 105, damping)) == 2
 
 
 def test_a_late_release_touches_no_later_claim_and_the_table_comes_back_from_its_dump():
     table = Claims(Limits(2, 3))
-    assert table.apply(1, Put("a@bb", Declared(ONCE))) == table.apply(5, Put("a@bb", Declared(KEYED))) == Taken(1)
-    assert isinstance(table.apply(6, Release("a@bb", 5)), Not) and table.apply(7, Release("a@bb", 1)) == Taken(0)
-    table.apply(8, Put("a@bb", Declared(FREE, ("a@cc",))))
-    assert isinstance(table.apply(9, Release("a@bb", 1)), Not) and table.table["a@bb"].index == 8
+    assert (
+        table.apply(1, PutClaim("a@bb", Declaration(ONCE)))
+        == table.apply(5, PutClaim("a@bb", Declaration(KEYED)))
+        == ClaimAccepted(1)
+    )
+    assert isinstance(table.apply(6, ReleaseClaim("a@bb", 5)), ClaimRejected) and table.apply(
+        7, ReleaseClaim("a@bb", 1)
+    ) == ClaimAccepted(0)
+    table.apply(8, PutClaim("a@bb", Declaration(FREE, ("a@cc",))))
+    assert isinstance(table.apply(9, ReleaseClaim("a@bb", 1)), ClaimRejected) and table.table["a@bb"].index == 8
     wrong = ["A@bb", "a", "a@b b"], [("A@cc",), ("x" * 300,), ("a@cc",) * 33]
-    for act in [Put(n, Declared()) for n in wrong[0]] + [Put("b@bb", Declared({}, s)) for s in wrong[1]]:
-        assert isinstance(table.apply(10, act), Not), act
+    for act in [PutClaim(n, Declaration()) for n in wrong[0]] + [
+        PutClaim("b@bb", Declaration({}, s)) for s in wrong[1]
+    ]:
+        assert isinstance(table.apply(10, act), ClaimRejected), act
     kept = msgspec.msgpack.decode(msgspec.msgpack.encode(table.dump()), type=list[tuple[str, Claim]])
     again = Claims.load(kept, table.limits)
     assert (again.table, again.counts) == (table.table, table.counts) == (dict(kept), {"bb": 1})
@@ -323,7 +345,7 @@
 def younger(self, index, act):
     PUT(self, index, act)
     self.table[act.name] = Claim(index, act.declared)
-    return Taken(index)
+    return ClaimAccepted(index)
 
 
 def unqualified(one):
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -13,7 +13,7 @@
 
 from loftweir.catalog.build import Catalog, Own, State
 from loftweir.catalog.build import Site as Site_
-from loftweir.catalog.claims import Declared
+from loftweir.catalog.claims import Declaration
 from loftweir.catalog.contract import clause
 from loftweir.catalog.hosts import Lane
 from loftweir.catalog.shares import Shared
@@ -247,7 +247,7 @@
 
 
 def test_a_copy_here_does_not_speak_for_another_mesh_that_says_nothing():
-    declared = Declared({name: clause(Effect.REPEATABLE) for name in CLASSES})
+    declared = Declaration({name: clause(Effect.REPEATABLE) for name in CLASSES})
     for name, effect in (("orders@mill", Effect.ONCE), ("orders@oslo", Effect.REPEATABLE)):
         used = Used("bergen", one_route({"path": ["bergen"], **row(name)}, "bergen"))
         catalog = Catalog(Site_("oslo", "a", {"bergen": name.partition("@")[2]}))
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -195,14 +195,14 @@
 
 def test_names_are_claimed_under_a_partners_lease_and_kept_with_their_age():
     machine = Machine()
-    put = claims.written(claims.Put("stock@mill", claims.Declared()))
+    put = claims.encode(claims.PutClaim("stock@mill", claims.Declaration()))
     assert isinstance(does(machine, Named("partner:mill", 1, put)), NotHeld)
     token = does(machine, Acquire("partner:mill", "h", SECOND)).value
     before = machine.dump()
     assert does(machine, Named("partner:mill", token, put)) == Ok(3, 3) == Ok(machine.index, 3)
     assert does(machine, Named("partner:mill", token, put)) == Ok(4, 3), "its age is that of its first entry"
     assert isinstance(does(machine, Named("other", token, put)), Unfit)
-    for wrong in (b"", b"x" * keeping.CLAIM_SIZE, claims.written(claims.Put("Stock", claims.Declared()))):
+    for wrong in (b"", b"x" * keeping.CLAIM_SIZE, claims.encode(claims.PutClaim("Stock", claims.Declaration()))):
         assert isinstance(does(machine, Named("partner:mill", token, wrong)), Unfit)
     assert isinstance(does(machine, Named("partner:mill", token - 1, put)), Lower)
     # Of both versions, the one without claims being what builds before this one wrote.
@@ -210,7 +210,7 @@
     copy = Machine.load(machine.dump())
     assert copy.claims.table == machine.claims.table and copy.dump() == machine.dump()
     for one in (machine, copy):
-        assert does(one, Named("partner:mill", token, claims.written(claims.Release("stock@mill", 3)))).value == 0
+        assert does(one, Named("partner:mill", token, claims.encode(claims.ReleaseClaim("stock@mill", 3)))).value == 0
     assert copy.dump() == machine.dump() and b"\xa7version\x01" in copy.dump()
 
 
