--- a/benchmarks/catalog_lookup.py
+++ b/benchmarks/catalog_lookup.py
@@ -21,7 +21,7 @@
 from loftweir.catalog.claims import Claim, Declaration
 from loftweir.catalog.contract import clause
 from loftweir.interface import Effect
-from loftweir.partners.merge import Used
+from loftweir.partners.merge import UsedRoute
 from loftweir.partners.table import Provider, Route
 from loftweir.partners.terms import OPEN
 
@@ -36,7 +36,7 @@
         border = tuple(Provider(f"b{n}", f"10.0.{number % 250}.{n}:8443", "a", "plain") for n in range(3))
         route = Route(name, (mesh,), border, ("read", "write"), 0.1, None, 60 * SECOND, OPEN)
         contract = {"read": clause(Effect.REPEATABLE), "write": clause(Effect.ONCE)}
-        used[name], claims[name] = Used(mesh, route), Claim(number + 1, Declaration(contract))
+        used[name], claims[name] = UsedRoute(mesh, route), Claim(number + 1, Declaration(contract))
     return State({}, used, {}, claims, {})
 
 
@@ -79,7 +79,7 @@
     for name in names[:1000]:
         was = held.used[name]
         assert was is not None
-        other = Used(was.partner, msgspec.structs.replace(was.route, share=0.2))
+        other = UsedRoute(was.partner, msgspec.structs.replace(was.route, share=0.2))
         ones.append(timed(lambda name=name, other=other: catalog.change(State(used={name: other}))))
         service = catalog.find(name)
         assert isinstance(service, Service)
--- a/benchmarks/partners_merge.py
+++ b/benchmarks/partners_merge.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from loftweir.partners.merge import Held, Merger, Policy, Role, Standing, merge
-from loftweir.partners.table import LIMITS, Offer, Provider, Route, Table, read, taken
+from loftweir.partners.merge import Freshness, Merger, PartnerState, Policy, Role, merge
+from loftweir.partners.table import DEFAULT_LIMITS, Offer, Provider, Route, Table, apply_response, parse_response
 from loftweir.partners.terms import OPEN, Terms
 
 SECOND = 1_000_000_000
@@ -37,7 +37,7 @@
             terms = Terms(OPEN.use, OPEN.show, passes, OPEN.until)
             found[name] = Route(name, (site,), border, ("read", "write"), 0.1, None, 60 * SECOND, terms)
         offers[site] = Offer(site, 1)
-        offers[site].put(found)
+        offers[site].replace(found)
     return offers
 
 
@@ -57,35 +57,37 @@
 def measure(partners: int, routes: int, rounds: int, way: str) -> None:
     offers = tables(partners, routes, way)
     begun_mb = resident()
-    helds: dict[str, Held] = {}
+    partner_states: dict[str, PartnerState] = {}
     for site, offer in offers.items():
-        helds[site] = Held(taken(None, read(offer.answer(None), site)), Standing.FRESH, NOW, NOW)
+        partner_states[site] = PartnerState(
+            apply_response(None, parse_response(offer.response(None), site)), Freshness.FRESH, NOW, NOW
+        )
     held_mb = resident() - begun_mb
     policy = Policy("here", dict.fromkeys(offers, Role.NONE))
-    merger = Merger(policy, NOW, helds)
+    merger = Merger(policy, NOW, partner_states)
     merged_mb = resident() - begun_mb - held_mb
-    whole = [timed(lambda: merge(helds, policy, NOW)) for _ in range(rounds)]
-    reads = [timed(lambda site=site: read(offers[site].answer(None), site)) for site in list(offers)[:20]]
+    whole = [timed(lambda: merge(partner_states, policy, NOW)) for _ in range(rounds)]
+    reads = [timed(lambda site=site: parse_response(offers[site].response(None), site)) for site in list(offers)[:20]]
     one, confirm, silent = [], [], []
     now = NOW
     for number in range(200):
         now += 1000
         site = f"site-{number % partners}"
-        held = merger.helds[site]
+        held = merger.partner_states[site]
         table = held.table
         assert table is not None
         name = next(iter(table.routes))
         route = msgspec.structs.replace(table.routes[name], share=0.2 + number / 1000)
         other = Table(site, table.epoch, table.index + 1, {**table.routes, name: route}, table.sums, table.sum)
-        after = Held(other, Standing.FRESH, NOW, now)
-        one.append(timed(lambda site=site, after=after, now=now: merger.hold(site, after, now)))
+        after = PartnerState(other, Freshness.FRESH, NOW, now)
+        one.append(timed(lambda site=site, after=after, now=now: merger.update_partner(site, after, now)))
         after = msgspec.structs.replace(after, confirmed_at=now + 1)
-        confirm.append(timed(lambda site=site, after=after, now=now: merger.hold(site, after, now + 1)))
+        confirm.append(timed(lambda site=site, after=after, now=now: merger.update_partner(site, after, now + 1)))
     for number in range(min(20, partners)):
         site = f"site-{number}"
-        held = msgspec.structs.replace(merger.helds[site], standing=Standing.STALE, since=now)
-        silent.append(timed(lambda site=site, held=held: merger.hold(site, held, now)))
-    assert merger.merged == merge(merger.helds, policy, now)
+        held = msgspec.structs.replace(merger.partner_states[site], freshness=Freshness.STALE, since=now)
+        silent.append(timed(lambda site=site, held=held: merger.update_partner(site, held, now)))
+    assert merger.merged == merge(merger.partner_states, policy, now)
     services, shown = len(merger.merged.used), sum(map(len, merger.merged.shown.values()))
     print(f"{way}: {partners} x {routes} routes, {services} services used, {shown} routes shown")
     print(f"  whole merge {statistics.median(whole):.0f} ms; a table read {statistics.median(reads):.1f} ms")
@@ -97,7 +99,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--partners", type=int, default=100)
-    parser.add_argument("--routes", type=int, default=min(1000, LIMITS.routes))
+    parser.add_argument("--routes", type=int, default=min(1000, DEFAULT_LIMITS.routes))
     parser.add_argument("--rounds", type=int, default=3)
     words = parser.parse_args()
     for way in ("shared", "apart", "passed"):
--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -26,7 +26,7 @@
 from loftweir.catalog.names import BadName, global_name, mesh_name, of_host, parts, short_name
 from loftweir.catalog.providers import ProviderSet, gathered
 from loftweir.interface import Endpoint
-from loftweir.partners.merge import Left, Reason, Used
+from loftweir.partners.merge import Reason, UnusedRoute, UsedRoute
 
 
 class Own(msgspec.Struct, frozen=True):
@@ -88,8 +88,8 @@
     """All that a catalog is made of. Names are small; of a change, None takes away what was under the name."""
 
     own: Mapping[str, Own | None] = {}  # by global name
-    used: Mapping[str, Used | None] = {}  # by global name, as `Merged.used`
-    left: Mapping[str, Mapping[str, Left] | None] = {}  # by global name and partner, as `Merged.left`
+    used: Mapping[str, UsedRoute | None] = {}  # by global name, as `Merged.used`
+    left: Mapping[str, Mapping[str, UnusedRoute] | None] = {}  # by global name and partner, as `Merged.left`
     claims: Mapping[str, Claim | None] = {}  # by global name, as `Claims.table`
     pins: Mapping[str, str | None] = {}  # short name to global
 
@@ -116,8 +116,8 @@
         mesh_name(site.mesh, "mesh")
         self.site, self.rules = site, rules
         self.own: dict[str, Own] = {}
-        self.used: dict[str, Used] = {}
-        self.left: dict[str, Mapping[str, Left]] = {}
+        self.used: dict[str, UsedRoute] = {}
+        self.left: dict[str, Mapping[str, UnusedRoute]] = {}
         self.claims: dict[str, Claim] = {}
         self.pins: dict[str, str] = {}
         self.refused: dict[str, BadName] = {}  # routes of partners, by the name that is none
@@ -262,7 +262,7 @@
             said.append(once(route.route.classes))
         return said or [{}]
 
-    def _route(self, name: str) -> Used | None:
+    def _route(self, name: str) -> UsedRoute | None:
         """A route counts only from a site of the name's own mesh: no other can take work for that name."""
         used = self.used.get(name)
         if used is None or name in self.refused:
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -29,7 +29,7 @@
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.net.stream import NotUp
-from loftweir.partners.merge import Merged
+from loftweir.partners.merge import MergeResult
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
 from loftweir.telemetry.log import say
@@ -123,7 +123,7 @@
         self.first, self.back, self.seed = first, back, seed
         self.known: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
-        self.merged: Merged | None = None
+        self.merged: MergeResult | None = None
         self.claims: Mapping[str, Any] = {}
         self.claims_read: tuple[Claims | None, int] = (None, 0)
         self.duties: Mapping[str, Duty] = {}  # by partner: who holds one claims its names
@@ -305,7 +305,7 @@
         now = self._own(touched)
         self._changed(self.catalog.change(State(own={n: o for n, o in now.items() if self.catalog.own.get(n) != o})))
 
-    def routed(self, merged: Merged) -> None:
+    def routed(self, merged: MergeResult) -> None:
         """The partners' routes, as this site uses them."""
         self.merged, held = merged, self.catalog
         used = _differs(held.used, merged.used)
@@ -328,7 +328,7 @@
 
     # ---- claims ---------------------------------------------------------------------------------
 
-    def _see(self, merged: Merged, names: Collection[str]) -> None:
+    def _see(self, merged: MergeResult, names: Collection[str]) -> None:
         """What the partners offer by names that are theirs, and since when, of those that changed. A claim stays with
         its name through a link that fails: until it was away for long, or the partner has withdrawn the service."""
         now, meshes = self.loop.now(), self.services.meshes
--- a/loftweir/catalog/providers.py
+++ b/loftweir/catalog/providers.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
-from loftweir.partners.merge import Used
+from loftweir.partners.merge import UsedRoute
 
 MS = 1_000_000
 _STATUS = {"active": Lifecycle.READY, "leaving": Lifecycle.DRAINING}
@@ -41,7 +41,7 @@
     return int.from_bytes(blake2b(f"{partner}/{cell}".encode(), digest_size=8).digest(), "big") | 1 << 64
 
 
-def abroad(used: Used) -> tuple[dict[str, Endpoint], dict[str, str]]:
+def abroad(used: UsedRoute) -> tuple[dict[str, Endpoint], dict[str, str]]:
     """A partner's providers in this site's words, and their addresses."""
     endpoints, addresses = {}, {}
     for one in used.route.providers:
@@ -61,7 +61,7 @@
 
 def gathered(
     own: Iterable[tuple[Mapping[str, Endpoint], Mapping[str, str]]],
-    used: Iterable[Used],
+    used: Iterable[UsedRoute],
     lives_there: bool,
     zone: str,
     classes: frozenset[str],
@@ -77,7 +77,7 @@
     if ready and not lives_there:
         return ProviderSet(found, addresses, classes)
     admitted = classes if ready else None
-    joined: list[tuple[Used, dict[str, Endpoint]]] = []
+    joined: list[tuple[UsedRoute, dict[str, Endpoint]]] = []
     for one in sorted(used, key=lambda one: (-(one.route.share or 1.0), one.partner, one.route.service)):
         offered = classes & frozenset(one.route.classes)
         if offered and (admitted is None or admitted <= offered):
@@ -99,7 +99,7 @@
     return ProviderSet(found, addresses, admitted if admitted is not None else frozenset(), part, shares, rates)
 
 
-def _weighed(joined: list[tuple[Used, dict[str, Endpoint]]], free: float) -> float:
+def _weighed(joined: list[tuple[UsedRoute, dict[str, Endpoint]]], free: float) -> float:
     """Brings the partners' weights within their shares, `free` being the weight that has none; the part of the work
     that may be sent."""
     sums = [sum(endpoint.weight for endpoint in endpoints.values()) for _, endpoints in joined]
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -13,7 +13,7 @@
 from loftweir.catalog.contract import ONCE, Clause, clause
 from loftweir.catalog.oracle import Begun, Oracle
 from loftweir.interface import Effect, Endpoint, Lifecycle, Scope
-from loftweir.partners.merge import Used
+from loftweir.partners.merge import UsedRoute
 from loftweir.partners.table import Provider, Route
 from loftweir.partners.terms import OPEN
 
@@ -35,10 +35,10 @@
 
 def used(
     name: str, site: str = "", classes: tuple[str, ...] = ("read",), share: float | None = None, number: int = 2
-) -> Used:
+) -> UsedRoute:
     site = site or name.partition("@")[2]
     border = tuple(Provider(f"p{n}", f"10.1.0.{n}:80", "z1", "plain", n) for n in range(number))
-    return Used(site, Route(name, (site,), border, classes, share, None, 10**9, OPEN))
+    return UsedRoute(site, Route(name, (site,), border, classes, share, None, 10**9, OPEN))
 
 
 def home(provider: Endpoint) -> str:
--- a/loftweir/emulator/sites.py
+++ b/loftweir/emulator/sites.py
@@ -15,11 +15,19 @@
 import msgspec
 
 from loftweir.emulator.clock import Clock
-from loftweir.partners.merge import Held, Merger, Policy, Reason, Role, merge
+from loftweir.partners.merge import Merger, PartnerState, Policy, Reason, Role, merge
 from loftweir.partners.oracle import Oracle
-from loftweir.partners.session import Action, Ask, Became, Refused, Session, State, Timing
+from loftweir.partners.session import (
+    Action,
+    ResponseRejected,
+    SendRequest,
+    Session,
+    SessionChanged,
+    SessionState,
+    Timing,
+)
 from loftweir.partners.table import Offer, Provider, Route
-from loftweir.partners.terms import ALL, CLOSED, FOREVER, NOBODY, OPEN, Sites, Terms
+from loftweir.partners.terms import ALL_SITES, CLOSED, FOREVER, NO_SITES, OPEN, SiteSet, Terms
 
 MS, SECOND = 1_000_000, 1_000_000_000
 TIMING = Timing(
@@ -46,7 +54,7 @@
     """A call that waits at a site for news."""
 
     life: str
-    asked: Ask
+    asked: SendRequest
     until: int
 
 
@@ -58,7 +66,7 @@
         self.neighbours: list[str] = []
         self.own: dict[str, Terms] = {}  # by service; what is withdrawn is not in it
         self.words: dict[str, Terms] = {}
-        self.disk: dict[str, Held] = {}
+        self.disk: dict[str, PartnerState] = {}
         self.epoch = 0  # in the copies; lost with them
         self.up = False
         self.sessions: dict[str, Session] = {}
@@ -70,7 +78,7 @@
     def policy(self) -> Policy:
         routes = {s: route(s, self.name, terms) for s, terms in self.own.items()}
         roles = dict.fromkeys(self.neighbours, self.world.role)
-        return Policy(self.name, roles, offers=routes, words=dict(self.words), gone_after=TIMING.gone)
+        return Policy(self.name, roles, offers=routes, restrictions=dict(self.words), gone_after=TIMING.gone)
 
     def start(self) -> None:
         now = self.world.clock.now
@@ -94,7 +102,7 @@
     def changed(self) -> None:
         """Its operators have said something else."""
         if self.up:
-            self.merger = Merger(self.policy(), self.world.clock.now, self.merger.helds)
+            self.merger = Merger(self.policy(), self.world.clock.now, self.merger.partner_states)
             self.offer(self.neighbours)
 
     # ---- as the one that asks -------------------------------------------------------------------
@@ -102,17 +110,17 @@
     def done(self, partner: str, actions: Sequence[Action]) -> None:
         world, session = self.world, self.sessions[partner]
         for action in actions:
-            if isinstance(action, Ask):
+            if isinstance(action, SendRequest):
                 world.ask(self, partner, action)
-            elif isinstance(action, Refused):
+            elif isinstance(action, ResponseRejected):
                 world.seen[type(action.error).__name__] += 1
-            elif isinstance(action, Became):
+            elif isinstance(action, SessionChanged):
                 if action.before is not session.state:
                     world.seen[session.state.value] += 1
-                held = self.disk[partner] = session.held()
+                held = self.disk[partner] = session.partner_state()
                 for service, found in (held.table.routes if held.table is not None else {}).items():
                     self.hoard[service] = found
-                changed = self.merger.hold(partner, held, world.clock.now)
+                changed = self.merger.update_partner(partner, held, world.clock.now)
                 self.offer(changed.shown if self.honest else self.neighbours)
         if session.next_at is not None:
             world.clock.at(session.next_at, self.tick, partner, session)
@@ -123,10 +131,10 @@
         if self.up and self.sessions.get(partner) is session and due is not None and due <= now:
             self.done(partner, session.tick(now))
 
-    def answered(self, partner: str, life: str, asked: Ask, data: bytes) -> None:
+    def answered(self, partner: str, life: str, asked: SendRequest, data: bytes) -> None:
         session = self.sessions.get(partner)
-        if self.up and session is not None and session.life == life:
-            self.done(partner, session.answer(self.world.clock.now, asked.number, data))
+        if self.up and session is not None and session.instance == life:
+            self.done(partner, session.on_response(self.world.clock.now, asked.number, data))
 
     # ---- as the one that is asked ---------------------------------------------------------------
 
@@ -141,14 +149,14 @@
 
     def offer(self, neighbours: Sequence[str] | set[str]) -> None:
         for to in sorted(neighbours):
-            if self.offers[to].put(self.shown(to)) and to in self.polls:
+            if self.offers[to].replace(self.shown(to)) and to in self.polls:
                 self.tell(to)
 
-    def asked(self, by: str, life: str, asked: Ask) -> None:
+    def asked(self, by: str, life: str, asked: SendRequest) -> None:
         if not self.up:
             return
         poll = self.polls[by] = Poll(life, asked, self.world.clock.now + asked.wait)
-        if asked.wait and not self.offers[by].news(asked.after):
+        if asked.wait and not self.offers[by].has_changes(asked.after):
             self.world.clock.at(poll.until, self.waited, by, poll)
         else:
             self.tell(by)
@@ -164,7 +172,7 @@
         poll = self.polls.pop(to)
         for service, one in self.offers[to].routes.items():
             self.world.oracle.shown(self.world.clock.now, self.name, to, service, one.path)
-        self.world.tell(self, to, poll, self.offers[to].answer(poll.asked.after, poll.asked.to))
+        self.world.tell(self, to, poll, self.offers[to].response(poll.asked.after, poll.asked.nonce))
 
     def advance(self) -> None:
         self.offer(self.merger.advance(self.world.clock.now).shown)
@@ -221,13 +229,13 @@
             self.sites[site].own.pop(service, None)
         else:
             self.sites[site].own[service] = terms
-        self.oracle.told(self.clock.now, site, service, CLOSED if terms is None else terms)
+        self.oracle.declare(self.clock.now, site, service, CLOSED if terms is None else terms)
         self.sites[site].changed()
 
     def word(self, site: str, service: str, terms: Terms) -> None:
         """What a site adds to the terms of what it passes on."""
         self.sites[site].words[service] = terms
-        self.oracle.told(self.clock.now, site, service, terms)
+        self.oracle.declare(self.clock.now, site, service, terms)
         self.sites[site].changed()
 
     def link(self, one: str, other: str, up: bool) -> None:
@@ -256,9 +264,9 @@
     def _goes(self, one: str, other: str) -> bool:
         return frozenset((one, other)) not in self.down and self.random.random() >= self.faults.lost
 
-    def ask(self, by: Site, to: str, asked: Ask) -> None:
+    def ask(self, by: Site, to: str, asked: SendRequest) -> None:
         if self._goes(by.name, to):
-            life = by.sessions[to].life
+            life = by.sessions[to].instance
             self.clock.after(self.random.randrange(MS, DELAY), self.sites[to].asked, by.name, life, asked)
 
     def tell(self, by: Site, to: str, poll: Poll, data: bytes) -> None:
@@ -284,25 +292,25 @@
         now = self.clock.now
         for site in self.sites.values():
             site.merger.advance(now)
-            if site.merger.merged != merge(site.merger.helds, site.policy(), now):
+            if site.merger.merged != merge(site.merger.partner_states, site.policy(), now):
                 self.wrong.append(f"{site.name}: not what a whole merge gives")
             for name in site.neighbours:
-                if self.oracle.dishonest or site.sessions[name].state is not State.HOLDING:
+                if self.oracle.dishonest or site.sessions[name].state is not SessionState.HOLDING:
                     continue
                 for service, terms in self.sites[name].own.items():
                     open_to = terms.may_use(site.name, now) and terms.may_show(site.name, now)
                     if open_to and service not in site.merger.merged.used:
                         self.wrong.append(f"{site.name}: does not use {service} of {name}")
-            if any(s.state is not State.HOLDING for s in site.sessions.values()):
+            if any(s.state is not SessionState.HOLDING for s in site.sessions.values()):
                 self.wrong.append(f"{site.name}: not all sessions came back")
 
     def found(self) -> list[str]:
         return [*map(str, self.oracle.breaches), *self.wrong]
 
 
-def random_sites(draw: random.Random, names: Sequence[str]) -> Sites:
+def random_sites(draw: random.Random, names: Sequence[str]) -> SiteSet:
     some = frozenset(draw.sample(names, draw.randrange(0, len(names))))
-    return draw.choice((ALL, ALL, NOBODY, Sites(some), Sites(some, True)))
+    return draw.choice((ALL_SITES, ALL_SITES, NO_SITES, SiteSet(some), SiteSet(some, True)))
 
 
 def random_terms(draw: random.Random, names: Sequence[str], now: int) -> Terms:
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -1,4 +1,5 @@
-"""Reads the file of this site's neighbours and of the routes that it offers them, TOML or JSON: all faults at once.
+"""Reads the file of this site's neighbours and the routes that it offers them, in TOML or JSON, and reports all faults
+at once.
 
 [[neighbours]]
 name = "bergen"
@@ -28,13 +29,13 @@
 from loftweir.config.operator import LARGEST, nearest, read_table
 from loftweir.config.units import Unit, host_and_port, label, parse
 from loftweir.partners.merge import Role
-from loftweir.partners.table import BadTable, Limits, Route, one_route
-from loftweir.partners.terms import FIELDS, read_terms
+from loftweir.partners.table import BadTable, Limits, Route, parse_route
+from loftweir.partners.terms import FIELDS, parse_terms
 
-SECOND, HOUR = 1_000_000_000, 3_600_000_000_000
-MOST = 200  # neighbours
-ADDRESSES = 16  # of one
-VALID_FOR = 60 * SECOND
+SECOND = 1_000_000_000  # ns
+MAX_NEIGHBOURS = 200
+MAX_ADDRESSES = 16  # of one neighbour
+DEFAULT_VALID_FOR = 60 * SECOND
 KEYS = {
     "": ("neighbours", "routes"),
     "neighbours": ("name", "addresses", "asks_from", "role", "preference", "shares_keys"),
@@ -50,58 +51,62 @@
     "until": '"forever", or a time with its zone',
 }
 
-
 Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
 class Neighbour(msgspec.Struct, frozen=True):
+    """A site that this site exchanges routes with. Names are in lower case."""
+
     name: str
-    addresses: tuple[str, ...] = ()  # none: it asks here, and is not asked
-    asks_from: tuple[Network, ...] = ()  # whoever asks in its name has such an address; none: whoever reaches `listen`
+    addresses: tuple[str, ...] = ()  # where this site requests its routes; empty: it only requests ours
+    # networks that its requests have to come from; empty: any address that reaches `listen`
+    asks_from: tuple[Network, ...] = ()
     role: Role = Role.NONE
     preference: int = 0
-    shares_keys: bool = False  # its providers and ours drop the repeats of what either has run
+    shares_keys: bool = False  # its providers and ours drop duplicates of requests that the other has run
 
 
 class PartnersConfig(NamedTuple):
+    """The contents of the partners' file."""
+
     neighbours: dict[str, Neighbour]
     routes: dict[str, Route]  # this site's own, by service
 
 
 def load(path: str, site: str, limits: Limits) -> PartnersConfig:
-    """Raises `Faulty` with every fault: its place, as routes.0.terms.show, the value, and what was expected."""
+    """Raises `Faulty` with every fault: its place, such as routes.0.terms.show, the value, and what was expected."""
     faults: list[Fault] = []
-    data = _json(path, faults) if path.endswith(".json") else read_table(path, faults)
+    data = _read_json(path, faults) if path.endswith(".json") else read_table(path, faults)
 
     def fault(place: str, value: Any, expected: str) -> None:
         faults.append(Fault(path, place, value, expected))
 
-    _keys(data, "", "", fault)
+    _check_keys(data, "", "", fault)
     neighbours: dict[str, Neighbour] = {}
-    rows = list(_rows(data, "neighbours", fault))
-    for place, row in rows[:MOST]:
-        found = _neighbour(place, row, site, fault)
+    rows = list(_tables(data, "neighbours", fault))
+    for place, row in rows[:MAX_NEIGHBOURS]:
+        found = _parse_neighbour(place, row, site, fault)
         if found is not None and found.name in neighbours:
             fault(f"{place}.name", found.name, "each neighbour once")
         elif found is not None:
             neighbours[found.name] = found
-    if len(rows) > MOST:
-        fault("neighbours", len(rows), f"at most {MOST}")
+    if len(rows) > MAX_NEIGHBOURS:
+        fault("neighbours", len(rows), f"at most {MAX_NEIGHBOURS}")
     routes: dict[str, Route] = {}
-    for place, row in _rows(data, "routes", fault):
-        route = _route(place, row, site, limits, fault)
+    for place, row in _tables(data, "routes", fault):
+        route = _parse_route(place, row, site, limits, fault)
         if route is not None and route.service in routes:
             fault(f"{place}.service", route.service, "each service once")
         elif route is not None:
             routes[route.service] = route
     if len(routes) > limits.routes:
-        fault("routes", len(routes), f"at most {limits.routes}, as `partners.routes` says")
+        fault("routes", len(routes), f"at most {limits.routes}, by `partners.routes`")
     if faults:
         raise Faulty(faults)
     return PartnersConfig(neighbours, routes)
 
 
-def _json(path: str, faults: list[Fault]) -> Any:
+def _read_json(path: str, faults: list[Fault]) -> Any:
     try:
         with open(path, "rb") as opened:
             data = opened.read(LARGEST + 1)
@@ -115,8 +120,8 @@
     return {}
 
 
-def _keys(value: Any, kind: str, place: str, fault: Any) -> bool:
-    """Whether it is a table; of its keys, those that are none are faults."""
+def _check_keys(value: Any, kind: str, place: str, fault: Any) -> bool:
+    """Whether the value is a table. Reports its unknown keys as faults."""
     if not isinstance(value, dict):
         fault(place, value, "a table")
         return False
@@ -126,54 +131,54 @@
     return True
 
 
-def _rows(data: Any, name: str, fault: Any) -> Iterator[tuple[str, Any]]:
+def _tables(data: Any, name: str, fault: Any) -> Iterator[tuple[str, Any]]:
     rows = data.get(name, []) if isinstance(data, dict) else []
     if not isinstance(rows, list):
         fault(name, rows, f"a list of tables, [[{name}]]")
         return
     for number, row in enumerate(rows):
-        if _keys(row, name, f"{name}.{number}", fault):
+        if _check_keys(row, name, f"{name}.{number}", fault):
             yield f"{name}.{number}", row
 
 
-def _neighbour(place: str, row: dict[str, Any], site: str, fault: Any) -> Neighbour | None:
+def _parse_neighbour(place: str, row: dict[str, Any], site: str, fault: Any) -> Neighbour | None:
     faults = 0
 
-    def take(key: str, fits: Any, expected: str, default: Any = MISSING) -> Any:
+    def field(key: str, is_valid: Any, expected: str, default: Any = MISSING) -> Any:
         nonlocal faults
         value = row.get(key, default)
-        if value is not default and not fits(value) or value == MISSING:
+        if value is not default and not is_valid(value) or value == MISSING:
             fault(f"{place}.{key}", value, expected)
             faults += 1
         return value
 
-    name = take("name", _label, "a label of RFC 1123, as bergen")
-    addresses = take("addresses", _addresses, f"a list of at most {ADDRESSES} host:port", ())
-    networks = f"a list of at most {ADDRESSES} networks, as 10.1.0.0/24"
-    asks_from = take("asks_from", _networks, networks, ())
+    name = field("name", _is_label, "a label of RFC 1123, such as bergen")
+    addresses = field("addresses", _is_address_list, f"a list of at most {MAX_ADDRESSES} host:port", ())
+    networks = f"a list of at most {MAX_ADDRESSES} networks, such as 10.1.0.0/24"
+    asks_from = field("asks_from", _is_network_list, networks, ())
     roles = [role.value for role in Role]
-    role = take("role", lambda value: value in roles, f"one of {', '.join(roles)}", Role.NONE.value)
-    whole = f"a whole number from {-(1 << 31)} to {1 << 31}"
-    preference = take("preference", lambda v: type(v) is int and abs(v) <= 1 << 31, whole, 0)
-    shares = take("shares_keys", lambda value: isinstance(value, bool), "true or false", False)
+    role = field("role", lambda value: value in roles, f"one of {', '.join(roles)}", Role.NONE.value)
+    whole_number = f"a whole number from {-(1 << 31)} to {1 << 31}"
+    preference = field("preference", lambda v: type(v) is int and abs(v) <= 1 << 31, whole_number, 0)
+    shares_keys = field("shares_keys", lambda value: isinstance(value, bool), "true or false", False)
     if not faults and name.lower() == site:
-        fault(f"{place}.name", name, "another site than this one")
+        fault(f"{place}.name", name, "a site other than this one")
         faults += 1
     if faults:
         return None
     found = tuple(map(ipaddress.ip_network, asks_from))
-    return Neighbour(name.lower(), tuple(addresses), found, Role(role), preference, shares)
+    return Neighbour(name.lower(), tuple(addresses), found, Role(role), preference, shares_keys)
 
 
-def _label(value: Any) -> bool:
+def _is_label(value: Any) -> bool:
     try:
         return isinstance(value, str) and bool(label(value))
     except ValueError:
         return False
 
 
-def _addresses(value: Any) -> bool:
-    if not isinstance(value, list) or len(value) > ADDRESSES or not all(isinstance(one, str) for one in value):
+def _is_address_list(value: Any) -> bool:
+    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(one, str) for one in value):
         return False
     try:
         return all(host_and_port(one)[1] > 0 for one in value)
@@ -181,8 +186,8 @@
         return False
 
 
-def _networks(value: Any) -> bool:
-    if not isinstance(value, list) or len(value) > ADDRESSES or not all(isinstance(one, str) for one in value):
+def _is_network_list(value: Any) -> bool:
+    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(one, str) for one in value):
         return False
     try:
         return bool(list(map(ipaddress.ip_network, value)))
@@ -190,42 +195,43 @@
         return False
 
 
-def _route(place: str, row: dict[str, Any], site: str, limits: Limits, fault: Any) -> Route | None:
-    """A route of this site's own: read in the partners' own form, by the reader that the neighbours have."""
-    before: list[None] = []
+def _parse_route(place: str, row: dict[str, Any], site: str, limits: Limits, fault: Any) -> Route | None:
+    """A route of this site, parsed like a route received from a partner."""
+    faulty = False
 
-    def wrong(at: str, value: Any, expected: str) -> None:
-        before.append(None)
+    def report(at: str, value: Any, expected: str) -> None:
+        nonlocal faulty
+        faulty = True
         fault(f"{place}.{at}", value, expected)
 
     for number, provider in enumerate(row.get("providers", ()) if isinstance(row.get("providers"), list) else ()):
-        _keys(provider, "providers", f"providers.{number}", wrong)
-    made = {**row, "path": [site], "valid_for": VALID_FOR}
+        _check_keys(provider, "providers", f"providers.{number}", report)
+    row_with_defaults = {**row, "path": [site], "valid_for": DEFAULT_VALID_FOR}
     try:
         if "valid_for" in row:
-            made["valid_for"] = parse(Unit.DURATION, row["valid_for"])
+            row_with_defaults["valid_for"] = parse(Unit.DURATION, row["valid_for"])
     except ValueError as error:
-        wrong("valid_for", row["valid_for"], str(error))
+        report("valid_for", row["valid_for"], str(error))
     try:
         if isinstance(row.get("share"), str):
-            made["share"] = parse(Unit.SHARE, row["share"])
+            row_with_defaults["share"] = parse(Unit.SHARE, row["share"])
     except ValueError as error:
-        wrong("share", row["share"], str(error))
-    made["terms"] = _terms(row.get("terms", MISSING), wrong)
-    if before:
+        report("share", row["share"], str(error))
+    row_with_defaults["terms"] = _check_terms(row.get("terms", MISSING), report)
+    if faulty:
         return None
     try:
-        return one_route(made, site, limits)
+        return parse_route(row_with_defaults, site, limits)
     except BadTable as error:
         for found in error.faults:
-            wrong(found.place, _at(made, found.place), found.expected)
+            report(found.place, _at(row_with_defaults, found.place), found.expected)
         return None
 
 
-def _terms(value: Any, wrong: Any) -> Any:
-    if value == MISSING or not _keys(value, "terms", "terms", wrong):
+def _check_terms(value: Any, report: Any) -> Any:
+    if value == MISSING or not _check_keys(value, "terms", "terms", report):
         if value == MISSING:
-            wrong("terms", value, f"a table of {', '.join(FIELDS)}")
+            report("terms", value, f"a table of {', '.join(FIELDS)}")
         return None
     until = value.get("until")
     if isinstance(until, str) and until != "forever":
@@ -234,12 +240,13 @@
     if isinstance(until, datetime.datetime) and until.tzinfo is not None:
         value = {**value, "until": int(until.timestamp()) * SECOND}
     for name in FIELDS:
-        if name in read_terms(value).unknown:
-            wrong(f"terms.{name}", value.get(name, MISSING), TERMS[name])
+        if name in parse_terms(value).unknown:
+            report(f"terms.{name}", value.get(name, MISSING), TERMS[name])
     return value
 
 
 def _at(value: Any, place: str) -> Any:
+    """The value at a place such as providers.0.name; MISSING if there is none."""
     for name in place.split(".") if place else ():
         try:
             value = value[int(name)] if isinstance(value, list) else value[name]
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -1,9 +1,10 @@
-"""One partner asked over HTTP/1.1 by the sidecar that holds its lease; what it tells goes to the copies.
+"""Requests the table of one partner over HTTP/1.1, in the sidecar that has the partner's lease, and stores it.
 
-    GET /routes?site=OURS&to=MARK[&after=EPOCH.INDEX]&wait_ms=N
+    GET /routes?site=OURS&to=NONCE[&after=EPOCH.INDEX]&wait_ms=N
 
-The session (`session.py`) says when and how to ask, and what an answer is worth; here are sockets, addresses in turn,
-and the duty. Nothing of an answer is used here by itself: this sidecar reads it from the copies as all others do.
+The session (`session.py`) decides when to send a request and whether a response is valid. This module has the sockets,
+the addresses, which take turns, and the lease. No response is used here directly: this sidecar reads the table from the
+replicated state like all others.
 """
 
 from __future__ import annotations
@@ -24,9 +25,17 @@
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp, TookTooLong, connect, send
 from loftweir.partners.file import Neighbour
-from loftweir.partners.keeping import Keeping, Target
-from loftweir.partners.replicated_table import HEAD, Cutter, Head, Shelf, written
-from loftweir.partners.session import Action, Ask, Became, Refused, Session, State, Timing
+from loftweir.partners.keeping import TableWriter, Target
+from loftweir.partners.replicated_table import HEAD, Chunker, Head, TableReader, encode_head
+from loftweir.partners.session import (
+    Action,
+    ResponseRejected,
+    SendRequest,
+    Session,
+    SessionChanged,
+    SessionState,
+    Timing,
+)
 from loftweir.partners.table import Limits
 from loftweir.replication.machine import Fact
 from loftweir.replication.part import Part
@@ -40,14 +49,15 @@
 from loftweir.telemetry.log import say
 
 PATH = "/routes"
-CONNECT_WITHIN = SECOND
-WORDS = 300  # bytes of an answer that is no table, for the log
-LOOK_EVERY = 5 * MS
-NOTES_APART = 2 * SECOND  # from one note that a partner has answered again to the next, or a quarter of the hold time
+CONNECT_TIMEOUT = SECOND
+MAX_ERROR_BYTES = 300  # of a body that is no table, for the log
+POLL_INTERVAL = 5 * MS
+# ns at least between two notes that a partner responded again; a quarter of the hold time if that is less
+NOTE_INTERVAL = 2 * SECOND
 
 
 class NotAnswered(LoftweirError):
-    """A call to a partner brought no table. The last good one stays until its hold time is over."""
+    """A request to a partner brought no table. The last valid one stays until its hold time has expired."""
 
     remedy = (
         "If it goes on, see with the partner's operators that a sidecar listens at the address that is named and knows "
@@ -56,127 +66,138 @@
 
 
 def timing(options: Options, hold: int) -> Timing:
+    """The timing of a session with the given hold time."""
     return Timing(wait=options.wait, silent_after=options.silent_after, hold=hold, gone=options.gone)
 
 
 def limits(options: Options) -> Limits:
+    """The limits of a table that the operator's file sets."""
     return Limits(bytes=options.table_size, routes=options.routes)
 
 
-def keys_of(facts: dict[tuple[str, str], Fact], duty: str) -> list[str]:
-    return [key for of, key in facts if of == duty]
+def stored_keys(facts: dict[tuple[str, str], Fact], duty: str) -> list[str]:
+    """The keys that exist under a lease."""
+    return [key for lease, key in facts if lease == duty]
+
 
+class PartnerClient:
+    """Keeps the session with one partner while this sidecar has its lease.
 
-class Link:
-    """Invariant: there is a session, and a call of it at most, from `begin` to `end`: while the duty is acted on."""
+    Invariant: there is a session, with at most one request in flight, from `begin` to `end`.
+    """
 
     def __init__(
-        self, loop: Loop, site: str, neighbour: Neighbour, options: Options, fleet: Part, shelf: Shelf
+        self, loop: Loop, site: str, neighbour: Neighbour, options: Options, fleet: Part, reader: TableReader
     ) -> None:
         self.loop = loop
         self.site = site
-        self.neighbour = neighbour  # replaced whole by a reload
+        self.neighbour = neighbour  # replaced as a whole by a reload
         self.options = options
         self.fleet = fleet
-        self.shelf = shelf  # what the copies hold, as it is read here
-        # Its hold time ends a little before that of the sidecars which read from the copies.
+        self.reader = reader  # the replicated table, as read here
+        # The session's hold time ends a little earlier than for the sidecars that read the replicated state.
         self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
-        self.cutter = Cutter()
+        self.chunker = Chunker()
         self.duty: Duty | None = None
-        self.keeping: Keeping | None = None
+        self.writer: TableWriter | None = None
         self.session: Session | None = None
         self.task: Task | None = None
-        self.call: Task | None = None
-        self.sock: socket.socket | None = None  # at rest between two calls
-        self.turn = 0  # of the addresses
-        self.mark: tuple[Any, ...] = ()  # of what was aimed at last
+        self.request_task: Task | None = None
+        self.sock: socket.socket | None = None  # idle between two requests
+        self.address_index = 0  # index of the next address
+        self.target_key: tuple[Any, ...] = ()  # of the last target table
 
-    def serve(self, duty: Duty) -> None:
+    def attach(self, duty: Duty) -> None:
+        """Sets the lease under which the table is written."""
         self.duty = duty
-        self.keeping = Keeping(self.loop, duty, notes_apart=min(NOTES_APART, self.options.hold // 4))
+        self.writer = TableWriter(self.loop, duty, note_interval=min(NOTE_INTERVAL, self.options.hold // 4))
 
-    # ---- the duty -------------------------------------------------------------------------------
+    # ---- lease -----------------------------------------------------------------------------------
 
     def begin(self, token: int) -> None:
+        """Starts the session. `token`: the fencing token of the lease."""
         say(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
         self.task = self.loop.spawn(self._run(token), self._crashed)
 
     def end(self) -> None:
+        """Ends the session, as the lease ended."""
         say(PARTNERS_LET_GO, partner=self.neighbour.name)
         self.close()
 
     def close(self) -> None:
-        for task in (self.task, self.call):
+        """Aborts the session and its request."""
+        for task in (self.task, self.request_task):
             if task is not None:
                 task.cancel()
-        self.task = self.call = self.session = None
-        if self.keeping is not None:
-            self.keeping.end()
-        self._hang_up()
+        self.task = self.request_task = self.session = None
+        if self.writer is not None:
+            self.writer.end()
+        self._close_socket()
 
     def _crashed(self, _: Exception) -> None:
-        """A fault of the program's own: this sidecar may not be the one that can do it."""
-        self.loop.after(0, self._give_up)
+        """An internal error: releases the lease for a while, because another sidecar may not be affected."""
+        self.loop.after(0, self._release_for_now)
 
-    def _give_up(self) -> None:
+    def _release_for_now(self) -> None:
         if self.duty is not None:
             self.duty.want(False)
             self.loop.after(5 * SECOND, self.duty.want, True)
 
     def _run(self, token: int) -> Coroutine[None]:
-        """What others wrote under earlier tokens is all here once the grant is: it can't be added to any more."""
+        """Runs the session. All writes under earlier tokens are known here once the grant is, and none can follow."""
         while self.fleet.machine is None or self.fleet.index < token:
-            yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
-        keeping, shelf, now = self.keeping, self.shelf, self.loop.now()
-        assert keeping is not None
+            yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
+        writer, reader, now = self.writer, self.reader, self.loop.now()
+        assert writer is not None
         facts = self.fleet.machine.facts
-        kept = facts.get((shelf.duty, HEAD))
-        keeping.begin(keys_of(facts, shelf.duty), kept.value if kept else None)
-        life = secrets.token_hex(8)
-        session = Session(self.neighbour.name, life, Random(life).random, self.timing, self.limits)
-        self.session, self.mark = session, ()
-        held, head = shelf.held(now, self.timing), shelf.head or Head()
-        self._do(session.start(now, held, (head.penalty, head.penalty_at), head.damped))
+        stored = facts.get((reader.duty, HEAD))
+        writer.begin(stored_keys(facts, reader.duty), stored.value if stored else None)
+        instance = secrets.token_hex(8)
+        session = Session(self.neighbour.name, instance, Random(instance).random, self.timing, self.limits)
+        self.session, self.target_key = session, ()
+        partner_state, head = reader.partner_state(now, self.timing), reader.head or Head()
+        self._perform(session.start(now, partner_state, (head.penalty, head.penalty_at), head.damped))
         while True:
             at = session.next_at
             if at is not None and at <= self.loop.now():
-                self._do(session.tick(self.loop.now()))
+                self._perform(session.tick(self.loop.now()))
                 at = self.loop.now()
             yield Wait(None, 0, at)
 
-    # ---- the session ----------------------------------------------------------------------------
+    # ---- session ---------------------------------------------------------------------------------
 
-    def _do(self, actions: Sequence[Action]) -> None:
+    def _perform(self, actions: Sequence[Action]) -> None:
         session, name = self.session, self.neighbour.name
         if session is None:
             return
         for action in actions:
-            if isinstance(action, Ask):
-                if self.call is not None:
-                    self.call.cancel()
-                self.call = self.loop.spawn(self._ask(session, action), self._call_crashed)
-            elif isinstance(action, Became):
+            if isinstance(action, SendRequest):
+                if self.request_task is not None:
+                    self.request_task.cancel()
+                self.request_task = self.loop.spawn(self._request(session, action), self._request_crashed)
+            elif isinstance(action, SessionChanged):
                 if action.before is not session.state:
                     say(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
-            elif isinstance(action, Refused):
+            elif isinstance(action, ResponseRejected):
                 say(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
                 self._next_address()
             else:
                 say(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
                 self._next_address()
-        self._keep(session)
+        self._store(session)
         if self.task is not None:
             self.task.wake()
 
-    def _keep(self, session: Session) -> None:
-        """Aims the copies at what the session holds. That it is stale or away they need not be told: time tells."""
-        keeping, table, damped = self.keeping, session.table, session.state is State.DAMPED
-        if keeping is None or (table is None and not damped):
+    def _store(self, session: Session) -> None:
+        """Sets the table of the session as the one to store. Staleness is not stored: every sidecar derives it from the
+        time."""
+        writer, table, damped = self.writer, session.table, session.state is SessionState.DAMPED
+        if writer is None or (table is None and not damped):
             return
-        mark = (table, session.back_at, damped, session.penalty_at)
-        if not self.mark or self.mark[0] is not table or self.mark[1:] != mark[1:]:
-            self.mark = mark
-            chunks = self.cutter.cut(table.routes, table.sums) if table is not None else {}
+        target_key = (table, session.back_at, damped, session.penalty_at)
+        if not self.target_key or self.target_key[0] is not table or self.target_key[1:] != target_key[1:]:
+            self.target_key = target_key
+            chunks = self.chunker.split(table.routes, table.sums) if table is not None else {}
             head = Head(
                 chunks=tuple(chunks),
                 routes=len(table.routes) if table is not None else 0,
@@ -187,83 +208,85 @@
                 penalty=session.penalty,
                 penalty_at=session.penalty_at,
             )
-            keeping.aim(Target(written(head), chunks), session.confirmed_at)
+            writer.set_target(Target(encode_head(head), chunks), session.confirmed_at)
         else:
-            keeping.confirm(session.confirmed_at)
+            writer.confirm(session.confirmed_at)
 
-    # ---- calls ----------------------------------------------------------------------------------
+    # ---- requests --------------------------------------------------------------------------------
 
     def _address(self) -> str:
         addresses = self.neighbour.addresses
-        return addresses[self.turn % len(addresses)] if addresses else ""
+        return addresses[self.address_index % len(addresses)] if addresses else ""
 
     def _next_address(self) -> None:
-        self.turn += 1
-        self._hang_up()
+        self.address_index += 1
+        self._close_socket()
 
-    def _hang_up(self) -> None:
+    def _close_socket(self) -> None:
         if self.sock is not None:
             self.loop.close(self.sock)
             self.sock = None
 
-    def _call_crashed(self, error: Exception) -> None:
-        self.call = None
-        if self.session is not None and self.session.asked is not None:
-            self._do(self.session.failed(self.loop.now(), self.session.asked.number, repr(error)))
+    def _request_crashed(self, error: Exception) -> None:
+        self.request_task = None
+        if self.session is not None and self.session.pending_request is not None:
+            self._perform(self.session.on_failure(self.loop.now(), self.session.pending_request.number, repr(error)))
 
-    def _ask(self, session: Session, ask: Ask) -> Coroutine[None]:
+    def _request(self, session: Session, request: SendRequest) -> Coroutine[None]:
         if self.duty is None or self.duty.may_act() is None:
-            return  # its end comes
+            return  # the lease ended, and `end` follows
         try:
-            data = yield from self._fetch(ask)
+            data = yield from self._fetch(request)
         except NotAnswered as error:
-            self.call = None
-            self._do(session.failed(self.loop.now(), ask.number, error.what))
+            self.request_task = None
+            self._perform(session.on_failure(self.loop.now(), request.number, error.what))
         else:
-            self.call = None
-            self._do(session.answer(self.loop.now(), ask.number, data))
-
-    def _fetch(self, ask: Ask) -> Coroutine[bytes]:
-        """The body of one answer with status 200. It has to be whole by the session's time, which finds out that it is
-        silent; this one waits a little longer."""
-        until = self.loop.now() + ask.within + SECOND
-        after = "" if ask.after is None else f"&after={ask.after[0]}.{ask.after[1]}"
-        target = f"{PATH}?site={self.site}&to={ask.to}{after}&wait_ms={ask.wait // MS}"
+            self.request_task = None
+            self._perform(session.on_response(self.loop.now(), request.number, data))
+
+    def _fetch(self, request: SendRequest) -> Coroutine[bytes]:
+        """Returns the body of a response with status 200. The session detects the timeout; this request ends a little
+        later."""
+        until = self.loop.now() + request.timeout + SECOND
+        after = "" if request.after is None else f"&after={request.after[0]}.{request.after[1]}"
+        target = f"{PATH}?site={self.site}&to={request.nonce}{after}&wait_ms={request.wait // MS}"
         address = self._address()
         head = f"GET {target} HTTP/1.1\r\nHost: {address}\r\n\r\n"
         sock, self.sock = self.sock, None
-        rests = False
+        reusable = False
         try:
             if sock is None:
-                sock = yield from connect(self.loop, address, CONNECT_WITHIN, until)
+                sock = yield from connect(self.loop, address, CONNECT_TIMEOUT, until)
             yield from send(self.loop, sock, [head.encode()], until)
             wire = Strict(sock, h11.CLIENT)
-            answer = yield from wire.next_event(until)
-            if not isinstance(answer, h11.Response):
-                raise NotAnswered("no answer", address)
-            body = yield from self._body(wire, until, self.limits.bytes if answer.status_code == 200 else WORDS)
-            if answer.status_code != 200:
-                words = body.decode("utf-8", "replace")
-                raise NotAnswered(f"answered {answer.status_code}: {' '.join(words.split())}", address)
-            rests = wire.whole() and not wire.rest()
+            response = yield from wire.next_event(until)
+            if not isinstance(response, h11.Response):
+                raise NotAnswered("no response", address)
+            body = yield from self._body(
+                wire, until, self.limits.bytes if response.status_code == 200 else MAX_ERROR_BYTES
+            )
+            if response.status_code != 200:
+                text = body.decode("utf-8", "replace")
+                raise NotAnswered(f"answered {response.status_code}: {' '.join(text.split())}", address)
+            reusable = wire.whole() and not wire.rest()
             return body
         except NotUp:
             raise NotAnswered("not up", address) from None
         except TookTooLong:
-            raise NotAnswered("silent", address) from None
+            raise NotAnswered("no response in time", address) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise NotAnswered(f"broken: {error}", address) from None
         finally:
-            if rests:
+            if reusable:
                 self.sock = sock
             elif sock is not None:
                 self.loop.close(sock)
 
-    def _body(self, wire: Strict, until: int, most: int) -> Coroutine[bytes]:
-        """A whole body; one that is longer than it may be is read a little further than that, for the reader of tables
-        to say so."""
-        parts, size = [], 0
-        while size <= most and (part := (yield from wire.part(until))):
-            parts.append(part)
+    def _body(self, wire: Strict, until: int, max_size: int) -> Coroutine[bytes]:
+        """Reads a whole body. One that exceeds `max_size` is read a little further, so that the parser of tables
+        reports it."""
+        chunks, size = [], 0
+        while size <= max_size and (part := (yield from wire.part(until))):
+            chunks.append(part)
             size += len(part)
-        return b"".join(parts)
+        return b"".join(chunks)
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -1,10 +1,12 @@
-"""Where neighbours ask for this site's routes: a listener of its own, few connections, calls that wait for news.
+"""The listener at which neighbours request this site's routes. It accepts few connections, and requests may wait for
+changes.
 
-    GET /routes?site=NEIGHBOUR&to=MARK[&after=EPOCH.INDEX]&wait_ms=N
+    GET /routes?site=NEIGHBOUR&to=NONCE[&after=EPOCH.INDEX]&wait_ms=N
 
-200 with the table, whole or its changes after the mark; with no news, once the wait is over, no changes: that confirms
-what the neighbour holds. 403: no neighbour of that name, or not from its addresses; 503: not now, and why, in words.
-That is all that proves who asks: the address is to be reached by the neighbours alone.
+Responses: 200 with the whole table or the changes after a position. If there is none when the wait is over, the
+response has no changes and confirms the neighbour's table. 403: no neighbour has this name, or the request does not
+come from its addresses. 503: the request can't be answered now; the body has the reason. A neighbour is identified by
+its name and address only, so the listener should be reachable for neighbours alone.
 """
 
 from __future__ import annotations
@@ -22,24 +24,28 @@
 from loftweir.net.loop import MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, send
 from loftweir.partners.file import Neighbour
-from loftweir.partners.shown import Shown
+from loftweir.partners.shown import NeighbourOffers
 from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED
 from loftweir.telemetry.log import say
 
 PATH = "/routes"
 BACKLOG = 64
-RESTS_FOR = 30 * SECOND  # a connection between two calls
-HEAD_WITHIN = 5 * SECOND  # a call's head, from its first byte on
-WRITE_WITHIN = 5 * SECOND
-LONGEST_WAIT = 60 * SECOND
-NOT_NOW_FOR = SECOND  # that a call is held where it can't be answered, until that is said
-TRY_EVERY = 300 * MS  # for the address, that the process before this one may have yet
-MARK = re.compile(r"([0-9]{1,19})\.([0-9]{1,19})", re.ASCII)
+IDLE_TIMEOUT = 30 * SECOND  # that a connection may be idle between two requests
+HEAD_TIMEOUT = 5 * SECOND  # for the head of a request, from its first byte on
+WRITE_TIMEOUT = 5 * SECOND
+LINGER = 100 * MS  # for the client to close the connection after an error
+MAX_WAIT = 60 * SECOND
+UNAVAILABLE_WAIT = SECOND  # that a request waits for the table to become available before it gets a 503
+RECHECK_INTERVAL = 50 * MS  # while the table is not available
+RETRY_INTERVAL = 300 * MS  # between attempts to bind the address, which the previous process may still have
+MAX_NONCE_LENGTH = 128  # characters
+POSITION = re.compile(r"([0-9]{1,19})\.([0-9]{1,19})", re.ASCII)
 REASONS = {200: "OK", 400: "Bad Request", 403: "Forbidden", 404: "Not Found", 503: "Service Unavailable"}
 
 
-class Question:
-    """What is asked, as far as it can be read; `wrong` says why not."""
+class RouteRequest:
+    """The parameters of a request. If they are not valid, `error` is the reason and `status` the status of the
+    response."""
 
     def __init__(self, target: str) -> None:
         path, _, query = target.partition("?")
@@ -48,49 +54,55 @@
         self.to = fields.get("to", "")
         self.after: tuple[int, int] | None = None
         self.wait = 0
-        self.wrong = "" if path == PATH else f"only GET {PATH} is here"
+        self.error = "" if path == PATH else f"only GET {PATH} is here"
         self.status = 404
-        if self.wrong:
+        if self.error:
             return
         self.status = 400
-        found = MARK.fullmatch(fields["after"]) if "after" in fields else None
+        found = POSITION.fullmatch(fields["after"]) if "after" in fields else None
         wait = fields.get("wait_ms", "0")
         if "after" in fields and found is None:
-            self.wrong = "after: a mark as EPOCH.INDEX"
+            self.error = "after: a mark as EPOCH.INDEX"
         elif not (wait.isascii() and wait.isdigit() and len(wait) < 8):
-            self.wrong = "wait_ms: whole milliseconds"
-        elif len(self.to) > 128 or not self.to.isprintable():
-            self.wrong = "to: plain text of at most 128 characters"
+            self.error = "wait_ms: whole milliseconds"
+        elif len(self.to) > MAX_NONCE_LENGTH or not self.to.isprintable():
+            self.error = "to: plain text of at most 128 characters"
         else:
             self.after = (int(found[1]), int(found[2])) if found else None
-            self.wait = min(int(wait) * MS, LONGEST_WAIT)
+            self.wait = min(int(wait) * MS, MAX_WAIT)
 
 
 class Listener:
-    """Invariant: `callers` has every connection with its coroutine, the one silent for longest first."""
+    """Accepts connections of neighbours and answers their requests.
 
-    def __init__(self, loop: Loop, shown: Shown, most: int) -> None:
+    Invariant: `connections` has every connection with its coroutine, in the order of the last request.
+    """
+
+    def __init__(self, loop: Loop, offers: NeighbourOffers, max_connections: int) -> None:
         self.loop = loop
-        self.shown = shown
-        self.most = most
+        self.offers = offers
+        self.max_connections = max_connections
         self.neighbours: Mapping[str, Neighbour] = {}
-        self.callers: dict[socket.socket, Task] = {}
-        self.waiting: dict[str, set[Task]] = {}  # by neighbour, calls that wait for news
+        self.connections: dict[socket.socket, Task] = {}
+        self.waiting: dict[str, set[Task]] = {}  # by neighbour: requests that wait for changes
         self.listener: socket.socket | None = None
         self.accepting: Task | None = None
 
     def listen(self, address: str) -> None:
+        """Starts to listen at host:port."""
         self.accepting = self.loop.spawn(self._listen(address))
 
     def close(self) -> None:
-        for task in (self.accepting, *self.callers.values()):
+        """Closes the listener and all connections."""
+        for task in (self.accepting, *self.connections.values()):
             if task is not None:
                 task.cancel()
         if self.listener is not None:
             self.loop.close(self.listener)
             self.listener = None
 
-    def changed(self, to: str) -> None:
+    def wake_waiting(self, to: str) -> None:
+        """Wakes the waiting requests of a neighbour whose table changed."""
         for task in self.waiting.get(to, ()):
             task.wake()
 
@@ -106,99 +118,106 @@
             except OSError as error:
                 sock.close()
                 say(PARTNERS_LISTENS, address=address, why=error.strerror or str(error))
-            yield Wait(None, 0, self.loop.now() + TRY_EVERY)
+            yield Wait(None, 0, self.loop.now() + RETRY_INTERVAL)
         sock.setblocking(False)
         self.listener = sock
         say(PARTNERS_LISTENS, address=address, why="")
         while True:
             yield Wait(sock, READABLE, None)
             try:
-                caller, _ = sock.accept()
+                connection, _ = sock.accept()
             except BlockingIOError:
                 continue
-            except OSError:  # most often no descriptor is free
-                yield Wait(None, 0, self.loop.now() + TRY_EVERY)
+            except OSError:  # usually no descriptor is free
+                yield Wait(None, 0, self.loop.now() + RETRY_INTERVAL)
                 continue
-            caller.setblocking(False)
-            if len(self.callers) >= self.most:
-                next(iter(self.callers.values())).cancel()
-            self.callers[caller] = task = self.loop.task(self._serve(caller))
-            task.step()  # to its first wait: from then on, what ends it closes the connection
+            connection.setblocking(False)
+            if len(self.connections) >= self.max_connections:
+                next(iter(self.connections.values())).cancel()
+            self.connections[connection] = task = self.loop.task(self._serve(connection))
+            task.step()  # runs to its first wait; from then on, whatever ends it closes the connection
 
-    # ---- one call after another -----------------------------------------------------------------
+    # ---- requests of one connection --------------------------------------------------------------
 
     def _serve(self, sock: socket.socket) -> Coroutine[None]:
         data: bytes | None = None
         try:
             while True:
                 if not data:
-                    if not (yield Wait(sock, READABLE, self.loop.now() + RESTS_FOR)):
+                    if not (yield Wait(sock, READABLE, self.loop.now() + IDLE_TIMEOUT)):
                         return
                     data = None
                 wire = Strict(sock, h11.SERVER, data)
-                until = self.loop.now() + HEAD_WITHIN
+                until = self.loop.now() + HEAD_TIMEOUT
                 request = yield from wire.next_event(until)
                 if not isinstance(request, h11.Request):
                     return
                 whole = isinstance((yield from wire.next_event(until)), h11.EndOfMessage)
                 data = wire.rest()
-                self.callers[sock] = self.callers.pop(sock)  # it is not silent
+                self.connections[sock] = self.connections.pop(sock)  # moves to the end: the most recently active one
                 target = request.target.decode("ascii", "replace") if request.method == b"GET" else ""
-                answer = yield from self._answer(sock, target, bool(data))
-                if answer is None:
+                response = yield from self._respond(sock, target, bool(data))
+                if response is None:
                     return
-                status, body, kind = answer
-                last = not whole or not wire.whole() or status in (400, 404)
+                status, body, kind = response
+                closes = not whole or not wire.whole() or status in (400, 404)
                 head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
-                close = "Connection: close\r\n" if last else ""
-                yield from send(self.loop, sock, [f"{head}{close}\r\n".encode(), body], self.loop.now() + WRITE_WITHIN)
-                if last:
+                close = "Connection: close\r\n" if closes else ""
+                yield from send(self.loop, sock, [f"{head}{close}\r\n".encode(), body], self.loop.now() + WRITE_TIMEOUT)
+                if closes:
                     sock.shutdown(socket.SHUT_WR)
-                    until = self.loop.now() + 100 * MS
+                    until = self.loop.now() + LINGER
                     while (yield Wait(sock, READABLE, until)) and sock.recv(4096):
                         pass
                     return
         except (TookTooLong, OSError, h11.RemoteProtocolError):
             pass
         finally:
-            self.callers.pop(sock, None)
+            self.connections.pop(sock, None)
             self.loop.close(sock)
 
-    def _answer(self, sock: socket.socket, target: str, more: bool) -> Coroutine[tuple[int, bytes, str] | None]:
-        """None: the neighbour went away meanwhile."""
-        asked = Question(target)
-        if asked.wrong:
-            return asked.status, f"{asked.wrong}\n".encode(), "text/plain"
-        turned = self._turned(asked.site, sock)
-        if turned:
-            say(PARTNERS_TURNED, site=asked.site if asked.site.isprintable() else "", why=turned)
-            return 403, f"{turned}\n".encode(), "text/plain"
-        until = self.loop.now() + asked.wait
-        not_now_at: int | None = None
+    def _respond(
+        self, sock: socket.socket, target: str, has_further_request: bool
+    ) -> Coroutine[tuple[int, bytes, str] | None]:
+        """The status, body and content type of a response; None if the neighbour disconnected."""
+        request = RouteRequest(target)
+        if request.error:
+            return request.status, f"{request.error}\n".encode(), "text/plain"
+        rejection = self._rejection_reason(request.site, sock)
+        if rejection:
+            say(PARTNERS_TURNED, site=request.site if request.site.isprintable() else "", why=rejection)
+            return 403, f"{rejection}\n".encode(), "text/plain"
+        until = self.loop.now() + request.wait
+        unavailable_since: int | None = None
         while True:
-            now, why = self.loop.now(), self.shown.why_not(asked.site, asked.after)
-            offer = self.shown.offers.get(asked.site)
-            if not why and offer is not None and (now >= until or offer.news(asked.after)):
-                return 200, offer.answer(asked.after, asked.to), "application/json"
-            not_now_at = (not_now_at or now) if why else None
-            if not_now_at is not None and now >= not_now_at + min(NOT_NOW_FOR, max(asked.wait, NOT_NOW_FOR // 4)):
-                say(PARTNERS_TURNED, site=asked.site, why=why)
-                return 503, f"not now: {why}\n".encode(), "text/plain"
-            events = yield from self._wait(sock, asked.site, until if not_now_at is None else now + 50 * MS, more)
+            now, reason = self.loop.now(), self.offers.rejection_reason(request.site, request.after)
+            offer = self.offers.offers.get(request.site)
+            if not reason and offer is not None and (now >= until or offer.has_changes(request.after)):
+                return 200, offer.response(request.after, request.to), "application/json"
+            unavailable_since = (unavailable_since or now) if reason else None
+            if unavailable_since is not None and now >= unavailable_since + min(
+                UNAVAILABLE_WAIT, max(request.wait, UNAVAILABLE_WAIT // 4)
+            ):
+                say(PARTNERS_TURNED, site=request.site, why=reason)
+                return 503, f"not now: {reason}\n".encode(), "text/plain"
+            events = yield from self._wait_for_change(
+                sock, request.site, until if unavailable_since is None else now + RECHECK_INTERVAL, has_further_request
+            )
             if events not in (0, WOKEN):
                 return None
 
-    def _wait(self, sock: socket.socket, to: str, until: int, more: bool) -> Coroutine[int]:
-        """For news, or for the neighbour to go: then it is no use to go on. What has come behind the call can wait."""
-        waiting, task = self.waiting.setdefault(to, set()), self.callers[sock]
+    def _wait_for_change(self, sock: socket.socket, to: str, until: int, has_further_request: bool) -> Coroutine[int]:
+        """Waits for changes, or for the neighbour to disconnect. A further request that was already received stays in
+        the buffer."""
+        waiting, task = self.waiting.setdefault(to, set()), self.connections[sock]
         waiting.add(task)
         try:
-            return (yield Wait(None if more else sock, 0 if more else READABLE, until))
+            return (yield Wait(None if has_further_request else sock, 0 if has_further_request else READABLE, until))
         finally:
             waiting.discard(task)
 
-    def _turned(self, site: str, sock: socket.socket) -> str:
-        """Why it is not answered, whatever there is; empty: it is."""
+    def _rejection_reason(self, site: str, sock: socket.socket) -> str:
+        """The reason for a 403; empty if the neighbour may ask."""
         neighbour = self.neighbours.get(site)
         if neighbour is None:
             return "no neighbour of that name"
@@ -207,8 +226,9 @@
             return f"{address} is none of its addresses"
         return ""
 
-    def know(self, neighbours: Mapping[str, Neighbour]) -> None:
+    def set_neighbours(self, neighbours: Mapping[str, Neighbour]) -> None:
+        """Replaces the configured neighbours."""
         self.neighbours = neighbours
         for to in [to for to in self.waiting if to not in self.neighbours]:
-            self.changed(to)
+            self.wake_waiting(to)
             del self.waiting[to]
--- a/loftweir/partners/oracle.py
+++ b/loftweir/partners/oracle.py
@@ -1,13 +1,16 @@
-"""The judge of the fifth rule: a route is never used by, or shown to, a site that its terms exclude, over any path,
-order, restart or partition, beyond a stated bound after the terms were told. Pure.
+"""Checks that terms are kept: a route is never used by, or shown to, a site that its terms exclude.
 
-It reads only what happened: which terms were told at which site and when, what was used and what was shown. The bound
-is `hop` for each site on the way: a site holds what its partner last said for its hold time and the time of being stale
-at the most, and passes on only what is fresh. So an act is right if, for each site on the route's path, some terms that
-held there within so many hops before the act allow it; `until` is judged at the moment of the act, with no bound.
+This has to hold over any path, order of messages, restart or partition, within a stated bound after the terms were
+declared. Pure: no I/O and no clock.
 
-A site that does not keep to the terms is not judged itself. What came by way of one may be as old as it likes, since no
-one beyond it can tell: there the act must be right by some terms that were ever told.
+The oracle reads only what happened: which terms were declared at which site and when, which routes were used and shown.
+The bound is `hop` for each site on the path: a site stores what its partner last sent for at most its hold time and the
+time in the stale state, and passes on only what is fresh. So an action is correct if, for each site on the route's
+path, some terms that were valid there within as many hops before the action allow it. `until` is checked at the time of
+the action, without a bound.
+
+A site that ignores terms is not checked itself. What came by way of such a site can be arbitrarily old, since no site
+after it can detect that: then the action has to be allowed by some terms that were ever declared.
 """
 
 from __future__ import annotations
@@ -16,17 +19,19 @@
 
 from loftweir.partners.terms import OPEN, Terms
 
-ALWAYS = 1 << 80
+UNBOUNDED = 1 << 80
 
 
 class Breach(NamedTuple):
+    """An action that the terms of a site on the path exclude."""
+
     at: int
-    act: str  # used, shown
-    site: str  # who did it
-    to: str  # whom it was shown; used: itself
+    act: str  # "used" or "shown"
+    site: str  # the site that used or showed the route
+    to: str  # the site that was shown the route; the same as `site` if it was used
     service: str
     path: tuple[str, ...]
-    by: str  # the site whose terms exclude it
+    by: str  # the site whose terms exclude the action
 
     def __str__(self) -> str:
         way = " ".join(self.path)
@@ -34,27 +39,29 @@
 
 
 class Oracle:
+    """Collects declared terms and checks each use and each showing of a route against them."""
+
     def __init__(self, hop: int, dishonest: frozenset[str] = frozenset()) -> None:
-        """`hop`: the bound for each site on the way, ns."""
+        """`hop`: the bound for each site on the path, in ns."""
         self.hop, self.dishonest = hop, dishonest
-        self.words: dict[tuple[str, str], list[tuple[int, Terms]]] = {}  # by site and service, in order of time
+        self.declared: dict[tuple[str, str], list[tuple[int, Terms]]] = {}  # by site and service, in the order of time
         self.breaches: list[Breach] = []
         self.acts = 0
 
-    def told(self, at: int, site: str, service: str, terms: Terms) -> None:
-        """From now on these are the terms of the service at its own site, or this site's word on passing it on. What
-        is withdrawn has closed terms."""
-        self.words.setdefault((site, service), []).append((at, terms))
+    def declare(self, at: int, site: str, service: str, terms: Terms) -> None:
+        """Records terms that are valid from now on: those of the service at its own site, or the restriction of a site
+        that passes it on. A withdrawn service has closed terms."""
+        self.declared.setdefault((site, service), []).append((at, terms))
 
     def used(self, at: int, site: str, service: str, path: tuple[str, ...]) -> None:
-        """`path`: as `site` holds the route, its own site last."""
-        self._judge(Breach(at, "used", site, site, service, path, ""), path)
+        """Checks the use of a route. `path`: as `site` received it, the route's own site last."""
+        self._check(Breach(at, "used", site, site, service, path, ""), path)
 
     def shown(self, at: int, by: str, to: str, service: str, path: tuple[str, ...]) -> None:
-        """`path`: as `by` shows the route: `by` first, its own site last."""
-        self._judge(Breach(at, "shown", by, to, service, path, ""), path)
+        """Checks the showing of a route. `path`: as `by` shows it, with `by` first and the route's own site last."""
+        self._check(Breach(at, "shown", by, to, service, path, ""), path)
 
-    def _judge(self, act: Breach, path: tuple[str, ...]) -> None:
+    def _check(self, act: Breach, path: tuple[str, ...]) -> None:
         if act.site in self.dishonest:
             return
         self.acts += 1
@@ -62,19 +69,19 @@
         bound = 0
         for number, site in enumerate(path):
             if site in self.dishonest:
-                bound = ALWAYS
+                bound = UNBOUNDED
             own = number == len(path) - 1
-            held = self._within(act, site, own, bound + hops * self.hop)
-            if not any(self._allows(terms, act, own) for terms in held):
+            valid = self._valid_terms(act, site, own, bound + hops * self.hop)
+            if not any(self._allows(terms, act, own) for terms in valid):
                 self.breaches.append(act._replace(by=site))
                 return
             hops += 1
 
-    def _within(self, act: Breach, site: str, own: bool, bound: int) -> list[Terms]:
-        """The terms that held at a site at some time of the bound before the act."""
-        words = self.words.get((site, act.service), [])
-        found = [] if own else [OPEN]  # a passer that has said nothing
-        for at, terms in words:
+    def _valid_terms(self, act: Breach, site: str, own: bool, bound: int) -> list[Terms]:
+        """The terms that were valid at a site at some time within the bound before the action."""
+        declared = self.declared.get((site, act.service), [])
+        found = [] if own else [OPEN]  # a site without a restriction passes on everything
+        for at, terms in declared:
             if at <= act.at - bound:
                 found = []
             if at <= act.at:
@@ -85,7 +92,7 @@
         if terms.unknown or act.at >= terms.until:
             return False
         sites = terms.use if act.act == "used" else terms.show
-        if not sites.has(act.to):
+        if not sites.contains(act.to):
             return False
-        # How often it has been passed on, to be where it is.
+        # The number of sites that passed the route on so far.
         return not own or len(act.path) - 1 <= terms.passes
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -1,7 +1,8 @@
-"""This sidecar's part among the partners: it knows what the copies hold of them, uses and shows by that, asks some.
+"""This sidecar's partners: reads their tables from the replicated state, uses and shows routes, and requests some
+tables.
 
-The one module that `sidecar` imports of the partners, and only where the operator's file names a site. Everything
-decided here follows from the copies, the file and the time: `Merger` decides, on every sidecar alike.
+The only module of the package that `sidecar` imports, and only if the operator's file names a site. All decisions
+follow from the replicated state, the file and the time, by a `Merger` that decides alike on every sidecar.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.operations.calls import Call, No
 from loftweir.partners.file import PartnersConfig
-from loftweir.partners.link import Link, keys_of, limits, timing
-from loftweir.partners.merge import Changed, Merged, Merger, Policy, Reason, Standing
+from loftweir.partners.link import PartnerClient, limits, stored_keys, timing
+from loftweir.partners.merge import Freshness, MergeChanges, Merger, MergeResult, Policy, Reason
 from loftweir.partners.offer import Listener
-from loftweir.partners.replicated_table import HEAD, NotReadable, Shelf
+from loftweir.partners.replicated_table import HEAD, NotReadable, TableReader
 from loftweir.partners.shown import DUTY as OFFERS
-from loftweir.partners.shown import Shown
-from loftweir.partners.standby import Standby, counted, gates, unfit
+from loftweir.partners.shown import NeighbourOffers
+from loftweir.partners.standby import Standby, border_providers, format_counts, unusable_reason
 from loftweir.partners.terms import FOREVER
 from loftweir.replication.caller import Caller
 from loftweir.replication.machine import Machine
@@ -38,32 +39,36 @@
 )
 from loftweir.telemetry.log import say
 
-APART = 150 * MS  # from the first voter that asks for a free lease to the next: each partner has its own order of them
-DRAINS_FOR = SECOND  # past the longest deadline, that a partner's providers drain
-CLEARED_WITHIN = SECOND
-OWN = 8  # descriptors: two callers, and what is between one and the next
-SPARE = 16  # ... for neighbours that a reload adds
+# ns between the bids of two members for a free lease; the order of members differs for each partner
+BID_INTERVAL = 150 * MS
+DRAIN_MARGIN = SECOND  # ns beyond the longest deadline that a partner's providers drain
+CLEAR_TIMEOUT = SECOND
+OWN_DESCRIPTORS = 8  # two cluster clients, and the sockets between a closed and a new connection
+SPARE_NEIGHBOURS = 16  # for neighbours that a reload adds
 
-Told = Callable[[MembershipUpdate, dict[str, str]], None]
+NotifyBalancer = Callable[[MembershipUpdate, dict[str, str]], None]
 
 
 def descriptors(options: PartnersOptions, sites: PartnersConfig) -> int:
-    """How many of the sidecar's descriptors the partners may take."""
+    """The greatest number of descriptors that partners use in this sidecar."""
     listens = options.callers + 2 if options.listen else 0
-    return OWN + 2 * (len(sites.neighbours) + SPARE) + listens
+    return OWN_DESCRIPTORS + 2 * (len(sites.neighbours) + SPARE_NEIGHBOURS) + listens
 
 
 class Catalog(Protocol):
-    """The services at work, where the operator's file names some: by their routes, in place of `standby`."""
+    """The catalog of services, if the operator's file names one: it uses the routes in place of `standby`."""
 
-    def routed(self, merged: Merged) -> None: ...
+    def routed(self, merged: MergeResult) -> None: ...
 
     def claimed(self, claims: Any) -> None: ...
 
 
 class Partners:
-    """Invariants: `merger` has been told what each shelf has at this moment; the balancer has been told what follows
-    from it (`standby`), and the neighbours are shown what does (`shown`)."""
+    """Connects the tables in the replicated state with the balancer and the neighbours.
+
+    Invariants: `merger` has the current state of each reader; the balancer has been notified of the resulting providers
+    (`standby`), and the neighbours are shown the resulting routes (`shown`).
+    """
 
     def __init__(
         self,
@@ -72,7 +77,7 @@
         options: Options,
         sites: PartnersConfig,
         fleet: Part,
-        told: Told,
+        notify_balancer: NotifyBalancer,
         settings: Callable[[], Settings],
     ) -> None:
         self.loop = loop
@@ -84,27 +89,27 @@
         self.timing = timing(self.options, self.options.hold)
         self.sites = sites
         self.fleet = fleet
-        self.told = told
+        self.notify_balancer = notify_balancer
         self.settings = settings
         self.seats = seats(options.replication.members)
         id = secrets.token_hex(8)
         self.callers = tuple(
             Caller(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
         )
-        self.shelves: dict[str, Shelf] = {}
-        self.links: dict[str, Link] = {}
+        self.readers: dict[str, TableReader] = {}
+        self.clients: dict[str, PartnerClient] = {}
         self.duties: dict[str, Duty] = {}
         self.merger = Merger(self._policy())
         self.standby = Standby()
-        self.why_not = "no route"  # why a route that is used is not good enough for this sidecar
+        self.unusable = "no route"  # why this sidecar can't use the route
         self.listener: Listener | None = None
-        self.shown = Shown(loop, options, fleet, lambda: self.merger, self._changed)
-        self.task: Task | None = None  # which follows the time
+        self.shown = NeighbourOffers(loop, options, fleet, lambda: self.merger, self._wake_neighbour)
+        self.task: Task | None = None  # advances the merger with time
         self.wakes_at = 0
-        self.leaves = False
+        self.leaving = False
         if options.partners.listen:
             self.listener = Listener(loop, self.shown, options.partners.callers)
-        fleet.heard.append(self._heard)
+        fleet.heard.append(self._on_state_change)
 
     def _policy(self) -> Policy:
         neighbours = self.sites.neighbours.values()
@@ -117,9 +122,10 @@
             limits=limits(self.options),
         )
 
-    # ---- begin and end --------------------------------------------------------------------------
+    # ---- start and end ---------------------------------------------------------------------------
 
     def start(self) -> None:
+        """Starts to listen, to bid for leases and to read."""
         if self.listener is not None:
             self.listener.listen(self.options.listen)
             if self.name in self.seats:
@@ -128,66 +134,68 @@
         self.task = self.loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(SECOND, self._again)
+        self.loop.after(SECOND, self._restart)
 
-    def _again(self) -> None:
-        if not self.leaves:
+    def _restart(self) -> None:
+        if not self.leaving:
             self.task = self.loop.spawn(self._run(), self._crashed)
 
     def use(self, sites: PartnersConfig) -> None:
-        """These are the neighbours and own routes from now on."""
+        """Replaces the neighbours and this site's own routes."""
         self.sites = sites
-        for name in self.shelves.keys() - sites.neighbours.keys():
+        for name in self.readers.keys() - sites.neighbours.keys():
             self._forget(name)
         for name, neighbour in sites.neighbours.items():
-            shelf = self.shelves.setdefault(name, Shelf(f"partner:{name}"))
-            link = self.links.get(name)
-            if link is not None:
-                link.neighbour = neighbour
+            reader = self.readers.setdefault(name, TableReader(f"partner:{name}"))
+            client = self.clients.get(name)
+            if client is not None:
+                client.neighbour = neighbour
             elif self.name in self.seats:
-                link = self.links[name] = Link(self.loop, self.site, neighbour, self.options, self.fleet, shelf)
-                duty = self.duties[name] = self._duty(shelf.duty, link.begin, link.end)
-                link.serve(duty)
+                client = self.clients[name] = PartnerClient(
+                    self.loop, self.site, neighbour, self.options, self.fleet, reader
+                )
+                duty = self.duties[name] = self._duty(reader.duty, client.begin, client.end)
+                client.attach(duty)
             if name in self.duties:
-                self.duties[name].want(bool(neighbour.addresses) and not self.leaves)
-        self.merger = Merger(self._policy(), self.loop.now(), self.merger.helds)
+                self.duties[name].want(bool(neighbour.addresses) and not self.leaving)
+        self.merger = Merger(self._policy(), self.loop.now(), self.merger.partner_states)
         if self.listener is not None:
-            self.listener.know(sites.neighbours)
+            self.listener.set_neighbours(sites.neighbours)
         self.shown.neighbours(sites.neighbours)
-        self.shown.again(sites.neighbours)
-        self._lay()
+        self.shown.refresh(sites.neighbours)
+        self._update_standby()
         if self.catalog is not None:
             self.catalog.routed(self.merger.merged)
         if self.fleet.machine is not None:
-            self._heard(self.fleet.machine)
+            self._on_state_change(self.fleet.machine)
 
     def _forget(self, name: str) -> None:
-        del self.shelves[name]
-        self.merger.drop(name, self.loop.now())
+        del self.readers[name]
+        self.merger.remove_partner(name, self.loop.now())
         if name in self.duties:
             duty = self.duties.pop(name)
-            del self.links[name]
+            del self.clients[name]
             self.loop.spawn(self._clear(duty))
 
     def _clear(self, duty: Duty) -> Coroutine[None]:
-        """What the copies have of one that is no neighbour any more goes, if this sidecar held its lease."""
-        until = self.loop.now() + CLEARED_WITHIN
+        """Deletes the replicated table of a former neighbour, if this sidecar has its lease, and closes the lease."""
+        until = self.loop.now() + CLEAR_TIMEOUT
         machine = self.fleet.machine
         try:
             if machine is not None and duty.may_act() is not None:
-                for key in sorted(keys_of(machine.facts, duty.duty), key=lambda key: key != HEAD):
+                for key in sorted(stored_keys(machine.facts, duty.duty), key=lambda key: key != HEAD):
                     yield from duty.put(key, b"", max(MS, until - self.loop.now()))
-        except Exception:  # whatever is left there is of nobody's, and bounded
+        except Exception:  # what is left has a bounded size and is not used
             pass
         duty.want(False)
-        yield Wait(None, 0, self.loop.now() + CLEARED_WITHIN)
+        yield Wait(None, 0, self.loop.now() + CLEAR_TIMEOUT)
         duty.close()
 
     def _duty(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> Duty:
-        orders, facts = self.callers
+        commands, reads = self.callers
         order = sorted(self.seats, key=lambda seat: blake2b(f"{seat} {name}".encode()).digest())
-        apart = APART * order.index(self.name)
-        duty = Duty(self.loop, self.name, name, self.options.lease, (orders, facts), begin, end, apart)
+        bid_delay = BID_INTERVAL * order.index(self.name)
+        duty = Duty(self.loop, self.name, name, self.options.lease, (commands, reads), begin, end, bid_delay)
         duty.want(True)
         return duty
 
@@ -195,161 +203,168 @@
         return [*self.duties.values(), *([self.shown.duty] if self.shown.duty is not None else [])]
 
     def leave(self) -> None:
-        """The process is about to end: leases are released, so that others go on at once, and the address is free for
-        the next process. What is known here holds on."""
-        self.leaves = True
+        """Prepares for the end of the process: releases the leases, so that others can take them at once, and frees the
+        address for the next process. The tables known here stay in use."""
+        self.leaving = True
         for duty in self._all_duties():
             duty.want(False)
         if self.listener is not None:
             self.listener.close()
 
     def close(self) -> None:
-        self.leaves = True
+        """Ends all work and closes all connections."""
+        self.leaving = True
         for duty in self._all_duties():
             duty.close()
-        for link in self.links.values():
-            link.close()
+        for client in self.clients.values():
+            client.close()
         self.shown.end()
         if self.task is not None:
             self.task.cancel()
         for caller in self.callers:
             caller.close()
 
-    # ---- what holds -----------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------
 
-    def _heard(self, machine: Machine) -> None:
-        """The copies have something else than before."""
+    def _on_state_change(self, machine: Machine) -> None:
+        """Reads what changed in the replicated state."""
         now = self.loop.now()
-        for name, shelf in self.shelves.items():
+        for name, reader in self.readers.items():
             try:
-                if not shelf.read(machine.facts, now):
+                if not reader.read(machine.facts, now):
                     continue
             except NotReadable as error:
                 say(PARTNERS_NOT_READ, partner=name, why=error)
-            self._hold(name, now)
+            self._update_partner(name, now)
         if self.catalog is not None:
             self.catalog.claimed(machine.claims)
         if self.listener is not None:
-            self.shown.heard(machine, self.shelves)
+            self.shown.on_state_change(machine, self.readers)
         for duty in self._all_duties():
             duty.saw(machine)
 
-    def _hold(self, name: str, now: int) -> None:
-        before, shelf = self.merger.helds.get(name), self.shelves[name]
-        held = shelf.held(now, self.timing)
-        changed = self.merger.hold(name, held, now)
-        # A confirmation alone puts off what is due: the task finds out when that was to be.
-        if self.task is not None and min(shelf.changes_at(now, self.timing), self.merger.next_at) < self.wakes_at:
+    def _update_partner(self, name: str, now: int) -> None:
+        before, reader = self.merger.partner_states.get(name), self.readers[name]
+        state = reader.partner_state(now, self.timing)
+        changed = self.merger.update_partner(name, state, now)
+        # A confirmation alone only delays the next change; the task finds that out when it wakes.
+        if self.task is not None and min(reader.next_change_at(now, self.timing), self.merger.next_at) < self.wakes_at:
             self.task.wake()
-        if before is None or before.standing is not held.standing or before.table is not held.table:
-            table, left = held.table, self.merger.merged.left
+        if before is None or before.freshness is not state.freshness or before.table is not state.table:
+            table, left = state.table, self.merger.merged.left
             used = sum(one.partner == name for one in self.merger.merged.used.values())
-            epoch, index = table.mark if table is not None else (0, 0)
-            standing, routes = held.standing.value, len(table.routes) if table is not None else 0
-            say(PARTNERS_HELD, partner=name, standing=standing, epoch=epoch, index=index, routes=routes, used=used)
+            epoch, index = table.position if table is not None else (0, 0)
+            freshness, routes = state.freshness.value, len(table.routes) if table is not None else 0
+            say(PARTNERS_HELD, partner=name, standing=freshness, epoch=epoch, index=index, routes=routes, used=used)
             for service in table.routes if table is not None else ():
-                why = left.get(service, {}).get(name)
-                if why is not None and why.reason is Reason.LEAKED:
-                    say(PARTNERS_LEAKED, partner=name, service=service, by=why.who)
-        self._after(changed)
+                unused = left.get(service, {}).get(name)
+                if unused is not None and unused.reason is Reason.LEAKED:
+                    say(PARTNERS_LEAKED, partner=name, service=service, by=unused.who)
+        self._apply_changes(changed)
 
-    def _after(self, changed: Changed) -> None:
+    def _apply_changes(self, changed: MergeChanges) -> None:
         if self.service in changed.used:
-            self._lay()
+            self._update_standby()
         if changed.shown:
-            self.shown.again(changed.shown)
-        if self.catalog is not None:  # why a route is left may be another though none is used
+            self.shown.refresh(changed.shown)
+        if self.catalog is not None:  # the reason why a route is unused may change although no used route did
             self.catalog.routed(self.merger.merged)
 
     def _run(self) -> Coroutine[None]:
-        """Time runs on without news: what was not confirmed goes stale, then away; terms come to their end."""
+        """Advances with time: partners whose table was not confirmed become stale, then gone, and terms expire."""
         while True:
             now = self.loop.now()
-            for name, shelf in self.shelves.items():
-                held = self.merger.helds.get(name)
-                standing = shelf.held(now, self.timing).standing
-                if standing is not (held.standing if held is not None else Standing.GONE):
-                    self._hold(name, now)
-            self._after(self.merger.advance(now))
-            changes = (shelf.changes_at(now, self.timing) for shelf in self.shelves.values())
+            for name, reader in self.readers.items():
+                state = self.merger.partner_states.get(name)
+                freshness = reader.partner_state(now, self.timing).freshness
+                if freshness is not (state.freshness if state is not None else Freshness.GONE):
+                    self._update_partner(name, now)
+            self._apply_changes(self.merger.advance(now))
+            changes = (reader.next_change_at(now, self.timing) for reader in self.readers.values())
             at = min([self.merger.next_at, *changes])
             self.wakes_at = at
             yield Wait(None, 0, None if at >= FOREVER else max(at, now + MS))
 
-    def _changed(self, to: str) -> None:
+    def _wake_neighbour(self, to: str) -> None:
         if self.listener is not None:
-            self.listener.changed(to)
+            self.listener.wake_waiting(to)
 
-    # ---- use ------------------------------------------------------------------------------------
+    # ---- use of partners' providers --------------------------------------------------------------
 
     def with_partner_providers(
         self, update: MembershipUpdate, addresses: dict[str, str]
     ) -> tuple[MembershipUpdate, dict[str, str]]:
-        """What the balancer is told in place of a word on this site's own providers."""
+        """The update for the balancer that results from one of this site's own providers."""
         needed = self.standby.needed
-        told = self.standby.update(update, addresses)
+        combined = self.standby.update(update, addresses)
         if needed is not self.standby.needed:
-            self._say_standby()
-        self._let_drain()
-        return told
+            self._log_standby()
+        self._schedule_drain_end()
+        return combined
 
-    def _lay(self) -> None:
+    def _update_standby(self) -> None:
         used = self.merger.merged.used.get(self.service)
-        before, self.why_not = (self.why_not, self.standby.offered.keys()), "no route"
+        before, self.unusable = (self.unusable, self.standby.offered.keys()), "no route"
         offered = {}
         if used is not None:
             neighbour = self.sites.neighbours.get(used.partner)
-            self.why_not = unfit(used, self.settings(), neighbour is not None and neighbour.shares_keys)
-            if not self.why_not:
-                offered = gates(used, self.merger.helds[used.partner].back_at)
-        told = self.standby.use(offered)
-        if before != (self.why_not, offered.keys()):
-            self._say_standby()
-        if told is not None:
-            self.told(*told)
-        self._let_drain()
-
-    def _say_standby(self) -> None:
+            self.unusable = unusable_reason(used, self.settings(), neighbour is not None and neighbour.shares_keys)
+            if not self.unusable:
+                offered = border_providers(used, self.merger.partner_states[used.partner].back_at)
+        update = self.standby.use(offered)
+        if before != (self.unusable, offered.keys()):
+            self._log_standby()
+        if update is not None:
+            self.notify_balancer(*update)
+        self._schedule_drain_end()
+
+    def _log_standby(self) -> None:
         if self.service:
-            say(PARTNERS_STANDBY, service=self.service, state=self._state(), providers=sorted(self.standby.offered))
-
-    def _state(self) -> str:
+            say(
+                PARTNERS_STANDBY,
+                service=self.service,
+                state=self._standby_state(),
+                providers=sorted(self.standby.offered),
+            )
+
+    def _standby_state(self) -> str:
         if not self.service:
             return "off"
-        if self.why_not:
-            return f"no: {self.why_not}"
+        if self.unusable:
+            return f"no: {self.unusable}"
         return "used" if self.standby.needed else "ready"
 
-    def _let_drain(self) -> None:
-        if self.standby.drains:
+    def _schedule_drain_end(self) -> None:
+        if self.standby.draining:
             longest = max(c.deadline for c in self.settings().classes.values())
-            self.loop.after(longest + DRAINS_FOR, self._drained)
+            self.loop.after(longest + DRAIN_MARGIN, self._end_drain)
 
-    def _drained(self) -> None:
-        told = self.standby.over()
-        if told is not None:
-            self.told(*told)
+    def _end_drain(self) -> None:
+        update = self.standby.end_drain()
+        if update is not None:
+            self.notify_balancer(*update)
 
-    # ---- operators' calls -----------------------------------------------------------------------
+    # ---- operators' commands ---------------------------------------------------------------------
 
     def do(self, call: Call) -> str:
-        return self._one(call.id.lower()) if call.id else self._all()
+        """Answers the ROUTES command: a summary, or the details of one service."""
+        return self._service_details(call.id.lower()) if call.id else self._summary()
 
-    def _all(self) -> str:
-        merged, helds = self.merger.merged, self.merger.helds
-        left = counted(why.reason.name.lower() for whys in merged.left.values() for why in whys.values())
+    def _summary(self) -> str:
+        merged, partner_states = self.merger.merged, self.merger.partner_states
+        left = format_counts(unused.reason.name.lower() for by in merged.left.values() for unused in by.values())
         shown = ",".join(f"{to}:{len(routes)}" for to, routes in sorted(merged.shown.items())) or "-"
-        gone = Standing.GONE
         partners = ",".join(
-            f"{name}:{helds[name].standing.value if name in helds else gone.value}" for name in sorted(self.shelves)
+            f"{name}:{partner_states[name].freshness.value if name in partner_states else Freshness.GONE.value}"
+            for name in sorted(self.readers)
         )
         asks = ",".join(sorted(name for name, duty in self.duties.items() if duty.may_act() is not None)) or "-"
         return (
             f"used={len(merged.used)} own={len(self.sites.routes)} left={left} shown={shown} "
-            f"partners={partners or '-'} asks={asks} standby={self._state()}"
+            f"partners={partners or '-'} asks={asks} standby={self._standby_state()}"
         )
 
-    def _one(self, service: str) -> str:
+    def _service_details(self, service: str) -> str:
         merged = self.merger.merged
         used, left = merged.used.get(service), merged.left.get(service, {})
         if used is None and not left and service not in self.sites.routes:
@@ -358,6 +373,6 @@
         by, path, providers = ("-", "-", 0)
         if used is not None:
             by, path, providers = used.partner, ",".join(used.route.path), len(used.route.providers)
-        whys = "; ".join(f"{name}: {why}" for name, why in sorted(left.items())) or "-"
-        standby = f" standby={self._state()}" if service == self.service else ""
-        return f"used={by} path={path} providers={providers} shown={shown}{standby} left={whys}"
+        reasons = "; ".join(f"{name}: {unused}" for name, unused in sorted(left.items())) or "-"
+        standby = f" standby={self._standby_state()}" if service == self.service else ""
+        return f"used={by} path={path} providers={providers} shown={shown}{standby} left={reasons}"
--- a/loftweir/partners/replicated_table.py
+++ b/loftweir/partners/replicated_table.py
@@ -1,16 +1,19 @@
-"""A table in the copies: chunks, each under a key made of its content, and one small head that names them. Pure.
+"""The form of a route table in the replicated state: chunks under content-addressed keys, and one small head naming
+them.
 
-The head is written last and its chunks before it, and a chunk goes only once a later head does not name it. So at every
-index of the log the head's chunks are all there: a table is visible whole or not at all, whoever was killed in between.
-What a holder that was killed left behind is a chunk that no head names; the next holder uses it, as the same content
-has the same key, or takes it away.
+Pure: no I/O and no clock.
 
-Routes are cut in the order of a hash of their names, behind each name whose hash ends in `ENDS`, or where a chunk is
-full: what changes is so one chunk, wherever in the table a route is told or withdrawn (Muthitacharoen, Chen and
-Mazieres, "A Low-bandwidth Network File System", 2001, section 3.1, cut files by their content for the same reason).
+The chunks are written before the head, and a chunk is deleted only when a later head no longer names it. So all chunks
+of the head exist at every index of the log: a table is visible as a whole or not at all, whichever sidecar was killed
+in between. A lease holder that was killed may leave chunks behind that no head names. The next holder reuses them,
+because the same content has the same key, or deletes them.
 
-Time runs on without news. What the copies say of a partner is when it last answered (`confirmed_at`); whether that is
-fresh, stale or away follows from it on each sidecar's own clock (`Shelf.held`), also on one that is cut off.
+Routes are ordered by a hash of their names. A chunk ends after each name whose hash ends in `BOUNDARY_MASK`, or where
+it is full. So a change concerns one chunk, wherever in the table a route is added or withdrawn (Muthitacharoen, Chen
+and Mazieres, "A Low-bandwidth Network File System", 2001, section 3.1, split files by content for the same reason).
+
+The replicated state has the time of a partner's last valid response (`confirmed_at`). Each sidecar derives from it by
+its own clock whether the table is fresh, stale or gone (`TableReader.partner_state`), also while it is cut off.
 """
 
 from __future__ import annotations
@@ -22,46 +25,49 @@
 import msgspec
 
 from loftweir.errors import LoftweirError
-from loftweir.partners.merge import Held, Standing
-from loftweir.partners.session import Timing, aged
-from loftweir.partners.table import MASK, Route, Table
+from loftweir.partners.merge import Freshness, PartnerState
+from loftweir.partners.session import Timing, aged_state
+from loftweir.partners.table import CHECKSUM_MASK, Route, Table
 from loftweir.partners.terms import FOREVER
 from loftweir.replication.machine import Fact
 
-VERSION = 1  # of head and chunks
-HEAD, NOTE, CHUNK = "head", "note", "c:"
-ENDS = 31  # a mask: one name in 32 is the last of its chunk
-FULL = 256 * 1024  # bytes of a chunk, behind which it is cut wherever that is
+VERSION = 1  # format of the head and of chunks
+HEAD = "head"
+NOTE = "note"
+CHUNK = "c:"  # prefix of the keys of chunks
+BOUNDARY_MASK = 31  # a chunk ends at names whose hash has all of these bits set: one in 32
+MAX_CHUNK_BYTES = 256 * 1024  # a chunk of at least this many bytes ends, whatever the hash
 
-Facts = Mapping[tuple[str, str], Fact]
+Facts = Mapping[tuple[str, str], Fact]  # by the lease's name and the key
 
 
 class NotReadable(LoftweirError):
-    """What the copies hold of a partner is not in this version's form, or not whole: nothing of it is used here."""
+    """The replicated table of a partner is not in the format of this version, or not complete: nothing of it is used
+    here."""
 
-    remedy = "Run one version of the program in the site; the sidecar that asks the partner writes it anew."
+    remedy = "Run one version of the program in the site; the sidecar that asks the partner writes the table again."
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """A route in a chunk."""
 
     service: str
-    sum: int  # of the bytes in which the partner told it
+    sum: int  # checksum of the bytes in which the partner sent the route
     route: Route
 
 
 class Head(msgspec.Struct, frozen=True):
-    """What is held of a partner, or offered to a neighbour."""
+    """Describes the stored table of a partner, or the table offered to a neighbour."""
 
     version: int = VERSION
-    chunks: tuple[str, ...] = ()
-    routes: int = 0
-    table: tuple[str, int, int] | None = None  # of a partner: its site, epoch and index; None: nothing is held
-    confirmed_at: int = 0  # Unix time, ns; the note has it as well, and the later one holds
-    back_at: int = 0
+    chunks: tuple[str, ...] = ()  # keys
+    routes: int = 0  # number of routes in all chunks
+    table: tuple[str, int, int] | None = None  # of a partner: its site, epoch and index; None: no table is stored
+    confirmed_at: int = 0  # Unix time in ns; also in the note, and the later one counts
+    back_at: int = 0  # Unix time in ns of the partner's last return
     damped: bool = False
-    penalty: float = 0.0
-    penalty_at: int = 0
+    penalty: float = 0.0  # of route flap damping, as of `penalty_at`
+    penalty_at: int = 0  # Unix time in ns
 
 
 class _Version(msgspec.Struct):
@@ -69,126 +75,134 @@
 
 
 _encode = msgspec.msgpack.Encoder(order="deterministic").encode
-_heads, _rows = msgspec.msgpack.Decoder(Head), msgspec.msgpack.Decoder(list[Row])
-_versions, _times = msgspec.msgpack.Decoder(_Version), msgspec.msgpack.Decoder(int)
+_head_decoder = msgspec.msgpack.Decoder(Head)
+_rows_decoder = msgspec.msgpack.Decoder(list[Row])
+_version_decoder = msgspec.msgpack.Decoder(_Version)
+_time_decoder = msgspec.msgpack.Decoder(int)
 
 
-def written(head: Head) -> bytes:
+def encode_head(head: Head) -> bytes:
+    """The msgpack form of a head."""
     return _encode(head)
 
 
-def note(confirmed_at: int) -> bytes:
+def encode_note(confirmed_at: int) -> bytes:
+    """The msgpack form of a note: the Unix time in ns of the partner's last valid response."""
     return _encode(confirmed_at)
 
 
-class Cutter:
-    """Routes to chunks. What was encoded once is not encoded again: a route that is the same object is the same."""
+class Chunker:
+    """Splits routes into chunks. Routes that are the same object as before are not encoded again."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[Route, int, bytes]] = {}
 
-    def cut(self, routes: Mapping[str, Route], sums: Mapping[str, int]) -> dict[str, bytes]:
-        """By key, in the order of the head."""
+    def split(self, routes: Mapping[str, Route], sums: Mapping[str, int]) -> dict[str, bytes]:
+        """The chunks by key, in the order of the head."""
         before, self.rows = self.rows, {}
         for service, route in routes.items():
-            known, total = before.get(service), sums.get(service, 0)
-            if known is None or known[0] is not route or known[1] != total:
-                known = route, total, _encode(Row(service, total, route))
-            self.rows[service] = known
+            encoded, checksum = before.get(service), sums.get(service, 0)
+            if encoded is None or encoded[0] is not route or encoded[1] != checksum:
+                encoded = route, checksum, _encode(Row(service, checksum, route))
+            self.rows[service] = encoded
         chunks: dict[str, bytes] = {}
-        part: list[bytes] = []
+        chunk: list[bytes] = []
         size = 0
-        for place, service in sorted((crc32(name.encode()), name) for name in self.rows):
+        for name_hash, service in sorted((crc32(name.encode()), name) for name in self.rows):
             row = self.rows[service][2]
-            part.append(row)
+            chunk.append(row)
             size += len(row)
-            if place & ENDS == ENDS or size >= FULL:
-                _close(part, chunks)
-                part, size = [], 0
-        if part:
-            _close(part, chunks)
+            if name_hash & BOUNDARY_MASK == BOUNDARY_MASK or size >= MAX_CHUNK_BYTES:
+                _add_chunk(chunk, chunks)
+                chunk, size = [], 0
+        if chunk:
+            _add_chunk(chunk, chunks)
         return chunks
 
 
-def _close(part: list[bytes], chunks: dict[str, bytes]) -> None:
-    data = b"\xdd" + len(part).to_bytes(4, "big") + b"".join(part)  # msgpack's array of 32 bits
+def _add_chunk(chunk: list[bytes], chunks: dict[str, bytes]) -> None:
+    data = b"\xdd" + len(chunk).to_bytes(4, "big") + b"".join(chunk)  # msgpack's array32
     chunks[CHUNK + blake2b(data, digest_size=16).hexdigest()] = data
 
 
-class Shelf:
-    """What one sidecar reads of one table in the copies. `read` after each change of the facts.
+class TableReader:
+    """The view that one sidecar has of one table in the replicated state. `read` has to be called after each change of
+    the facts.
 
-    Invariant: `routes`, `sums` and `table` are those of `head` whole, and empty where that can't be read. Routes of
-    a chunk that stays are the same objects."""
+    Invariant: `routes`, `sums` and `table` are those of the whole `head`, and empty if it can't be read. The routes of
+    an unchanged chunk stay the same objects.
+    """
 
     def __init__(self, duty: str, prefix: str = "") -> None:
         self.duty, self.prefix = duty, prefix
-        self.facts: tuple[Fact | None, Fact | None] = (None, None)  # of head and note, as read last
+        self.facts: tuple[Fact | None, Fact | None] = (None, None)  # of head and note, as last read
         self.head: Head | None = None
-        self.index = 0  # in the log, of the head
+        self.index = 0  # of the head in the log
         self.chunks: dict[str, list[Row]] = {}
         self.routes: dict[str, Route] = {}
         self.sums: dict[str, int] = {}
         self.table: Table | None = None
-        self.stated_at = 0  # when the partner answered last, by the clock of who asked it
-        self.confirmed_at = 0  # ... and here: no later than when it was heard of
+        self.responded_at = 0  # the partner's last valid response, by the clock of the sidecar that asked it
+        self.confirmed_at = 0  # the same, but not later than the time at which it was first read here
 
     def read(self, facts: Facts, now: int) -> bool:
-        """Whether anything is another than before. Raises `NotReadable`; nothing is held then."""
-        found = facts.get((self.duty, self.prefix + HEAD)), facts.get((self.duty, self.prefix + NOTE))
-        if found == self.facts:
+        """Returns whether anything changed. Raises `NotReadable`; then no table is available."""
+        latest = facts.get((self.duty, self.prefix + HEAD)), facts.get((self.duty, self.prefix + NOTE))
+        if latest == self.facts:
             return False
-        before, self.facts = self.facts, found
-        head, noted = found
+        before, self.facts = self.facts, latest
+        head, note = latest
         try:
             if head != before[0]:
-                self._take(head, facts)
-            stated_at = max(self.head.confirmed_at if self.head else 0, _times.decode(noted.value) if noted else 0)
+                self._load(head, facts)
+            responded_at = max(
+                self.head.confirmed_at if self.head else 0, _time_decoder.decode(note.value) if note else 0
+            )
         except (msgspec.MsgspecError, ValueError, RecursionError, KeyError) as error:
-            self._take(None, facts)
+            self._load(None, facts)
             raise NotReadable(f"{type(error).__name__}: {error}", self.duty) from None
-        if stated_at != self.stated_at:
-            self.stated_at, self.confirmed_at = stated_at, min(stated_at, now)
+        if responded_at != self.responded_at:
+            self.responded_at, self.confirmed_at = responded_at, min(responded_at, now)
         return True
 
-    def _take(self, fact: Fact | None, facts: Facts) -> None:
+    def _load(self, fact: Fact | None, facts: Facts) -> None:
         self.head, self.routes, self.sums, self.table = None, {}, {}, None
         if fact is None:
             self.index, self.chunks = 0, {}
             return
-        version = _versions.decode(fact.value).version
+        version = _version_decoder.decode(fact.value).version
         if version != VERSION:
-            raise ValueError(f"version {version}, where this build reads {VERSION}")
-        head = _heads.decode(fact.value)
+            raise ValueError(f"version {version}, but this build reads version {VERSION}")
+        head = _head_decoder.decode(fact.value)
         chunks = {}
         for key in head.chunks:
-            kept = self.chunks.get(key)
-            chunks[key] = _rows.decode(facts[self.duty, self.prefix + key].value) if kept is None else kept
-        rows = [row for chunk in chunks.values() for row in chunk]
-        if len(rows) != head.routes:
-            raise ValueError(f"{len(rows)} routes, where the head has {head.routes}")
+            rows = self.chunks.get(key)
+            chunks[key] = _rows_decoder.decode(facts[self.duty, self.prefix + key].value) if rows is None else rows
+        all_rows = [row for chunk in chunks.values() for row in chunk]
+        if len(all_rows) != head.routes:
+            raise ValueError(f"{len(all_rows)} routes, but the head has {head.routes}")
         self.head, self.index, self.chunks = head, fact.order, chunks
-        self.routes = {row.service: row.route for row in rows}
-        self.sums = {row.service: row.sum for row in rows}
+        self.routes = {row.service: row.route for row in all_rows}
+        self.sums = {row.service: row.sum for row in all_rows}
         if head.table is not None:
             site, epoch, index = head.table
-            self.table = Table(site, epoch, index, self.routes, self.sums, sum(self.sums.values()) & MASK)
+            self.table = Table(site, epoch, index, self.routes, self.sums, sum(self.sums.values()) & CHECKSUM_MASK)
 
-    def held(self, now: int, timing: Timing) -> Held:
-        """What that is worth now, whether news come or not."""
+    def partner_state(self, now: int, timing: Timing) -> PartnerState:
+        """The state of the partner at `now`, also if nothing new was read."""
         if self.head is None or self.table is None:
-            return Held()
-        standing, back_at = Standing.GONE if self.head.damped else Standing.FRESH, self.head.back_at
-        return aged(Held(self.table, standing, back_at, self.confirmed_at, back_at), now, timing)
+            return PartnerState()
+        freshness, back_at = Freshness.GONE if self.head.damped else Freshness.FRESH, self.head.back_at
+        return aged_state(PartnerState(self.table, freshness, back_at, self.confirmed_at, back_at), now, timing)
 
-    def changes_at(self, now: int, timing: Timing) -> int:
-        """When `held` is another next, if nothing is heard."""
+    def next_change_at(self, now: int, timing: Timing) -> int:
+        """The Unix time in ns at which `partner_state` changes next if nothing new is read."""
         if self.table is None:
             return FOREVER
         stale_at = self.confirmed_at + timing.hold
         return min((at for at in (stale_at, stale_at + timing.gone) if at > now), default=FOREVER)
 
 
-def litter(keys: Iterable[str], chunks: Iterable[str]) -> set[str]:
-    """Of the keys that are there, those that no head names."""
+def unreferenced_chunks(keys: Iterable[str], chunks: Iterable[str]) -> set[str]:
+    """The chunk keys that no head names."""
     return {key for key in keys if key.startswith(CHUNK)} - set(chunks)
--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -1,19 +1,23 @@
-"""The session with one partner, as tables of states: asking it, holding what it told, letting go. No I/O, no clock.
+"""The session with one partner as a state machine: when to send requests, and how long its last table stays valid.
+
+No I/O and no clock.
 
     DOWN --start--> ASKING --answered--> HOLDING --hold over--> STALE --gone over--> GONE
     STALE and GONE --answered--> HOLDING          ASKING --hold over--> GONE          DOWN --resume--> HOLDING
     each of these --suppress--> DAMPED --reuse--> ASKING             each --stop--> DOWN
 
-A call waits at the partner as a watch of the platform's list does, and its silence is found out by the same clock
-(`loftweir/listclock.py`): past its wait and `silent_after` it is given up and asked anew at once without a wait, `ANEW`
-times, before the calls come apart.
+A request waits at the partner for changes (a long poll), like a watch of discovery's list, and its timeout follows the
+same rules (`loftweir/listclock.py`). Once its wait and `silent_after` have passed it is given up and `ANEW` requests
+without a wait follow at once, before the usual backoff begins.
 
 Invariants:
- 1. Only a good answer to a call of this life confirms: a fault, a silence or an old table confirms nothing, so that a
-    partner whose tables are all bad is stale after `hold` and gone after `gone` more, like a silent one.
- 2. `Timing` lets the calls after a silent one end within `hold`: one lost answer makes nothing stale.
- 3. What was away (not held, gone, damped) comes back by `ramp`, from `ramp_from` to the whole within `ramp_within`.
- 4. Nothing of another partner is read or written here.
+ 1. Only a valid response to a request of this session instance confirms the table. A fault, a timeout or an old table
+    confirms nothing, so that a partner that sends only invalid tables is stale after `hold` and gone after `gone` more,
+    like one that does not respond.
+ 2. `Timing` lets the requests that follow a timeout end within `hold`, so that one lost response makes nothing stale.
+ 3. The traffic to a partner that returns from ASKING, GONE or DAMPED grows from `ramp_from` to all of it within
+    `ramp_within` (`ramp_factor`).
+ 4. No data of another partner is read or written here.
 """
 
 from __future__ import annotations
@@ -26,21 +30,33 @@
 
 from loftweir import listclock
 from loftweir.interface import SettingFault, SettingsError
-from loftweir.partners.merge import Held, Standing
-from loftweir.partners.table import LIMITS, BadTable, Fault, Limits, OldTable, Table, read, taken
+from loftweir.partners.merge import Freshness, PartnerState
+from loftweir.partners.table import (
+    DEFAULT_LIMITS,
+    BadTable,
+    Fault,
+    Limits,
+    OldTable,
+    Table,
+    apply_response,
+    parse_response,
+)
+
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
+FLAP_PENALTY = 1000.0  # penalty of one flap (RFC 2439, section 4.2, adds as much for a withdrawal)
 
-MS, SECOND = 1_000_000, 1_000_000_000
-FLAP = 1000.0  # the penalty of one (RFC 2439, section 4.2, counts a withdrawal so)
 
+class StateTraits(NamedTuple):
+    """Properties of a session state."""
 
-class Traits(NamedTuple):
-    """What holds in a state."""
+    freshness: Freshness
+    away: bool  # a change from this state to HOLDING restarts the ramp
 
-    standing: Standing
-    away: bool  # from it, HOLDING is entered by the ramp
 
+class SessionState(Enum):
+    """The state of a session."""
 
-class State(Enum):
     DOWN = "down"
     ASKING = "asking"
     HOLDING = "holding"
@@ -49,19 +65,21 @@
     DAMPED = "damped"
 
 
-TRAITS = {
-    State.DOWN: Traits(Standing.GONE, away=True),
-    State.ASKING: Traits(Standing.GONE, away=True),
-    State.HOLDING: Traits(Standing.FRESH, away=False),
-    State.STALE: Traits(Standing.STALE, away=False),
-    State.GONE: Traits(Standing.GONE, away=True),
-    State.DAMPED: Traits(Standing.GONE, away=True),
+STATE_TRAITS = {
+    SessionState.DOWN: StateTraits(Freshness.GONE, away=True),
+    SessionState.ASKING: StateTraits(Freshness.GONE, away=True),
+    SessionState.HOLDING: StateTraits(Freshness.FRESH, away=False),
+    SessionState.STALE: StateTraits(Freshness.STALE, away=False),
+    SessionState.GONE: StateTraits(Freshness.GONE, away=True),
+    SessionState.DAMPED: StateTraits(Freshness.GONE, away=True),
 }
 
 
-class Step(Enum):
+class SessionEvent(Enum):
+    """An event that can change the state of a session."""
+
     START = "start"
-    RESUME = "resume"  # with a table that the copies hold
+    RESUME = "resume"  # start with a table from the replicated state
     ANSWERED = "answered"
     HOLD_OVER = "hold over"
     GONE_OVER = "gone over"
@@ -70,47 +88,52 @@
     STOP = "stop"
 
 
-# What is not named here changes nothing.
-TABLE: dict[tuple[State, Step], State] = {
-    (State.DOWN, Step.START): State.ASKING,
-    (State.DOWN, Step.RESUME): State.HOLDING,
-    (State.ASKING, Step.ANSWERED): State.HOLDING,
-    (State.STALE, Step.ANSWERED): State.HOLDING,
-    (State.GONE, Step.ANSWERED): State.HOLDING,
-    (State.HOLDING, Step.HOLD_OVER): State.STALE,
-    (State.ASKING, Step.HOLD_OVER): State.GONE,
-    (State.STALE, Step.GONE_OVER): State.GONE,
-    (State.DAMPED, Step.REUSE): State.ASKING,
-    **{(state, Step.SUPPRESS): State.DAMPED for state in (State.ASKING, State.HOLDING, State.STALE, State.GONE)},
-    **{(state, Step.STOP): State.DOWN for state in State if state is not State.DOWN},
+# An event that is not listed for a state does not change it.
+TRANSITIONS: dict[tuple[SessionState, SessionEvent], SessionState] = {
+    (SessionState.DOWN, SessionEvent.START): SessionState.ASKING,
+    (SessionState.DOWN, SessionEvent.RESUME): SessionState.HOLDING,
+    (SessionState.ASKING, SessionEvent.ANSWERED): SessionState.HOLDING,
+    (SessionState.STALE, SessionEvent.ANSWERED): SessionState.HOLDING,
+    (SessionState.GONE, SessionEvent.ANSWERED): SessionState.HOLDING,
+    (SessionState.HOLDING, SessionEvent.HOLD_OVER): SessionState.STALE,
+    (SessionState.ASKING, SessionEvent.HOLD_OVER): SessionState.GONE,
+    (SessionState.STALE, SessionEvent.GONE_OVER): SessionState.GONE,
+    (SessionState.DAMPED, SessionEvent.REUSE): SessionState.ASKING,
+    **{
+        (state, SessionEvent.SUPPRESS): SessionState.DAMPED
+        for state in (SessionState.ASKING, SessionState.HOLDING, SessionState.STALE, SessionState.GONE)
+    },
+    **{(state, SessionEvent.STOP): SessionState.DOWN for state in SessionState if state is not SessionState.DOWN},
 }
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Lengths in ns, but for the penalties. `SettingsError` names what does not go together."""
-
-    wait: int = 5 * SECOND  # of a call at the partner, with no news
-    silent_after: int = SECOND  # past its wait
-    hold: int = 15 * SECOND  # with no good answer, until what is held is stale
-    gone: int = 30 * SECOND  # of being stale
-    apart: int = 100 * MS  # from an answer to the next call
-    again: int = 500 * MS  # after a call that failed; doubles with each, a random part of it left out
-    again_most: int = 5 * SECOND
-    ramp_from: float = 0.05  # of what may be sent to one that comes back
-    ramp_within: int = 30 * SECOND
-    half: int = 60 * SECOND  # the penalty is half of it after this time
-    suppress: float = 4000.0  # at this penalty a partner is damped (RFC 7196, section 6, asks for no less than 6000 of
-    # a route's; here a flap is of all of a partner's routes, and has to last longer than `hold`)
-    reuse: float = 1000.0
+    """Times (in ns) and penalties of a session. Raises `SettingsError` for values that contradict each other."""
+
+    wait: int = 5 * SECOND  # how long a request waits at the partner for changes
+    silent_after: int = SECOND  # beyond the wait, until a request times out
+    hold: int = 15 * SECOND  # without a valid response, until the table is stale
+    gone: int = 30 * SECOND  # in the stale state, until no route is used
+    apart: int = 100 * MS  # from a response to the next request
+    again: int = 500 * MS  # backoff after a failed request: doubles with each failure, with a random part left out
+    again_most: int = 5 * SECOND  # the longest backoff
+    ramp_from: float = 0.05  # fraction of the allowed traffic that a partner gets when it returns
+    ramp_within: int = 30 * SECOND  # until a partner that returns gets all of it
+    half: int = 60 * SECOND  # half-life of the penalty
+    # A partner is damped at this penalty. RFC 7196, section 6, asks for at least 6000 for one route; here a flap
+    # concerns all routes of a partner and has to last longer than `hold`.
+    suppress: float = 4000.0
+    reuse: float = 1000.0  # below this penalty a damped partner is used again
     damped_most: int = 300 * SECOND  # bounds the penalty (RFC 2439, section 4.2)
 
     @property
-    def anew(self) -> int:
-        """For the answer to each fresh call after a silent one."""
+    def quick_retry_timeout(self) -> int:
+        """Timeout in ns of each of the requests without a wait that follow a request that timed out."""
         return min(listclock.LONGEST, (self.hold - self.wait - self.silent_after) // listclock.ANEW)
 
     @property
-    def ceiling(self) -> float:
+    def max_penalty(self) -> float:
+        """The greatest penalty that can accumulate."""
         return float(self.reuse * 2.0 ** (self.damped_most / self.half))
 
     def __post_init__(self) -> None:
@@ -121,11 +144,15 @@
             if getattr(self, name) <= 0
         ]
         if self.hold < least:
-            faults.append(SettingFault("partners.hold", str(self.hold), f"{least} or more: calls after a silent one"))
+            faults.append(
+                SettingFault("partners.hold", str(self.hold), f"{least} or more, for the requests after a timeout")
+            )
         if not 0 < self.ramp_from <= 1:
             faults.append(SettingFault("partners.ramp_from", str(self.ramp_from), "above 0 and at most 1"))
-        if not 0 < self.reuse < self.suppress <= self.ceiling:
-            faults.append(SettingFault("partners.suppress", str(self.suppress), "above reuse, and to be reached"))
+        if not 0 < self.reuse < self.suppress <= self.max_penalty:
+            faults.append(
+                SettingFault("partners.suppress", str(self.suppress), "above reuse and at most the greatest penalty")
+            )
         if faults:
             raise SettingsError(faults)
 
@@ -133,229 +160,259 @@
 TIMING = Timing()
 
 
-def ramp(held: Held, now: int, timing: Timing = TIMING) -> float:
-    """The part of each of its routes' share or rate that may be sent to a partner now. Grows from when it came back."""
-    if now >= held.back_at + timing.ramp_within:
+def ramp_factor(partner_state: PartnerState, now: int, timing: Timing = TIMING) -> float:
+    """The fraction of each route's share or rate that may be sent to a partner now. It grows from the partner's return
+    on."""
+    if now >= partner_state.back_at + timing.ramp_within:
         return 1.0
-    return timing.ramp_from + (1 - timing.ramp_from) * max(0, now - held.back_at) / timing.ramp_within
+    return timing.ramp_from + (1 - timing.ramp_from) * max(0, now - partner_state.back_at) / timing.ramp_within
 
 
-def aged(held: Held, now: int, timing: Timing = TIMING) -> Held:
-    """What the copies last said of a partner, as it stands now for one that follows them. It may be cut off from them:
-    then what it holds ends by itself, as it would with the one that keeps the session."""
-    if held.standing is Standing.FRESH and now >= held.confirmed_at + timing.hold:
-        held = msgspec.structs.replace(held, standing=Standing.STALE, since=held.confirmed_at + timing.hold)
-    if held.standing is Standing.STALE and now >= held.since + timing.gone:
-        held = msgspec.structs.replace(held, standing=Standing.GONE, since=held.since + timing.gone)
-    return held
+def aged_state(partner_state: PartnerState, now: int, timing: Timing = TIMING) -> PartnerState:
+    """The state of a partner at `now`, derived from the last one in the replicated state. An observer that is cut off
+    from the cluster lets the state expire in the same way as the sidecar that has the session."""
+    if partner_state.freshness is Freshness.FRESH and now >= partner_state.confirmed_at + timing.hold:
+        partner_state = msgspec.structs.replace(
+            partner_state, freshness=Freshness.STALE, since=partner_state.confirmed_at + timing.hold
+        )
+    if partner_state.freshness is Freshness.STALE and now >= partner_state.since + timing.gone:
+        partner_state = msgspec.structs.replace(
+            partner_state, freshness=Freshness.GONE, since=partner_state.since + timing.gone
+        )
+    return partner_state
 
 
-# ---- actions, in order --------------------------------------------------------------------------
+# ---- actions, to be performed in order -----------------------------------------------------------
 
 
-class Ask(NamedTuple):
-    """Call the partner, giving up whatever call is under way. `answer` or `failed` with its number are to follow."""
+class SendRequest(NamedTuple):
+    """Send a request to the partner and abort the one in flight. `on_response` or `on_failure` with its number has to
+    follow."""
 
     number: int
-    to: str  # the mark of this question, which the answer has to bear
-    after: tuple[int, int] | None  # epoch and index of what is held; None: the whole table
-    wait: int  # ns that the partner may wait for news
-    within: int  # ns for the answer
+    nonce: str  # nonce that the response has to repeat
+    after: tuple[int, int] | None  # epoch and index of the stored table; None: request the whole table
+    wait: int  # ns that the partner may wait for changes
+    timeout: int  # ns until the request times out
 
 
-class Became(NamedTuple):
-    """The state, the table or the time of the last confirmation is another: `Session.held` is to be merged, and to be
-    written to the copies where `table` or `state` says so."""
+class SessionChanged(NamedTuple):
+    """The state, the table or the time of the last confirmation changed. `Session.partner_state` has to be merged, and
+    stored in the replicated state where `table` or `state` changed."""
 
-    before: State
-    table: bool
+    before: SessionState
+    table: bool  # whether the table is another one
 
 
-class Refused(NamedTuple):
-    """An answer that was not taken; the last good table stays."""
+class ResponseRejected(NamedTuple):
+    """A response was rejected; the last valid table stays."""
 
     error: BadTable
 
 
-class Failed(NamedTuple):
-    """A call brought no answer."""
+class RequestFailed(NamedTuple):
+    """A request got no response."""
 
     why: str
 
 
-Action = Ask | Became | Refused | Failed
+Action = SendRequest | SessionChanged | ResponseRejected | RequestFailed
 
 
 class Session:
-    """`step` and its like give the actions; `next_at` is when `tick` has something to do. Times are Unix time in ns,
-    and given as never going back."""
+    """The session with one partner. Its methods return the actions to perform; `next_at` is the time at which `tick`
+    has something to do. Times are Unix time in ns and must not decrease."""
 
     def __init__(
-        self, partner: str, life: str, jitter: Callable[[], float], timing: Timing = TIMING, limits: Limits = LIMITS
+        self,
+        partner: str,
+        instance: str,
+        jitter: Callable[[], float],
+        timing: Timing = TIMING,
+        limits: Limits = DEFAULT_LIMITS,
     ) -> None:
-        """`life`: made at random by whoever starts this; no other start has it. `jitter`: from 0 up to 1."""
-        self.partner, self.life, self.jitter, self.timing, self.limits = partner, life, jitter, timing, limits
-        self.state = State.DOWN
-        self.since = 0  # of the state
+        """`instance`: random, and unique to each start of a session. `jitter`: returns a number from 0 up to 1."""
+        self.partner, self.instance, self.jitter, self.timing, self.limits = partner, instance, jitter, timing, limits
+        self.state = SessionState.DOWN
+        self.since = 0  # of the last state change
         self.table: Table | None = None
         self.confirmed_at = 0
-        self.back_at = 0  # when it last came back from being away
+        self.back_at = 0  # of the last return from ASKING, GONE or DAMPED
         self.number = 0
-        self.asked: Ask | None = None  # under way
-        self.until = 0  # of what is under way; else when the next is due
-        self.fresh_calls = 0  # left after a silent one
-        self.failures = 0  # in a row
-        self.whole = False  # is asked for next, whatever is held
+        self.pending_request: SendRequest | None = None  # in flight
+        self.due_at = 0  # timeout of the request in flight, else time of the next request
+        self.quick_retries = 0  # requests without a wait that are left after a timeout
+        self.failures = 0  # consecutive
+        self.needs_full_table = False  # the next request asks for the whole table
         self.penalty, self.penalty_at = 0.0, 0
 
-    # ---- what holds -----------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------
 
     @property
-    def standing(self) -> Standing:
-        return TRAITS[self.state].standing
+    def freshness(self) -> Freshness:
+        """How fresh the table is in the current state."""
+        return STATE_TRAITS[self.state].freshness
 
-    def held(self) -> Held:
-        return Held(self.table, self.standing, self.since, self.confirmed_at, self.back_at)
+    def partner_state(self) -> PartnerState:
+        """What the merge and the replicated state need to know of this partner."""
+        return PartnerState(self.table, self.freshness, self.since, self.confirmed_at, self.back_at)
 
     def penalty_now(self, now: int) -> float:
+        """The penalty at `now`: it decays exponentially."""
         return float(self.penalty * 0.5 ** ((now - self.penalty_at) / self.timing.half))
 
     @property
     def next_at(self) -> int | None:
-        if self.state is State.DOWN:
+        """When `tick` has something to do; None while the session is down."""
+        if self.state is SessionState.DOWN:
             return None
-        times = [self.until]
-        if self.state is State.STALE:
+        times = [self.due_at]
+        if self.state is SessionState.STALE:
             times.append(self.since + self.timing.gone)
-        elif self.state in (State.HOLDING, State.ASKING):
-            times.append(self._hold_over())
+        elif self.state in (SessionState.HOLDING, SessionState.ASKING):
+            times.append(self._hold_expiry())
         return min(times)
 
-    def _hold_over(self) -> int:
-        return (self.confirmed_at if self.state is State.HOLDING else self.since) + self.timing.hold
+    def _hold_expiry(self) -> int:
+        return (self.confirmed_at if self.state is SessionState.HOLDING else self.since) + self.timing.hold
 
-    # ---- what happens ---------------------------------------------------------------------------
+    # ---- events ----------------------------------------------------------------------------------
 
     def start(
-        self, now: int, held: Held | None = None, penalty: tuple[float, int] = (0.0, 0), damped: bool = False
+        self,
+        now: int,
+        partner_state: PartnerState | None = None,
+        penalty: tuple[float, int] = (0.0, 0),
+        damped: bool = False,
     ) -> list[Action]:
-        """`held`: what the copies hold, where another sidecar had the lease. It is as old as it says: what it last
-        confirmed counts on, not from now. `penalty`, with the time that it is of, and whether it damped the partner."""
+        """Starts the session. `partner_state`: from the replicated state, if another sidecar had the lease before; the
+        hold time counts from its last confirmation, not from now. `penalty`: the penalty and the time that it refers
+        to. `damped`: whether the partner was damped."""
         actions: list[Action] = []
-        if held is not None and held.table is not None and held.standing is not Standing.GONE:
-            self.table, self.confirmed_at = held.table, held.confirmed_at
-            self._go(Step.RESUME, now, actions)
-            self.since, self.back_at = min(now, held.since), held.back_at
-        self._go(Step.START, now, actions)
+        if (
+            partner_state is not None
+            and partner_state.table is not None
+            and partner_state.freshness is not Freshness.GONE
+        ):
+            self.table, self.confirmed_at = partner_state.table, partner_state.confirmed_at
+            self._transition(SessionEvent.RESUME, now, actions)
+            self.since, self.back_at = min(now, partner_state.since), partner_state.back_at
+        self._transition(SessionEvent.START, now, actions)
         self.penalty, self.penalty_at = penalty
         if damped and self.penalty_now(now) >= self.timing.reuse:
-            self._go(Step.SUPPRESS, now, actions)
-        return [*actions, *self._ask(now, 0), *self.tick(now)]
+            self._transition(SessionEvent.SUPPRESS, now, actions)
+        return [*actions, *self._send(now, 0), *self.tick(now)]
 
     def stop(self, now: int) -> list[Action]:
+        """Ends the session; a request in flight is ignored from now on."""
         actions: list[Action] = []
-        self._go(Step.STOP, now, actions)
-        self.asked = None
+        self._transition(SessionEvent.STOP, now, actions)
+        self.pending_request = None
         return actions
 
     def tick(self, now: int) -> list[Action]:
-        """Time has gone on; harmless at any time."""
+        """Processes the passage of time. Can be called at any time."""
         actions: list[Action] = []
         timing = self.timing
-        if self.state is State.DOWN:
+        if self.state is SessionState.DOWN:
             return actions
-        if self.state in (State.HOLDING, State.ASKING) and now >= self._hold_over():
-            held = self.state is State.HOLDING
-            self._go(Step.HOLD_OVER, self._hold_over(), actions)
-            if held:
-                self._flap(now, actions)
-        if self.state is State.STALE and now >= self.since + timing.gone:
-            self._go(Step.GONE_OVER, self.since + timing.gone, actions)
-        if self.state is State.DAMPED and self.penalty_now(now) < timing.reuse:
-            self._go(Step.REUSE, now, actions)
-            return actions + self._ask(now, 0)
-        if now < self.until:
+        if self.state in (SessionState.HOLDING, SessionState.ASKING) and now >= self._hold_expiry():
+            was_holding = self.state is SessionState.HOLDING
+            self._transition(SessionEvent.HOLD_OVER, self._hold_expiry(), actions)
+            if was_holding:
+                self._record_flap(now, actions)
+        if self.state is SessionState.STALE and now >= self.since + timing.gone:
+            self._transition(SessionEvent.GONE_OVER, self.since + timing.gone, actions)
+        if self.state is SessionState.DAMPED and self.penalty_now(now) < timing.reuse:
+            self._transition(SessionEvent.REUSE, now, actions)
+            return actions + self._send(now, 0)
+        if now < self.due_at:
             return actions
-        if self.asked is None:
-            return actions + self._ask(now, timing.wait if self.failures == 0 else 0)
-        silent = self.asked
-        actions.append(Failed(f"silent for {(now - self.until + silent.within) // MS} ms"))
-        if silent.wait or self.fresh_calls:
-            self.fresh_calls = listclock.ANEW - 1 if silent.wait else self.fresh_calls - 1
-            return actions + self._ask(now, 0)
-        self._later(now)
+        if self.pending_request is None:
+            return actions + self._send(now, timing.wait if self.failures == 0 else 0)
+        timed_out = self.pending_request
+        actions.append(RequestFailed(f"no response within {(now - self.due_at + timed_out.timeout) // MS} ms"))
+        if timed_out.wait or self.quick_retries:
+            self.quick_retries = listclock.ANEW - 1 if timed_out.wait else self.quick_retries - 1
+            return actions + self._send(now, 0)
+        self._schedule_retry(now)
         return actions
 
-    def failed(self, now: int, number: int, why: str) -> list[Action]:
-        """The call with this number brought no answer, or none to its end."""
-        if self.asked is None or number != self.asked.number:
+    def on_failure(self, now: int, number: int, why: str) -> list[Action]:
+        """The request with this number got no complete response."""
+        if self.pending_request is None or number != self.pending_request.number:
             return []
-        self._later(now)
-        return [Failed(why), *self.tick(now)]
+        self._schedule_retry(now)
+        return [RequestFailed(why), *self.tick(now)]
 
-    def answer(self, now: int, number: int, data: bytes) -> list[Action]:
-        """The whole body of an answer with status 200."""
-        if self.asked is None or number != self.asked.number:
+    def on_response(self, now: int, number: int, data: bytes) -> list[Action]:
+        """Processes the body of a response with status 200."""
+        if self.pending_request is None or number != self.pending_request.number:
             return []
-        asked = self.asked
+        request = self.pending_request
         actions: list[Action] = []
         try:
-            table = self._taken(data, asked)
+            table = self._accept(data, request)
         except BadTable as error:
-            # Changes that do not add up follow another table than the one held: the whole one is asked for.
-            self.whole = asked.after is not None and error.faults[0].place == "sum"
-            self._later(now)
-            return [Refused(error), *self.tick(now)]
+            # Changes whose checksum is wrong follow another table than the stored one: the next request asks for the
+            # whole table.
+            self.needs_full_table = request.after is not None and error.faults[0].place == "sum"
+            self._schedule_retry(now)
+            return [ResponseRejected(error), *self.tick(now)]
         before = self.table
         self.table, self.confirmed_at = table, now
-        self.asked, self.failures, self.fresh_calls = None, 0, 0
-        self.until = now + self.timing.apart
-        if not self._go(Step.ANSWERED, now, actions, table is not before):
-            actions.append(Became(self.state, table is not before))
+        self.pending_request, self.failures, self.quick_retries = None, 0, 0
+        self.due_at = now + self.timing.apart
+        if not self._transition(SessionEvent.ANSWERED, now, actions, table is not before):
+            actions.append(SessionChanged(self.state, table is not before))
         if before is not None and before.epoch != table.epoch:
-            self._flap(now, actions)
+            self._record_flap(now, actions)
         return actions + self.tick(now)
 
-    def _taken(self, data: bytes, asked: Ask) -> Table:
-        told = read(data, self.partner, self.limits)
-        if told.to != asked.to:
-            raise OldTable(self.partner, [Fault("to", f"{asked.to}, the question that was asked")])
-        return taken(self.table, told, self.limits)
+    def _accept(self, data: bytes, request: SendRequest) -> Table:
+        response = parse_response(data, self.partner, self.limits)
+        if response.to != request.nonce:
+            raise OldTable(self.partner, [Fault("to", f"{request.nonce}, the nonce of the request")])
+        return apply_response(self.table, response, self.limits)
 
-    # ---- by what ---------------------------------------------------------------------------------
+    # ---- steps -----------------------------------------------------------------------------------
 
-    def _ask(self, now: int, wait: int) -> list[Action]:
+    def _send(self, now: int, wait: int) -> list[Action]:
         self.number += 1
-        within = wait + self.timing.silent_after if wait else self.timing.anew
-        after = self.table.mark if self.table is not None and not self.whole else None
-        self.whole = False
-        self.asked = Ask(self.number, f"{self.life}.{self.number}", after, wait, within)
-        self.until = now + within
-        return [self.asked]
-
-    def _later(self, now: int) -> None:
-        """The next call comes after a while, longer with each failure, and not at one time with other sites'."""
-        self.asked, self.fresh_calls = None, 0
+        timeout = wait + self.timing.silent_after if wait else self.timing.quick_retry_timeout
+        after = self.table.position if self.table is not None and not self.needs_full_table else None
+        self.needs_full_table = False
+        self.pending_request = SendRequest(self.number, f"{self.instance}.{self.number}", after, wait, timeout)
+        self.due_at = now + timeout
+        return [self.pending_request]
+
+    def _schedule_retry(self, now: int) -> None:
+        """Schedules the next request after a backoff that doubles with each failure, with jitter so that sites do not
+        retry at the same time."""
+        self.pending_request, self.quick_retries = None, 0
         delay = min(self.timing.again_most, self.timing.again << min(self.failures, 16))
         self.failures += 1
-        self.until = now + delay - int(delay * self.jitter() / 2)
+        self.due_at = now + delay - int(delay * self.jitter() / 2)
 
-    def _go(self, step: Step, now: int, actions: list[Action], table: bool = False) -> bool:
+    def _transition(self, event: SessionEvent, now: int, actions: list[Action], table: bool = False) -> bool:
         before = self.state
-        self.state = TABLE.get((before, step), before)
+        self.state = TRANSITIONS.get((before, event), before)
         if self.state is before:
             return False
         self.since = now
-        if self.state is State.HOLDING and TRAITS[before].away:
+        if self.state is SessionState.HOLDING and STATE_TRAITS[before].away:
             self.back_at = now
-        if self.state is State.GONE:
-            self.table = None  # and its mark: an epoch set back by the partner's loss of its disk is taken from here on
-        actions.append(Became(before, table))
+        if self.state is SessionState.GONE:
+            # and with it the position: from now on a lower epoch is accepted, which a partner has after it lost its
+            # disk
+            self.table = None
+        actions.append(SessionChanged(before, table))
         return True
 
-    def _flap(self, now: int, actions: list[Action]) -> None:
-        """It fell silent for the hold time, or began anew. A bad table is none: the last good one stays its time."""
-        self.penalty = min(self.timing.ceiling, self.penalty_now(now) + FLAP)
+    def _record_flap(self, now: int, actions: list[Action]) -> None:
+        """Counts a flap: the partner did not respond for the hold time, or restarted with a new epoch. An invalid table
+        is no flap, since the last valid one stays in use for its time."""
+        self.penalty = min(self.timing.max_penalty, self.penalty_now(now) + FLAP_PENALTY)
         self.penalty_at = now
         if self.penalty >= self.timing.suppress:
-            self._go(Step.SUPPRESS, now, actions)
+            self._transition(SessionEvent.SUPPRESS, now, actions)
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -1,16 +1,17 @@
-"""What this site shows to each neighbour: written to the copies by one sidecar, and read from there by all.
+"""The tables that this site offers to its neighbours: one sidecar writes them to the replicated state, and all read
+them.
 
-The holder of the duty `offers` writes each neighbour's table as its merge gives it. Whoever is asked answers from the
-copies, so that it does not matter who: the index of a table is the index in the log at which it was written, and the
-epoch was written once, as the time in seconds, when the copies were begun. A neighbour that goes on at another sidecar
-is answered there once that one is as far.
+The holder of the lease `offers` writes each neighbour's table as its merge decides. Every sidecar answers requests from
+the replicated state, so that it does not matter which one a neighbour asks: the index of a table is the index in the
+log at which it was written, and the epoch is the Unix time in seconds at which the replicated state was first written
+to. A neighbour that continues at another sidecar gets a response as soon as that sidecar has read as far.
 
 Invariants:
- 1. What is answered is what the copies have, and what this sidecar's own merge would show now, by its own file, its own
-    clock and what it knows of the partners; where the two differ, nothing is, until they agree again. So terms that
-    were tightened hold at a sidecar as soon as its file has them, and what went stale is shown by nobody.
- 2. Nothing is answered by a sidecar that is cut off from the copies, or that comes back to them and has yet to learn
-    how far they are: no news from such a one would confirm what may have changed.
+ 1. A response has the table of the replicated state, and only if this sidecar's own merge would show the same now,
+    by its own file, its own clock and its knowledge of the partners. While the two differ there is no response. So
+    tightened terms take effect at a sidecar as soon as its file has them, and no sidecar shows a stale route.
+ 2. A sidecar that is cut off from the cluster, or is connected again and does not know yet how far the log is, sends no
+    response: a response without changes would confirm a table that may have changed.
 """
 
 from __future__ import annotations
@@ -22,191 +23,202 @@
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.partners import replicated_table
-from loftweir.partners.keeping import WITHIN, Keeping, Target
-from loftweir.partners.link import keys_of, limits
+from loftweir.partners.keeping import WRITE_TIMEOUT, TableWriter, Target
+from loftweir.partners.link import limits, stored_keys
 from loftweir.partners.merge import Merger
-from loftweir.partners.replicated_table import Cutter, Head, NotReadable, Shelf, written
-from loftweir.partners.table import Offer, capped
+from loftweir.partners.replicated_table import Chunker, Head, NotReadable, TableReader, encode_head
+from loftweir.partners.table import Offer, limit_routes
 from loftweir.replication.machine import Machine
 from loftweir.replication.part import Part
 from loftweir.replication.wire import FactOf
 from loftweir.telemetry.catalogue import PARTNERS_NOT_READ, PARTNERS_OFFERED, PARTNERS_OFFERS
 from loftweir.telemetry.log import say
 
-DUTY, EPOCH = "offers", "epoch"
-LOOK_EVERY = 5 * MS
-SURE_WITHIN = 2 * SECOND
-AGAIN = 500 * MS
+DUTY = "offers"  # name of the lease
+EPOCH = "epoch"  # key of the offered tables' epoch
+POLL_INTERVAL = 5 * MS
+CONFIRM_TIMEOUT = 2 * SECOND
+RETRY_DELAY = 500 * MS
 
 
-class Shown:
-    """Invariant: `offers` has a table for each neighbour of which the copies have one, under the epoch there."""
+class NeighbourOffers:
+    """The offered tables, and their writing while this sidecar has the lease.
+
+    Invariant: `offers` has a table for each neighbour that has one in the replicated state, under the epoch found
+    there.
+    """
 
     def __init__(
-        self, loop: Loop, options: Options, fleet: Part, merger: Callable[[], Merger], changed: Callable[[str], None]
+        self, loop: Loop, options: Options, fleet: Part, merger: Callable[[], Merger], on_change: Callable[[str], None]
     ) -> None:
-        """`changed` is told of each neighbour for whom something else may be answered than before."""
+        """`on_change` is called with each neighbour that may get another response than before."""
         self.loop = loop
         self.options = options.partners
         self.fleet = fleet
         self.merger = merger
-        self.changed = changed
+        self.on_change = on_change
         self.limits = limits(options.partners)
-        # Without a word from a leader for longer than it takes to elect one, it may be that others have one.
-        self.old = 3 * options.replication.election + options.replication.follow_wait + SECOND
+        # After this time without contact to a leader, an election may have chosen another one.
+        self.max_age = 3 * options.replication.election + options.replication.follow_wait + SECOND
         self.epoch = 0
-        self.shelves: dict[str, Shelf] = {}
+        self.readers: dict[str, TableReader] = {}
         self.offers: dict[str, Offer] = {}
-        self.fits: dict[str, int] = {}  # until when what the copies have may be shown, as far as it was looked at
-        self.sure_from: int | None = None  # the index up to which all was promised before it was asked
-        self.asks: Task | None = None
+        # by neighbour: Unix time in ns until which the replicated table may be shown, if this was computed
+        self.valid_until: dict[str, int] = {}
+        # the commit index that was confirmed by a quorum after the last reconnect
+        self.confirmed_index: int | None = None
+        self.confirming: Task | None = None
         self.duty: Duty | None = None
-        self.keeps: dict[str, Keeping] = {}
-        self.cutters: dict[str, Cutter] = {}
-        self.writer: Task | None = None
+        self.writers: dict[str, TableWriter] = {}
+        self.chunkers: dict[str, Chunker] = {}
+        self.starting: Task | None = None
 
-    # ---- read -----------------------------------------------------------------------------------
+    # ---- reading ---------------------------------------------------------------------------------
 
-    def heard(self, machine: Machine, neighbours: Iterable[str]) -> None:
+    def on_state_change(self, machine: Machine, neighbours: Iterable[str]) -> None:
+        """Reads what changed in the replicated state."""
         fact = machine.facts.get((DUTY, EPOCH))
         epoch = int(fact.value) if fact is not None and fact.value.isdigit() else 0
         if epoch != self.epoch:
-            self.epoch, self.shelves, self.offers = epoch, {}, {}
+            self.epoch, self.readers, self.offers = epoch, {}, {}
         site = self.options.site.lower()
         for to in neighbours:
-            shelf = self.shelves.get(to)
-            if shelf is None:
-                shelf = self.shelves[to] = Shelf(DUTY, f"{to}/")
+            reader = self.readers.get(to)
+            if reader is None:
+                reader = self.readers[to] = TableReader(DUTY, f"{to}/")
             try:
-                if not shelf.read(machine.facts, self.loop.now()):
+                if not reader.read(machine.facts, self.loop.now()):
                     continue
             except NotReadable as error:
                 say(PARTNERS_NOT_READ, partner=to, why=error)
-            if shelf.head is None:
+            if reader.head is None:
                 self.offers.pop(to, None)
             else:
                 offer = self.offers.get(to)
                 if offer is None:
                     offer = self.offers[to] = Offer(site, epoch, self.limits)
-                    offer.put(shelf.routes, shelf.index)
-                    offer.floor = shelf.index  # what was withdrawn before is not known here
+                    offer.replace(reader.routes, reader.index)
+                    offer.floor = reader.index  # earlier withdrawals are unknown
                 else:
-                    offer.put(shelf.routes, shelf.index)
-            self.fits.pop(to, None)
-            self.changed(to)
+                    offer.replace(reader.routes, reader.index)
+            self.valid_until.pop(to, None)
+            self.on_change(to)
 
-    def why_not(self, to: str, after: tuple[int, int] | None) -> str:
-        """Why a neighbour that holds this mark can't be answered now; empty: it can."""
+    def rejection_reason(self, to: str, after: tuple[int, int] | None) -> str:
+        """The reason why a neighbour with this position can't get a response now; empty if it can."""
         age, offer = self.fleet.age(), self.offers.get(to)
-        if age is None or age > self.old:
-            self.sure_from = None
+        if age is None or age > self.max_age:
+            self.confirmed_index = None
             return "this sidecar is cut off from the copies of its site"
-        if self.sure_from is None:
-            if self.asks is None or self.asks.over:
-                self.asks = self.loop.spawn(self._make_sure())
+        if self.confirmed_index is None:
+            if self.confirming is None or self.confirming.over:
+                self.confirming = self.loop.spawn(self._confirm_index())
             return "this sidecar has yet to learn how far the copies are"
-        if self.fleet.index < self.sure_from:
+        if self.fleet.index < self.confirmed_index:
             return "this sidecar is behind the copies"
         if offer is None or not self.epoch:
             return "nothing is in the copies yet"
         if after is not None and after > (self.epoch, offer.index):
             return f"it has {self.epoch}.{offer.index}, and is behind"
-        if self.loop.now() >= self._fits(to):
+        if self.loop.now() >= self._valid_until(to):
             return "what the copies have is not what this sidecar may show now"
         return ""
 
-    def _fits(self, to: str) -> int:
-        until = self.fits.get(to)
+    def _valid_until(self, to: str) -> int:
+        until = self.valid_until.get(to)
         if until is None:
-            shown, routes = self.merger().merged.shown.get(to, {}), self.shelves[to].routes
+            shown, routes = self.merger().merged.shown.get(to, {}), self.readers[to].routes
             until = min((route.terms.until for route in routes.values()), default=1 << 63)
             if any(shown.get(service) != route for service, route in routes.items()):
                 until = 0
-            self.fits[to] = until
+            self.valid_until[to] = until
         return until
 
-    def _make_sure(self) -> Coroutine[None]:
+    def _confirm_index(self) -> Coroutine[None]:
         try:
-            held = yield from self.fleet.caller.read(FactOf(DUTY, EPOCH), SURE_WITHIN)
+            reading = yield from self.fleet.caller.read(FactOf(DUTY, EPOCH), CONFIRM_TIMEOUT)
         except LoftweirError:
-            held = None
-        if held is None or not held.sure:
-            yield Wait(None, 0, self.loop.now() + AGAIN)
+            reading = None
+        if reading is None or not reading.sure:
+            yield Wait(None, 0, self.loop.now() + RETRY_DELAY)
             return
-        self.sure_from = held.index
-        for to in list(self.shelves):
-            self.changed(to)
+        self.confirmed_index = reading.index
+        for to in list(self.readers):
+            self.on_change(to)
 
-    # ---- written --------------------------------------------------------------------------------
+    # ---- writing ---------------------------------------------------------------------------------
 
-    def again(self, neighbours: Iterable[str]) -> None:
-        """The merge shows something else to these."""
+    def refresh(self, neighbours: Iterable[str]) -> None:
+        """Adopts a change of the routes that the merge shows to these neighbours."""
         for to in neighbours:
-            self.fits.pop(to, None)
-            if to in self.keeps:
-                self._aim(to)
-            self.changed(to)
+            self.valid_until.pop(to, None)
+            if to in self.writers:
+                self._set_target(to)
+            self.on_change(to)
 
     def begin(self, token: int) -> None:
+        """Starts to write, as the lease was granted. `token`: its fencing token."""
         say(PARTNERS_OFFERS, token=token)
-        self.writer = self.loop.spawn(self._begin(token))
+        self.starting = self.loop.spawn(self._begin(token))
 
     def end(self) -> None:
-        if self.writer is not None:
-            self.writer.cancel()
-            self.writer = None
-        for keeping in self.keeps.values():
-            keeping.end()
-        self.keeps = {}
+        """Stops writing, as the lease ended."""
+        if self.starting is not None:
+            self.starting.cancel()
+            self.starting = None
+        for writer in self.writers.values():
+            writer.end()
+        self.writers = {}
 
     def _begin(self, token: int) -> Coroutine[None]:
         duty = self.duty
         assert duty is not None
         while self.fleet.machine is None or self.fleet.index < token:
-            yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
-        put = False
+            yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
+        written = False
         while not self.epoch:
-            if not put:
+            if not written:
                 try:
-                    yield from duty.put(EPOCH, str(self.loop.now() // SECOND).encode(), WITHIN)
-                    put = True
+                    yield from duty.put(EPOCH, str(self.loop.now() // SECOND).encode(), WRITE_TIMEOUT)
+                    written = True
                 except LoftweirError:
-                    yield Wait(None, 0, self.loop.now() + AGAIN)  # it may be there all the same
+                    yield Wait(None, 0, self.loop.now() + RETRY_DELAY)  # the write may have been applied nevertheless
             else:
-                yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
+                yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         self.neighbours(self.merger().policy.roles)
 
     def neighbours(self, names: Iterable[str]) -> None:
-        """These are the neighbours from now on, where this sidecar writes."""
+        """Sets the neighbours to write tables for, if this sidecar has the lease."""
         duty, machine, names = self.duty, self.fleet.machine, set(names)
         if duty is None or machine is None or duty.may_act() is None or not self.epoch:
             return
         keys: dict[str, list[str]] = {}
-        for key in keys_of(machine.facts, DUTY):
-            to, sign, rest = key.partition("/")
-            if sign:
-                keys.setdefault(to, []).append(rest)
-        for to in self.keeps.keys() - names:
-            self.keeps.pop(to).end()
-        for to in names - self.keeps.keys():
-            keeping = self.keeps[to] = Keeping(self.loop, duty, f"{to}/")
+        for key in stored_keys(machine.facts, DUTY):
+            to, slash, table_key = key.partition("/")
+            if slash:
+                keys.setdefault(to, []).append(table_key)
+        for to in self.writers.keys() - names:
+            self.writers.pop(to).end()
+        for to in names - self.writers.keys():
+            writer = self.writers[to] = TableWriter(self.loop, duty, f"{to}/")
             head = machine.facts.get((DUTY, f"{to}/{replicated_table.HEAD}"))
-            keeping.begin(keys.get(to, ()), head.value if head else None)
-            self._aim(to)
-        left = [f"{to}/{key}" for to in keys.keys() - names for key in keys[to]]
-        if left:
-            self.loop.spawn(self._clear(duty, left))
+            writer.begin(keys.get(to, ()), head.value if head else None)
+            self._set_target(to)
+        obsolete = [f"{to}/{key}" for to in keys.keys() - names for key in keys[to]]
+        if obsolete:
+            self.loop.spawn(self._clear(duty, obsolete))
 
     def _clear(self, duty: Duty, keys: list[str]) -> Coroutine[None]:
-        """Of neighbours that are none any more: heads first. What can't be taken away now is by the next holder."""
+        """Deletes the tables of former neighbours, heads first. What can't be deleted now is left to the next lease
+        holder."""
         try:
             for key in sorted(keys, key=lambda key: not key.endswith(replicated_table.HEAD)):
-                yield from duty.put(key, b"", WITHIN)
+                yield from duty.put(key, b"", WRITE_TIMEOUT)
         except LoftweirError:
             return
 
-    def _aim(self, to: str) -> None:
-        routes = capped(self.merger().merged.shown.get(to, {}), self.limits)
-        chunks = self.cutters.setdefault(to, Cutter()).cut(routes, {})
+    def _set_target(self, to: str) -> None:
+        routes = limit_routes(self.merger().merged.shown.get(to, {}), self.limits)
+        chunks = self.chunkers.setdefault(to, Chunker()).split(routes, {})
         say(PARTNERS_OFFERED, neighbour=to, routes=len(routes))
-        self.keeps[to].aim(Target(written(Head(chunks=tuple(chunks), routes=len(routes))), chunks))
+        self.writers[to].set_target(Target(encode_head(Head(chunks=tuple(chunks), routes=len(routes))), chunks))
--- a/loftweir/partners/standby.py
+++ b/loftweir/partners/standby.py
@@ -1,13 +1,13 @@
-"""A partner's providers in the place of this site's own, while none of these is ready. Pure.
+"""Uses a partner's providers in place of this site's own while none of these is ready. Pure: no I/O and no clock.
 
-The balancer is told of them as of any other, as providers of a zone that is the partner's alone. What terms allow in
-part can't be held here: the balancer knows classes and shares of a zone in no form. So they are told only where the
-terms allow all that this sidecar may send (`unfit`).
+The balancer is notified of them as of any other provider, with a zone of the partner's own. The balancer can't restrict
+classes or shares by zone, so a route is used only if its terms allow everything that this sidecar may send
+(`unusable_reason`).
 
-The rule on repeats holds across sites by names: a keyed request whose repeats are dropped within a zone or a cell
-stays in it, and no zone or cell of a partner has the name of one here. One whose repeats all servers drop might run
-here and, sent again, there; so the partner's are told only where no class is of that kind, or the operators say that
-both sites drop each other's (`shares_keys`).
+The rule on retries holds across sites by names: a keyed request whose duplicates are dropped within a zone or a cell is
+retried only there, and no zone or cell of a partner has the name of one here. If all servers of a site drop duplicates,
+a request might run here and, retried, at the partner too. So the partner's providers are used only if there is no class
+of that kind, or if the operators declare that both sites drop each other's duplicates (`shares_keys`).
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from typing import NamedTuple
 
 from loftweir.interface import Effect, Endpoint, Lifecycle, MembershipUpdate, Scope, Settings, UpdateKind
-from loftweir.partners.merge import Used
+from loftweir.partners.merge import UsedRoute
 
-MS = 1_000_000
-Told = tuple[MembershipUpdate, dict[str, str]]
+MS = 1_000_000  # ns
+AddressedUpdate = tuple[MembershipUpdate, dict[str, str]]  # an update, and host:port of its providers by name
 
 
-class Gate(NamedTuple):
-    """A border provider of a partner, as the balancer is told of it."""
+class BorderProvider(NamedTuple):
+    """A partner's border provider, in the form that the balancer is notified of."""
 
     endpoint: Endpoint
     address: str
 
 
-def unfit(used: Used, settings: Settings, shares_keys: bool) -> str:
-    """Why a route can't be used by this sidecar though its terms name its site; empty: it can."""
+def unusable_reason(used: UsedRoute, settings: Settings, shares_keys: bool) -> str:
+    """The reason why this sidecar can't use a route although its terms allow its site to; empty if it can."""
     route = used.route
-    left_out = sorted(name for name in settings.classes if name.lower() not in route.classes)
-    if left_out:
-        return f"it is not for {', '.join(left_out)}"
+    missing = sorted(name for name in settings.classes if name.lower() not in route.classes)
+    if missing:
+        return f"it is not for {', '.join(missing)}"
     if route.share is not None and route.share < 1:
         return f"its share is {route.share:g}, and a part can't be held to"
     if route.rate is not None:
@@ -46,101 +46,120 @@
     return ""
 
 
-def gates(used: Used, back_at: int) -> dict[str, Gate]:
-    """Its providers, each under a name, zone and cell that nothing of this site has. One is no warmer than the way to
-    its site: what was away comes back as a server does that has just started."""
-    zone, place = f"partner:{used.partner}", int.from_bytes(used.partner.encode(), "big") << 64
+def border_providers(used: UsedRoute, back_at: int) -> dict[str, BorderProvider]:
+    """The route's providers, each with a name, zone and cell that this site does not have.
+
+    None counts as warmer than the way to its site: a partner that has returned is treated like a provider that has just
+    started.
+    """
+    zone, cell_base = f"partner:{used.partner}", int.from_bytes(used.partner.encode(), "big") << 64
     found = {}
-    for one in used.route.providers:
-        name = f"{one.name}@{used.partner}"
-        ready = Lifecycle.READY if one.status == "active" else Lifecycle.DRAINING
-        started_at = max(one.since_ms * MS, back_at)
-        found[name] = Gate(
-            Endpoint(name, zone, one.kind, -1 - place - one.cell, ready, one.weight, started_at), one.address
+    for provider in used.route.providers:
+        name = f"{provider.name}@{used.partner}"
+        lifecycle = Lifecycle.READY if provider.status == "active" else Lifecycle.DRAINING
+        started_at = max(provider.since_ms * MS, back_at)
+        found[name] = BorderProvider(
+            Endpoint(name, zone, provider.kind, -1 - cell_base - provider.cell, lifecycle, provider.weight, started_at),
+            provider.address,
         )
     return found
 
 
 class Standby:
-    """Between discovery's list, as the operators' words have left it, and the balancer.
+    """Adds a partner's providers to the updates between discovery's list, with the operators' overrides, and the
+    balancer.
 
-    Invariants: the balancer has been told `laid` beside this site's own, and nothing of a partner while one of its own
-    is ready, but for those that drain. What is not wanted any more drains first, and goes by `over`."""
+    Invariants: the balancer has been notified of `announced` in addition to this site's own providers. While an own
+    provider is ready, those of a partner only drain. A provider that is no longer wanted drains first and is removed by
+    `end_drain`.
+    """
 
     def __init__(self) -> None:
-        self.known = False  # a list of this site's was told
-        self.own: dict[str, bool] = {}  # its providers, and whether each is ready
-        self.offered: dict[str, Gate] = {}  # of the route that is used
-        self.laid: dict[str, Gate] = {}
+        self.known = False  # whether an endpoint list of this site was received
+        self.own: dict[str, bool] = {}  # this site's providers, and whether each is ready
+        self.offered: dict[str, BorderProvider] = {}  # the providers of the used route
+        self.announced: dict[str, BorderProvider] = {}
 
     @property
     def needed(self) -> bool:
+        """Whether this site has no ready provider."""
         return self.known and not any(self.own.values())
 
-    def update(self, update: MembershipUpdate, addresses: Mapping[str, str]) -> Told:
-        """What is told of this site's own, with what follows from it for the partner's."""
+    def update(self, update: MembershipUpdate, addresses: Mapping[str, str]) -> AddressedUpdate:
+        """An update of this site's own providers, together with the resulting changes of the partner's."""
         if update.kind is UpdateKind.FAILED:
             return update, dict(addresses)
         whole = update.kind is not UpdateKind.CHANGES
         if whole:
             self.own = {}
-        # A start with no list remembered knows nothing yet: what its site has it is soon told.
+        # A start without a remembered list knows nothing yet; discovery's list arrives soon.
         self.known = self.known or update.kind is not UpdateKind.REMEMBERED or bool(update.endpoints)
         for endpoint in update.endpoints:
-            self.laid.pop(endpoint.address, None)  # the name is the own one's now, or free again: told anew
+            # the name now belongs to the site's own provider, or is free again and announced anew
+            self.announced.pop(endpoint.address, None)
             if endpoint.lifecycle is Lifecycle.GONE:
                 self.own.pop(endpoint.address, None)
             else:
                 self.own[endpoint.address] = endpoint.lifecycle is Lifecycle.READY
-        changed = self._lay()
-        told = self.laid if whole else changed
-        return self._with(update, addresses, told)
+        changed = self._announce()
+        return self._added(update, addresses, self.announced if whole else changed)
 
-    def use(self, offered: Mapping[str, Gate]) -> Told | None:
-        """The providers of the route that is used from now on; empty: there is none."""
+    def use(self, offered: Mapping[str, BorderProvider]) -> AddressedUpdate | None:
+        """Sets the providers of the used route; empty if there is none."""
         self.offered = dict(offered)
-        return self._only(self._lay())
+        return self._changes(self._announce())
 
-    def over(self) -> Told | None:
-        """Those that drain have had their time."""
+    def end_drain(self) -> AddressedUpdate | None:
+        """Removes the providers whose time to drain is over."""
         gone = {
-            name: Gate(replace(gate.endpoint, lifecycle=Lifecycle.GONE), gate.address)
-            for name, gate in self.laid.items()
+            name: BorderProvider(replace(provider.endpoint, lifecycle=Lifecycle.GONE), provider.address)
+            for name, provider in self.announced.items()
             if name not in self._wanted()
         }
         for name in gone:
-            del self.laid[name]
-        return self._only(gone)
+            del self.announced[name]
+        return self._changes(gone)
 
-    def _wanted(self) -> dict[str, Gate]:
-        return {name: gate for name, gate in self.offered.items() if name not in self.own} if self.needed else {}
+    def _wanted(self) -> dict[str, BorderProvider]:
+        """The partner's providers that should serve now."""
+        return (
+            {name: provider for name, provider in self.offered.items() if name not in self.own} if self.needed else {}
+        )
 
-    def _lay(self) -> dict[str, Gate]:
-        """What is another from now on."""
+    def _announce(self) -> dict[str, BorderProvider]:
+        """Updates `announced` and returns what changed."""
         wanted = self._wanted()
         after = dict(wanted)
-        for name, gate in self.laid.items():
+        for name, provider in self.announced.items():
             if name not in wanted and name not in self.own:
-                after[name] = Gate(replace(gate.endpoint, lifecycle=Lifecycle.DRAINING), gate.address)
-        changed = {name: gate for name, gate in after.items() if self.laid.get(name) != gate}
-        self.laid = after
+                after[name] = BorderProvider(replace(provider.endpoint, lifecycle=Lifecycle.DRAINING), provider.address)
+        changed = {name: provider for name, provider in after.items() if self.announced.get(name) != provider}
+        self.announced = after
         return changed
 
     @property
-    def drains(self) -> bool:
-        return len(self.laid) > len(self._wanted())
+    def draining(self) -> bool:
+        """Whether a provider drains."""
+        return len(self.announced) > len(self._wanted())
 
     @staticmethod
-    def _with(update: MembershipUpdate, addresses: Mapping[str, str], told: Mapping[str, Gate]) -> Told:
-        endpoints = (*update.endpoints, *(gate.endpoint for gate in told.values()))
-        return replace(update, endpoints=endpoints), {**addresses, **{n: gate.address for n, gate in told.items()}}
+    def _added(
+        update: MembershipUpdate, addresses: Mapping[str, str], changes: Mapping[str, BorderProvider]
+    ) -> AddressedUpdate:
+        """The update with these providers added."""
+        endpoints = (*update.endpoints, *(provider.endpoint for provider in changes.values()))
+        return replace(update, endpoints=endpoints), {
+            **addresses,
+            **{n: provider.address for n, provider in changes.items()},
+        }
 
-    def _only(self, told: Mapping[str, Gate]) -> Told | None:
-        return self._with(MembershipUpdate(UpdateKind.CHANGES), {}, told) if told else None
+    def _changes(self, changes: Mapping[str, BorderProvider]) -> AddressedUpdate | None:
+        """An update of these providers alone; None if there are none."""
+        return self._added(MembershipUpdate(UpdateKind.CHANGES), {}, changes) if changes else None
 
 
-def counted(names: Iterable[str]) -> str:
-    """`a:2,b:1`, for a line."""
+def format_counts(names: Iterable[str]) -> str:
+    """Counts names in the form `a:2,b:1`, for a status line."""
     found: dict[str, int] = {}
     for name in names:
         found[name] = found.get(name, 0) + 1
