--- a/loftweir/partners/table.py
+++ b/loftweir/partners/table.py
@@ -1,15 +1,19 @@
-"""A partner's table of routes: its JSON form, read and written; what holds after an answer. No I/O, no clock.
+"""A partner's route table: how its JSON form is read and written, and which table results from a response.
+
+No I/O and no clock.
 
     {"site": "bergen", "epoch": 7, "index": 12, "snapshot": true, "to": "...", "sum": "0a1b...", "routes": [...]}
     {"site": "bergen", "epoch": 7, "index": 13, "snapshot": false, "after": 12, ..., "routes": [], "withdrawn": [...]}
 
-`epoch` grows with each start of whoever offers the table and lost its index; `index` with each change. `to` is the
-asker's own mark of this one question: an answer to another is none. `sum` is of all the routes as they stand after the
-answer, over the bytes of each: it tells an answer cut short, and changes laid over another table than they follow.
+`epoch` grows whenever the offering site starts without its former index; `index` grows with each change. `to` repeats
+the nonce of the request: a response with another nonce is not the response to this request. `sum` is a checksum over
+the bytes of all routes as they stand after the response. It detects a truncated response, and changes that were applied
+to another table than the one they follow.
 
-Invariant: what is held is the last table that was good as a whole. One with a fault anywhere is refused whole, with the
-place of the fault in each route, and so is one over a limit (RFC 4486, section 4: the maximum of prefixes ends the
-session; here the last good table stays until its hold time is over).
+Invariant: the stored table is the last one that was valid as a whole. A table with a fault in any route is rejected as
+a whole, and the error gives the place of the first fault in each route. The same holds for a table over a limit (RFC
+4486, section 4: exceeding the maximum number of prefixes ends the session; here the last valid table stays until its
+hold time has expired).
 """
 
 from __future__ import annotations
@@ -24,34 +28,36 @@
 
 from loftweir.config.units import LABEL, NAME, host_and_port
 from loftweir.errors import LoftweirError
-from loftweir.partners.terms import Terms, plain, read_terms
+from loftweir.partners.terms import Terms, parse_terms, terms_to_json
 
-SHOWN = 20  # faults that an error repeats
-LONGEST = 253  # characters of a name, RFC 1035, section 2.3.4
-MASK = (1 << 64) - 1
+MAX_LISTED_FAULTS = 20  # faults that an error message lists
+MAX_NAME_LENGTH = 253  # characters, RFC 1035, section 2.3.4
+CHECKSUM_MASK = (1 << 64) - 1
 
 Label = Annotated[str, Meta(pattern=rf"\A{LABEL}\Z")]
-Name = Annotated[str, Meta(pattern=rf"\A{NAME}\Z", max_length=LONGEST)]
-Service = Annotated[str, Meta(pattern=rf"\A{NAME}@{NAME}\Z", max_length=LONGEST)]
-Number = Annotated[int, Meta(ge=0, le=MASK >> 1)]
-Above = Annotated[float, Meta(gt=0, le=1e12)]
+Name = Annotated[str, Meta(pattern=rf"\A{NAME}\Z", max_length=MAX_NAME_LENGTH)]
+Service = Annotated[str, Meta(pattern=rf"\A{NAME}@{NAME}\Z", max_length=MAX_NAME_LENGTH)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=CHECKSUM_MASK >> 1)]
+PositiveFloat = Annotated[float, Meta(gt=0, le=1e12)]
 
 
 class Limits(NamedTuple):
-    """Of one partner's table."""
+    """The limits of one partner's table."""
 
-    bytes: int = 8 * 1024 * 1024
+    bytes: int = 8 * 1024 * 1024  # of one response
     routes: int = 2000
-    path: int = 8
-    providers: int = 64
-    names: int = 64  # classes of a route
+    path: int = 8  # sites
+    providers: int = 64  # of one route
+    classes: int = 64  # of one route
 
 
-LIMITS = Limits()
+DEFAULT_LIMITS = Limits()
 
 
 class Fault(NamedTuple):
-    place: str  # as routes.3.providers.0.name; empty: the table as a whole
+    """One fault of a table and what was expected in its place."""
+
+    place: str  # such as routes.3.providers.0.name; empty: the table as a whole
     expected: str
 
     def __str__(self) -> str:
@@ -59,8 +65,8 @@
 
 
 class BadTable(LoftweirError, ValueError):
-    """A partner's table is refused whole, and the last good one stays: each of the `faults` has its place and what was
-    expected there."""
+    """A partner's table is rejected as a whole, and the last valid one stays in use. Each of the `faults` gives its
+    place and what was expected there."""
 
     remedy = (
         "Tell the partner's operators the places that are named. Its routes are used from the last good table until "
@@ -68,14 +74,14 @@
     )
 
     def __init__(self, partner: str, faults: list[Fault]) -> None:
-        more = f"; {len(faults) - SHOWN} more" if len(faults) > SHOWN else ""
-        super().__init__("; ".join(map(str, faults[:SHOWN])) + more, f"partner {partner}")
+        more = f"; {len(faults) - MAX_LISTED_FAULTS} more" if len(faults) > MAX_LISTED_FAULTS else ""
+        super().__init__("; ".join(map(str, faults[:MAX_LISTED_FAULTS])) + more, f"partner {partner}")
         self.partner, self.faults = partner, faults
 
 
 class OldTable(BadTable):
-    """A partner's table is refused since it is older than the one held, follows another one, or answers another
-    question: it was sent before, or passed by something that keeps answers."""
+    """A partner's table is rejected because it is older than the stored one, follows another one, or answers another
+    request: it is a repeat of an earlier response, or something between the sites caches responses."""
 
     remedy = (
         "If it goes on, see that nothing between the two sites keeps answers, and that the partner's epoch grows with "
@@ -84,53 +90,57 @@
 
 
 class Provider(msgspec.Struct, frozen=True, gc=False, rename={"kind": "type", "cell": "group"}):
-    """A border provider, in the words of discovery's list."""
+    """A border provider of the partner, with the fields of discovery's list."""
 
     name: Name
-    address: Annotated[str, Meta(max_length=LONGEST + 6)]
+    address: Annotated[str, Meta(max_length=MAX_NAME_LENGTH + 6)]
     zone: Label
     kind: Label
-    cell: Number = 0
+    cell: NonNegativeInt = 0
     status: Literal["active", "leaving"] = "active"
-    weight: Above = 1.0
-    since_ms: Number = 0
+    weight: PositiveFloat = 1.0
+    since_ms: NonNegativeInt = 0
 
 
 class Route(msgspec.Struct, frozen=True, gc=False):
-    """Names are in small letters. Equal routes say the same."""
+    """A route to one service. All names are in lower case; equal routes have equal fields."""
 
     service: str
-    path: tuple[str, ...]  # sites: the one that told it first, the one whose own it is last
+    path: tuple[str, ...]  # sites that the route passed: the sender first, the route's own site last
     providers: tuple[Provider, ...]
     classes: tuple[str, ...]
-    share: float | None  # the part of the service's work that may be sent; None: not said
-    rate: float | None  # invocations a second that may be sent; None: not said
-    valid_for: int  # ns since the partner last answered
+    share: float | None  # fraction of the service's requests that may be sent; None: not stated
+    rate: float | None  # invocations per second that may be sent; None: not stated
+    valid_for: int  # ns since the partner's last response
     terms: Terms
-    marked: str = ""  # the site that marked it as only for sites downstream (RFC 9234, section 5)
+    marked: str = ""  # the site that marked it as meant for downstream sites only (RFC 9234, section 5)
 
 
 class Table(msgspec.Struct, frozen=True):
-    """What a partner offers as of an index. Never changed in place; unchanged routes stay the same objects."""
+    """The routes that a partner offers as of an index. A table is never modified; unchanged routes stay the same
+    objects in the next one."""
 
     site: str
     epoch: int
     index: int
     routes: dict[str, Route] = {}
-    sums: dict[str, int] = {}  # by service, of the bytes as they came
+    sums: dict[str, int] = {}  # checksum of each route's bytes as received, by service
     sum: int = 0
 
     @property
-    def mark(self) -> tuple[int, int]:
+    def position(self) -> tuple[int, int]:
+        """Epoch and index, by which tables of one partner are ordered."""
         return self.epoch, self.index
 
     @property
     def etag(self) -> str:
+        """A text that differs between tables of different content."""
         return f"{self.epoch}.{self.index}.{self.sum:016x}"
 
 
-class _Route(msgspec.Struct):
-    """The JSON form; fields that are not known are passed over: only terms can restrict, and they are read apart."""
+class _RouteForm(msgspec.Struct):
+    """The JSON form of a route. Unknown fields are ignored: only terms can restrict a route, and they are parsed
+    separately."""
 
     service: Service
     path: Annotated[tuple[Label, ...], Meta(min_length=1)]
@@ -139,29 +149,29 @@
     valid_for: Annotated[int, Meta(ge=1, le=86_400_000_000_000)]
     terms: msgspec.Raw = msgspec.Raw(b"null")
     share: Annotated[float, Meta(gt=0, le=1)] | None = None
-    rate: Above | None = None
+    rate: PositiveFloat | None = None
     marked: Label | Literal[""] = ""
 
 
-class _Answer(msgspec.Struct):
+class _ResponseForm(msgspec.Struct):
     site: Label
-    epoch: Number
-    index: Number
+    epoch: NonNegativeInt
+    index: NonNegativeInt
     snapshot: bool
     sum: Annotated[str, Meta(pattern=r"\A[0-9a-f]{16}\Z")]
     to: Annotated[str, Meta(max_length=128)] = ""
-    after: Number | None = None
+    after: NonNegativeInt | None = None
     routes: list[msgspec.Raw] = []
     withdrawn: list[Service] = []
 
 
-class Told(msgspec.Struct, frozen=True):
-    """An answer that is well formed."""
+class TableResponse(msgspec.Struct, frozen=True):
+    """A well-formed response of a partner."""
 
     site: str
     epoch: int
     index: int
-    after: int | None  # None: the whole table
+    after: int | None  # the index that the changes follow; None: the response has the whole table
     to: str
     sum: int
     routes: dict[str, Route]
@@ -169,110 +179,123 @@
     withdrawn: tuple[str, ...]
 
 
-_ANSWER, _ROUTE = msgspec.json.Decoder(_Answer), msgspec.json.Decoder(_Route)
-_PROVIDERS = msgspec.json.Decoder(tuple[Provider, ...])
-_AT = re.compile(r"(.*) - at `\$(.*)`", re.DOTALL)
+_RESPONSE_DECODER = msgspec.json.Decoder(_ResponseForm)
+_ROUTE_DECODER = msgspec.json.Decoder(_RouteForm)
+_PROVIDERS_DECODER = msgspec.json.Decoder(tuple[Provider, ...])
+_FAULT_PLACE = re.compile(r"(.*) - at `\$(.*)`", re.DOTALL)
 
 
-def summed(raw: bytes | memoryview) -> int:
-    return int.from_bytes(blake2b(raw, digest_size=8).digest(), "big")
+def checksum(encoded: bytes | memoryview) -> int:
+    """The 64-bit checksum of a route's JSON form."""
+    return int.from_bytes(blake2b(encoded, digest_size=8).digest(), "big")
 
 
-def read(data: bytes, partner: str, limits: Limits = LIMITS) -> Told:
-    """An answer of this partner in its JSON form; `BadTable` names every route's first fault and its place."""
+def parse_response(data: bytes, partner: str, limits: Limits = DEFAULT_LIMITS) -> TableResponse:
+    """Parses a response of the partner. Raises `BadTable`, which names every route's first fault and its place."""
     if len(data) > limits.bytes:
         raise BadTable(partner, [Fault("", f"at most {limits.bytes} bytes, not {len(data)}")])
     try:
-        answer = _ANSWER.decode(data)
+        response = _RESPONSE_DECODER.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise BadTable(partner, [_fault("", error)]) from None
+        raise BadTable(partner, [_parse_fault("", error)]) from None
     faults: list[Fault] = []
-    if answer.site.lower() != partner:
-        faults.append(Fault("site", f"{partner}, whose table was asked for"))
-    if answer.snapshot is not (answer.after is None):
-        faults.append(Fault("after", "there where snapshot is false, and only there"))
-    if answer.snapshot and answer.withdrawn:
-        faults.append(Fault("withdrawn", "only where snapshot is false"))
+    if response.site.lower() != partner:
+        faults.append(Fault("site", f"{partner}, the partner that was asked"))
+    if response.snapshot is not (response.after is None):
+        faults.append(Fault("after", "present if snapshot is false, and only then"))
+    if response.snapshot and response.withdrawn:
+        faults.append(Fault("withdrawn", "present only if snapshot is false"))
     for name in ("routes", "withdrawn"):
-        if len(getattr(answer, name)) > limits.routes:
-            faults.append(Fault(name, f"at most {limits.routes}"))
+        if len(getattr(response, name)) > limits.routes:
+            faults.append(Fault(name, f"at most {limits.routes} entries"))
     if faults:
         raise BadTable(partner, faults)
     routes: dict[str, Route] = {}
     sums: dict[str, int] = {}
-    withdrawn = tuple(name.lower() for name in answer.withdrawn)
-    known: dict[bytes, Any] = {}  # most routes of a partner have one border and few kinds of terms: read once
-    for number, raw in enumerate(answer.routes):
+    withdrawn = tuple(name.lower() for name in response.withdrawn)
+    # most routes of a partner have the same providers and one of few terms, so each is parsed once
+    parsed: dict[bytes, Any] = {}
+    for number, row in enumerate(response.routes):
         try:
-            route = _route(_ROUTE.decode(raw), partner, limits, known)
+            route = _build_route(_ROUTE_DECODER.decode(row), partner, limits, parsed)
             if route.service in routes or route.service in withdrawn:
-                raise ValueError("one word on each service - at `$.service`")
+                raise ValueError("each service once - at `$.service`")
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            faults.append(_fault(f"routes.{number}", error))
+            faults.append(_parse_fault(f"routes.{number}", error))
             continue
         routes[route.service] = route
-        sums[route.service] = summed(raw)
+        sums[route.service] = checksum(row)
     if faults:
         raise BadTable(partner, faults)
-    return Told(
-        partner, answer.epoch, answer.index, answer.after, answer.to, int(answer.sum, 16), routes, sums, withdrawn
+    return TableResponse(
+        partner,
+        response.epoch,
+        response.index,
+        response.after,
+        response.to,
+        int(response.sum, 16),
+        routes,
+        sums,
+        withdrawn,
     )
 
 
-def _fault(place: str, error: Exception) -> Fault:
-    found = _AT.fullmatch(str(error))
+def _parse_fault(place: str, error: Exception) -> Fault:
+    """The fault that a message of msgspec, or one in its format, describes; `place`: of the decoded part."""
+    found = _FAULT_PLACE.fullmatch(str(error))
     if found is None:
-        return Fault(place, str(error) or "JSON that is not so deep")
+        return Fault(place, str(error) or "JSON that is nested less deeply")
     at = re.sub(r"\[(\d+|\.\.\.)\]", r".\1", found[2]).lstrip(".")
     return Fault(".".join(filter(None, (place, at))), found[1])
 
 
-def one_route(row: Any, site: str, limits: Limits = LIMITS) -> Route:
-    """A route of this site in its JSON form, as an operator's file has it. `BadTable` has its first fault, with the
-    place in the route."""
+def parse_route(row: Any, site: str, limits: Limits = DEFAULT_LIMITS) -> Route:
+    """Parses a route of this site as it stands in the operator's file. Raises `BadTable` with the first fault and its
+    place within the route."""
     try:
-        return _route(_ROUTE.decode(msgspec.json.encode(row)), site, limits, {})
+        return _build_route(_ROUTE_DECODER.decode(msgspec.json.encode(row)), site, limits, {})
     except (msgspec.MsgspecError, ValueError, RecursionError, TypeError) as error:
-        raise BadTable(site, [_fault("", error)]) from None
+        raise BadTable(site, [_parse_fault("", error)]) from None
 
 
-def _route(found: _Route, partner: str, limits: Limits, known: dict[bytes, Any]) -> Route:
-    """The kept form; a ValueError says what is wrong and where, in msgspec's way."""
-    path = tuple(map(str.lower, found.path))
+def _build_route(form: _RouteForm, partner: str, limits: Limits, parsed: dict[bytes, Any]) -> Route:
+    """Checks a route and builds the form that is stored. Raises ValueError with the fault and its place, in the format
+    of msgspec's messages."""
+    path = tuple(map(str.lower, form.path))
     if path[0] != partner:  # RFC 4271, section 6.3; RFC 7454, section 9
-        raise ValueError(f"{partner} as its first - at `$.path`")
+        raise ValueError(f"{partner} as its first site - at `$.path`")
     if len(set(path)) < len(path) or len(path) > limits.path:
         raise ValueError(f"at most {limits.path} sites, each once - at `$.path`")
-    if len(found.classes) > limits.names:
-        raise ValueError(f"at most {limits.names} - at `$.classes`")
-    if found.share is None and found.rate is None:
+    if len(form.classes) > limits.classes:
+        raise ValueError(f"at most {limits.classes} classes - at `$.classes`")
+    if form.share is None and form.rate is None:
         raise ValueError("share, rate or both - at `$.share`")
-    written, terms = bytes(found.providers), bytes(found.terms)
-    if written not in known:
-        known[written] = _providers(written, limits)
-    if terms not in known:
-        known[terms] = read_terms(msgspec.json.decode(terms))
+    providers, terms = bytes(form.providers), bytes(form.terms)
+    if providers not in parsed:
+        parsed[providers] = _parse_providers(providers, limits)
+    if terms not in parsed:
+        parsed[terms] = parse_terms(msgspec.json.decode(terms))
     return Route(
-        found.service.lower(),
+        form.service.lower(),
         path,
-        known[written],
-        tuple(map(str.lower, found.classes)),
-        found.share,
-        found.rate,
-        found.valid_for,
-        known[terms],
-        found.marked.lower(),
+        parsed[providers],
+        tuple(map(str.lower, form.classes)),
+        form.share,
+        form.rate,
+        form.valid_for,
+        parsed[terms],
+        form.marked.lower(),
     )
 
 
-def _providers(raw: bytes, limits: Limits) -> tuple[Provider, ...]:
+def _parse_providers(encoded: bytes, limits: Limits) -> tuple[Provider, ...]:
     try:
-        providers = _PROVIDERS.decode(raw)
+        providers = _PROVIDERS_DECODER.decode(encoded)
     except msgspec.MsgspecError as error:
         what, _, at = str(error).partition(" - at `$")
         raise ValueError(f"{what} - at `$.providers{at or '`'}") from None
     if len(providers) > limits.providers:
-        raise ValueError(f"at most {limits.providers} - at `$.providers`")
+        raise ValueError(f"at most {limits.providers} providers - at `$.providers`")
     found: dict[str, Provider] = {}
     for number, provider in enumerate(providers):
         name = provider.name.lower()
@@ -286,94 +309,99 @@
     return tuple(found.values())
 
 
-def taken(held: Table | None, told: Told, limits: Limits = LIMITS) -> Table:
-    """The table that holds after an answer. `OldTable`: it was said before, or follows another than the one held;
-    `BadTable`: its sum or its size is not as it must be. Either way `held` goes on to hold."""
-    fits(held, told)
-    if told.after is None or held is None:
-        routes, sums = told.routes, told.sums
+def apply_response(current: Table | None, response: TableResponse, limits: Limits = DEFAULT_LIMITS) -> Table:
+    """The table that results from a response. Raises `OldTable` if the response is a repeat or does not follow
+    `current`, `BadTable` if its checksum or size is wrong. In either case `current` stays valid."""
+    check_order(current, response)
+    if response.after is None or current is None:
+        routes, sums = response.routes, response.sums
     else:
-        if not told.routes and not told.withdrawn and told.index == held.index:
-            routes, sums = held.routes, held.sums
+        if not response.routes and not response.withdrawn and response.index == current.index:
+            routes, sums = current.routes, current.sums
         else:
-            routes, sums = {**held.routes, **told.routes}, {**held.sums, **told.sums}
-            for service in told.withdrawn:
+            routes, sums = {**current.routes, **response.routes}, {**current.sums, **response.sums}
+            for service in response.withdrawn:
                 routes.pop(service, None)
                 sums.pop(service, None)
         if len(routes) > limits.routes:
-            raise BadTable(told.site, [Fault("routes", f"at most {limits.routes}, with those held")])
-    total = sum(sums.values()) & MASK
-    if total != told.sum:
-        raise BadTable(told.site, [Fault("sum", f"{total:016x}, of the routes as they came")])
-    if held is not None and routes is held.routes:
-        return held
-    return Table(told.site, told.epoch, told.index, routes, sums, total)
-
-
-def fits(held: Table | None, told: Told) -> None:
-    """`OldTable` unless the answer goes on from what is held, or stands by itself and is later."""
-    why = ""
-    if told.after is not None:
-        if held is None or (told.epoch, told.after) != held.mark:
-            why = "a whole table, or changes after the one held"
-        elif told.index < told.after or (told.index == told.after and (told.routes or told.withdrawn)):
-            why = f"an index after {told.after}"
-    elif held is not None and (told.epoch, told.index) <= held.mark:
-        why = f"later than {held.epoch}.{held.index}, not {told.epoch}.{told.index}"
-    if why:
-        raise OldTable(told.site, [Fault("index", why)])
-
-
-def later(one: Table | None, other: Table | None) -> Table | None:
-    """Of two tables of one partner the one that holds. Commutative, associative, idempotent: of two with one mark,
-    which only a partner that does not keep to the rules makes, the sum decides."""
+            raise BadTable(response.site, [Fault("routes", f"at most {limits.routes}, together with the stored ones")])
+    total = sum(sums.values()) & CHECKSUM_MASK
+    if total != response.sum:
+        raise BadTable(response.site, [Fault("sum", f"{total:016x}, the checksum of the received routes")])
+    if current is not None and routes is current.routes:
+        return current
+    return Table(response.site, response.epoch, response.index, routes, sums, total)
+
+
+def check_order(current: Table | None, response: TableResponse) -> None:
+    """Raises `OldTable` unless the response continues the current table, or is a whole table that is newer."""
+    reason = ""
+    if response.after is not None:
+        if current is None or (response.epoch, response.after) != current.position:
+            reason = "a whole table, or changes that follow the stored one"
+        elif response.index < response.after or (
+            response.index == response.after and (response.routes or response.withdrawn)
+        ):
+            reason = f"an index after {response.after}"
+    elif current is not None and (response.epoch, response.index) <= current.position:
+        reason = f"later than {current.epoch}.{current.index}, not {response.epoch}.{response.index}"
+    if reason:
+        raise OldTable(response.site, [Fault("index", reason)])
+
+
+def newer_table(one: Table | None, other: Table | None) -> Table | None:
+    """The newer of two tables of one partner. Commutative, associative, idempotent. Two tables with the same epoch and
+    index come only from a partner that breaks the protocol; then the checksum decides."""
     if one is None or other is None:
         return one or other
-    return max(one, other, key=lambda table: (table.epoch, table.index, table.sum, kept(table)))
+    return max(one, other, key=lambda table: (table.epoch, table.index, table.sum, encode_table(table)))
 
 
-def kept(table: Table) -> bytes:
-    """For the copies, as msgpack."""
+def encode_table(table: Table) -> bytes:
+    """The table in msgpack, for the replicated state."""
     return msgspec.msgpack.encode(table, order="deterministic")
 
 
-def restored(data: bytes) -> Table:
-    """Raises `msgspec.MsgspecError` if it is none of `kept`."""
+def decode_table(data: bytes) -> Table:
+    """The inverse of `encode_table`. Raises `msgspec.MsgspecError` for other data."""
     return msgspec.msgpack.decode(data, type=Table)
 
 
-def written(route: Route) -> bytes:
-    """A route's JSON form."""
+def encode_route(route: Route) -> bytes:
+    """The JSON form of a route."""
     value: dict[str, Any] = {name: getattr(route, name) for name in route.__struct_fields__}
-    value["terms"] = plain(route.terms)
+    value["terms"] = terms_to_json(route.terms)
     return msgspec.json.encode({name: part for name, part in value.items() if part not in (None, "")})
 
 
 class Offer:
-    """The table that this site offers to one neighbour, from which it answers.
+    """The table that this site offers to one neighbour, from which requests are answered.
 
-    Invariant: of each service that changed after `floor`, `changed` has the index; what is older is told whole.
+    Invariant: `changed` has the index of the last change of each service that changed after `floor`. A neighbour whose
+    index is older than `floor` gets the whole table.
     """
 
-    REMEMBERED = 4096  # withdrawn services, so that changes can be told
+    MAX_WITHDRAWN = 4096  # withdrawn services that are remembered, so that a response can have the changes only
 
-    def __init__(self, site: str, epoch: int, limits: Limits = LIMITS) -> None:
-        """`epoch`: above all before of this site, as a counter in the copies or, with none, the time of the start."""
+    def __init__(self, site: str, epoch: int, limits: Limits = DEFAULT_LIMITS) -> None:
+        """`epoch`: greater than all earlier ones of this site, such as a replicated counter or, without one, the time
+        of the start."""
         self.site, self.epoch, self.index, self.limits = site, epoch, 0, limits
         self.routes: dict[str, Route] = {}
-        self.raw: dict[str, bytes] = {}
+        self.encoded: dict[str, bytes] = {}
         self.sum = 0
-        self.changed: dict[str, int] = {}  # those that were withdrawn too
+        self.changed: dict[str, int] = {}  # includes withdrawn services
         self.floor = 0
 
-    def put(self, routes: Mapping[str, Route], index: int | None = None) -> bool:
-        """What is offered from now on; whether that changed anything. What is over the limit is left out: whoever reads
-        it would refuse all of it. `index`: of this table, above the one before, where something else counts them."""
-        routes = capped(routes, self.limits)
+    def replace(self, routes: Mapping[str, Route], index: int | None = None) -> bool:
+        """Replaces the offered routes; returns whether anything changed. Routes over the limit are left out, because
+        the neighbour would otherwise reject the whole table. `index`: of the new table, greater than the previous one,
+        where the caller counts the changes."""
+        routes = limit_routes(routes, self.limits)
         names = [name for name, route in routes.items() if self.routes.get(name) is not route]
         names += [name for name in self.routes if name not in routes]
-        new = {name: written(routes[name]) if name in routes else b"" for name in names}
-        new = {name: raw for name, raw in new.items() if self.raw.get(name, b"") != raw}
+        new = {name: encode_route(routes[name]) if name in routes else b"" for name in names}
+        new = {name: encoded for name, encoded in new.items() if self.encoded.get(name, b"") != encoded}
         self.routes = dict(routes)
         if index is not None:
             self.index = index
@@ -381,37 +409,39 @@
             return False
         if index is None:
             self.index += 1
-        for name, raw in new.items():
-            before = self.raw.pop(name, b"")
-            self.sum = (self.sum - (summed(before) if before else 0) + (summed(raw) if raw else 0)) & MASK
-            if raw:
-                self.raw[name] = raw
+        for name, encoded in new.items():
+            before = self.encoded.pop(name, b"")
+            self.sum = (
+                self.sum - (checksum(before) if before else 0) + (checksum(encoded) if encoded else 0)
+            ) & CHECKSUM_MASK
+            if encoded:
+                self.encoded[name] = encoded
             self.changed[name] = self.index
-        if len(self.changed) > len(self.raw) + self.REMEMBERED:
+        if len(self.changed) > len(self.encoded) + self.MAX_WITHDRAWN:
             self.floor = self.index
-            self.changed = dict.fromkeys(self.raw, self.index)
+            self.changed = dict.fromkeys(self.encoded, self.index)
         return True
 
-    def news(self, after: tuple[int, int] | None) -> bool:
-        """Whether whoever holds this mark (epoch, index) has something to be told at once."""
+    def has_changes(self, after: tuple[int, int] | None) -> bool:
+        """Whether a neighbour at this position (epoch, index) gets a response at once."""
         return after != (self.epoch, self.index)
 
-    def answer(self, after: tuple[int, int] | None, to: str = "") -> bytes:
-        """The changes after a mark; the whole table where these are not known."""
+    def response(self, after: tuple[int, int] | None, to: str = "") -> bytes:
+        """The JSON response with the changes after a position, or with the whole table if these are not known."""
         head = {"site": self.site, "epoch": self.epoch, "index": self.index, "sum": f"{self.sum:016x}", "to": to}
-        known = after is not None and after[0] == self.epoch and self.floor <= after[1] <= self.index
-        names = [name for name, index in self.changed.items() if known and after is not None and index > after[1]]
-        if after is None or not known or len(names) > self.limits.routes:
-            rows = list(self.raw.values())
+        has_history = after is not None and after[0] == self.epoch and self.floor <= after[1] <= self.index
+        names = [name for name, index in self.changed.items() if has_history and after is not None and index > after[1]]
+        if after is None or not has_history or len(names) > self.limits.routes:
+            rows = list(self.encoded.values())
             return msgspec.json.encode({**head, "snapshot": True, "routes": list(map(msgspec.Raw, rows))})
-        rows = [self.raw[name] for name in names if name in self.raw]
-        out = [name for name in names if name not in self.raw]
-        changes = {"snapshot": False, "after": after[1], "routes": list(map(msgspec.Raw, rows)), "withdrawn": out}
+        rows = [self.encoded[name] for name in names if name in self.encoded]
+        withdrawn = [name for name in names if name not in self.encoded]
+        changes = {"snapshot": False, "after": after[1], "routes": list(map(msgspec.Raw, rows)), "withdrawn": withdrawn}
         return msgspec.json.encode({**head, **changes})
 
 
-def capped(routes: Mapping[str, Route], limits: Limits) -> Mapping[str, Route]:
-    """At most as many as a reader takes: the shorter paths, this site's own first, then by name."""
+def limit_routes(routes: Mapping[str, Route], limits: Limits) -> Mapping[str, Route]:
+    """As many routes as a neighbour accepts: those with the shorter paths, this site's own first, then by name."""
     if len(routes) <= limits.routes:
         return routes
     first = sorted(routes, key=lambda name: (len(routes[name].path), name))[: limits.routes]
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -13,7 +13,7 @@
 from fleet_scene import FleetScene
 from scene import Party, reply
 
-from loftweir.partners.table import Offer, one_route
+from loftweir.partners.table import Offer, parse_route
 from loftweir.replication import wire
 from loftweir.replication.machine import Fenced, Machine, Ok, Order
 
@@ -45,7 +45,7 @@
 
     def put(self, *rows):
         with self.news:
-            self.offer.put({r["service"]: one_route({"path": [self.site], **r}, self.site) for r in rows})
+            self.offer.replace({r["service"]: parse_route({"path": [self.site], **r}, self.site) for r in rows})
             self.news.notify_all()
 
     def begin_anew(self, *rows, epoch=1):
@@ -64,11 +64,11 @@
         after = tuple(map(int, query["after"].split("."))) if "after" in query else None
         with self.news:
             self.asks.append((query["to"].partition(".")[0], after))
-            self.news.wait_for(lambda: not self.silent and self.offer.news(after), int(query["wait_ms"]) / 1000)
+            self.news.wait_for(lambda: not self.silent and self.offer.has_changes(after), int(query["wait_ms"]) / 1000)
             if self.silent:
                 self.news.wait_for(lambda: not self.silent, 30)
                 return None
-            return self.change(self.offer.answer(after, query["to"]))
+            return self.change(self.offer.response(after, query["to"]))
 
     def change(self, body):
         return reply(200, body)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -33,7 +33,7 @@
 from loftweir.emulator import meshes
 from loftweir.emulator.meshes import HERE, World, used
 from loftweir.interface import Effect, Endpoint, Lifecycle, RequestClass, Scope, UpdateKind
-from loftweir.partners.merge import Left, Reason
+from loftweir.partners.merge import Reason, UnusedRoute
 
 FEW = settings(derandomize=True, max_examples=60, deadline=None)
 CLAUSES = st.builds(clause, st.sampled_from(Effect), st.sampled_from(Scope), st.integers(0, 3), st.integers(1, 3))
@@ -59,8 +59,8 @@
 
 
 def test_a_host_names_the_service_in_every_form_and_what_is_not_there_says_why():
-    left = {"in@bb": {"bb": Left(Reason.EXCLUDED)}, "old@bb": {"bb": Left(Reason.STALE)}}
-    left["odd@bb"] = {"bb": Left(Reason.LEAKED, "cc")}
+    left = {"in@bb": {"bb": UnusedRoute(Reason.EXCLUDED)}, "old@bb": {"bb": UnusedRoute(Reason.STALE)}}
+    left["odd@bb"] = {"bb": UnusedRoute(Reason.LEAKED, "cc")}
     routes = {name: used(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
     routes["shop@bb.example"] = used("shop@bb.example", "site-b")
     table = dict.fromkeys(("shop@bb.example", "old@bb", "in@bb", "odd@bb"), claim(1))
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -22,8 +22,8 @@
 from loftweir.interface import Effect, Outcome
 from loftweir.net.loop import Loop
 from loftweir.net.stream import NotUp
-from loftweir.partners.merge import Used
-from loftweir.partners.table import one_route
+from loftweir.partners.merge import UsedRoute
+from loftweir.partners.table import parse_route
 
 
 def called(sidecar, host, kind=READ, timeout=8, request_id=None):
@@ -249,7 +249,7 @@
 def test_a_copy_here_does_not_speak_for_another_mesh_that_says_nothing():
     declared = Declaration({name: clause(Effect.REPEATABLE) for name in CLASSES})
     for name, effect in (("orders@mill", Effect.ONCE), ("orders@oslo", Effect.REPEATABLE)):
-        used = Used("bergen", one_route({"path": ["bergen"], **row(name)}, "bergen"))
+        used = UsedRoute("bergen", parse_route({"path": ["bergen"], **row(name)}, "bergen"))
         catalog = Catalog(Site_("oslo", "a", {"bergen": name.partition("@")[2]}))
         catalog.change(State(own={name: Own(declared=declared)}, used={name: used}))
         assert {one.effect for one in catalog.find(name).contract.values()} == {effect}, name
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -17,13 +17,13 @@
 from loftweir.net.loop import Loop, Wait
 from loftweir.partners import file
 from loftweir.partners import replicated_table as copies
-from loftweir.partners.keeping import Keeping, NotKept, Target
-from loftweir.partners.link import Link, NotAnswered
-from loftweir.partners.merge import Standing, Used
-from loftweir.partners.replicated_table import Cutter, Head, NotReadable, Shelf, written
-from loftweir.partners.session import Ask, Session, State, Timing
-from loftweir.partners.standby import Standby, gates, unfit
-from loftweir.partners.table import BadTable, Limits, OldTable, Table, fits, one_route, read
+from loftweir.partners.keeping import NotKept, TableWriter, Target
+from loftweir.partners.link import NotAnswered, PartnerClient
+from loftweir.partners.merge import Freshness, UsedRoute
+from loftweir.partners.replicated_table import Chunker, Head, NotReadable, TableReader, encode_head
+from loftweir.partners.session import SendRequest, Session, SessionState, Timing
+from loftweir.partners.standby import Standby, border_providers, unusable_reason
+from loftweir.partners.table import BadTable, Limits, OldTable, Table, check_order, parse_response, parse_route
 from loftweir.replication.machine import Acquire, Fact, Fenced, Full, Lease, Lower, Machine, NotHeld, Ok, Release
 
 DUTY = "partner:bergen"
@@ -31,7 +31,7 @@
 
 
 def route(n, version=0):
-    return one_route({"path": ["bergen"], **row(f"s{n}@shop", terms={"passes": version})}, "bergen")
+    return parse_route({"path": ["bergen"], **row(f"s{n}@shop", terms={"passes": version})}, "bergen")
 
 
 class Kept:
@@ -56,79 +56,81 @@
         yield
 
 
-def aim(cutter, routes, index):
-    chunks = cutter.cut(routes, {name: n for n, name in enumerate(routes)})
+def target(chunker, routes, index):
+    chunks = chunker.split(routes, {name: n for n, name in enumerate(routes)})
     head = Head(chunks=tuple(chunks), routes=len(routes), table=("bergen", 1, index), confirmed_at=index)
-    return Target(written(head), chunks)
+    return Target(encode_head(head), chunks)
 
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.dictionaries(st.integers(0, 150), st.integers(0, 2), max_size=120), st.integers(0, 9))))
 def test_a_table_is_there_whole_or_not_at_all_whoever_was_killed_in_it(steps):
-    kept, shelf, allowed = Kept(), Shelf(DUTY), [{}]
+    kept, reader, allowed = Kept(), TableReader(DUTY), [{}]
 
     def check():
-        shelf.read(kept.facts, SECOND)
-        assert shelf.routes in allowed
-        fresh = Shelf(DUTY)  # one that sees only this
+        reader.read(kept.facts, SECOND)
+        assert reader.routes in allowed
+        fresh = TableReader(DUTY)  # one that sees only this
         fresh.read(kept.facts, SECOND)
-        assert (fresh.routes, fresh.sums) == (shelf.routes, shelf.sums)
+        assert (fresh.routes, fresh.sums) == (reader.routes, reader.sums)
 
     kept.check = check
     for index, (wanted, left) in enumerate(steps):
         routes = {f"s{n}@shop": route(n, version) for n, version in wanted.items()}
-        keeping = Keeping(None, kept)
+        writer = TableWriter(None, kept)
         head = kept.facts.get((DUTY, "head"))
-        keeping.head, keeping.there = head.value if head else None, {key for _, key in kept.facts}
-        keeping.maybe = set(keeping.there)
-        before, allowed[:], kept.left = dict(shelf.routes), [shelf.routes, routes], left or 1 << 30
+        writer.head, writer.stored = head.value if head else None, {key for _, key in kept.facts}
+        writer.possible = set(writer.stored)
+        before, allowed[:], kept.left = dict(reader.routes), [reader.routes, routes], left or 1 << 30
         try:
-            list(keeping._write(aim(Cutter(), routes, index)))
+            list(writer._write(target(Chunker(), routes, index)))
         except NotActing:
-            assert shelf.routes in (before, routes)
+            assert reader.routes in (before, routes)
         else:
-            assert shelf.routes == routes
-            assert {key for _, key in kept.facts} == {"head", *shelf.head.chunks}, "nothing is left behind"
+            assert reader.routes == routes
+            assert {key for _, key in kept.facts} == {"head", *reader.head.chunks}, "nothing is left behind"
 
 
 def test_a_change_touches_one_chunk_and_what_stays_is_the_same_object():
-    cutter, shelf, kept = Cutter(), Shelf(DUTY), Kept()
+    chunker, reader, kept = Chunker(), TableReader(DUTY), Kept()
     routes = {f"s{n}@shop": route(n) for n in range(500)}
-    before = aim(cutter, routes, 1)
-    keeping = Keeping(None, kept)
-    list(keeping._write(before))
-    shelf.read(kept.facts, 0)
-    old = dict(shelf.routes)
-    after = aim(cutter, routes | {"s7@shop": route(7, 1)}, 2)
+    before = target(chunker, routes, 1)
+    writer = TableWriter(None, kept)
+    list(writer._write(before))
+    reader.read(kept.facts, 0)
+    old = dict(reader.routes)
+    after = target(chunker, routes | {"s7@shop": route(7, 1)}, 2)
     assert len(before.chunks) > 8 and len(after.chunks.keys() - before.chunks.keys()) == 1
-    list(keeping._write(after))
-    assert shelf.read(kept.facts, 0) and not shelf.read(kept.facts, 0)
-    assert sum(shelf.routes[name] is not old[name] for name in old) < 100
+    list(writer._write(after))
+    assert reader.read(kept.facts, 0) and not reader.read(kept.facts, 0)
+    assert sum(reader.routes[name] is not old[name] for name in old) < 100
     # What is not whole, or of another version, is not used in part.
     for head in (Head(chunks=("c:none",), routes=1), Head(version=9), Head(routes=4)):
-        kept.facts[DUTY, "head"] = Fact(written(head), 1, 99)
+        kept.facts[DUTY, "head"] = Fact(encode_head(head), 1, 99)
         with pytest.raises(NotReadable):
-            shelf.read(kept.facts, 0)
-        assert (shelf.routes, shelf.table, shelf.held(0, Timing()).standing) == ({}, None, Standing.GONE)
+            reader.read(kept.facts, 0)
+        assert (reader.routes, reader.table, reader.partner_state(0, Timing()).freshness) == ({}, None, Freshness.GONE)
 
 
 def test_time_runs_on_without_news_and_no_clock_ahead_makes_it_fresher():
-    shelf, kept, timing = Shelf(DUTY), Kept(), Timing(wait=1, silent_after=1, hold=15 * SECOND, gone=30 * SECOND)
-    list(Keeping(None, kept)._write(aim(Cutter(), {}, 100 * SECOND)))
-    assert shelf.read(kept.facts, 100 * SECOND)
-    stands = [shelf.held(now * SECOND, timing).standing for now in (114, 115, 144, 145)]
-    assert stands == [Standing.FRESH, Standing.STALE, Standing.STALE, Standing.GONE]
-    assert [shelf.changes_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
-    kept.facts[DUTY, "note"] = Fact(copies.note(5000 * SECOND), 1, 9)
-    assert shelf.read(kept.facts, 120 * SECOND) and shelf.confirmed_at == 120 * SECOND
+    reader, kept, timing = TableReader(DUTY), Kept(), Timing(wait=1, silent_after=1, hold=15 * SECOND, gone=30 * SECOND)
+    list(TableWriter(None, kept)._write(target(Chunker(), {}, 100 * SECOND)))
+    assert reader.read(kept.facts, 100 * SECOND)
+    stands = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
+    assert stands == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
+    assert [reader.next_change_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
+    kept.facts[DUTY, "note"] = Fact(copies.encode_note(5000 * SECOND), 1, 9)
+    assert reader.read(kept.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
     # Damped, it stays so at whoever takes the lease over, for as long as the penalty lasts.
-    kept.facts[DUTY, "head"] = Fact(written(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
-    assert shelf.read(kept.facts, 121 * SECOND) and shelf.held(121 * SECOND, timing).standing is Standing.GONE
+    kept.facts[DUTY, "head"] = Fact(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
+    assert (
+        reader.read(kept.facts, 121 * SECOND) and reader.partner_state(121 * SECOND, timing).freshness is Freshness.GONE
+    )
     session = Session("bergen", "x", lambda: 0.0)
-    session.start(0, shelf.held(0, timing), (5000.0, 0), True)
-    assert session.state is State.DAMPED
+    session.start(0, reader.partner_state(0, timing), (5000.0, 0), True)
+    assert session.state is SessionState.DAMPED
     session.tick(300 * SECOND)
-    assert session.state is State.ASKING
+    assert session.state is SessionState.ASKING
 
 
 def test_each_error_is_caused():
@@ -139,15 +141,15 @@
     kept = Kept()
     kept.put = lambda *_: (yield from ()) or Full(1, "fenced values", 10)
     with pytest.raises(NotKept, match="no room"):
-        list(Keeping(None, kept)._write(aim(Cutter(), {}, 1)))
-    link = Link(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
+        list(TableWriter(None, kept)._write(target(Chunker(), {}, 1)))
+    client = PartnerClient(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
     with pytest.raises(NotAnswered, match="not up"):
-        next(link._fetch(Ask(1, "x.1", None, 0, SECOND)))
+        next(client._fetch(SendRequest(1, "x.1", None, 0, SECOND)))
     answer = {"site": "bergen", "epoch": 1, "index": 1, "snapshot": True, "sum": "0" * 16}
     with pytest.raises(BadTable, match="site: oslo"):
-        read(json.dumps(answer).encode(), "oslo")
+        parse_response(json.dumps(answer).encode(), "oslo")
     with pytest.raises(OldTable, match="later than 1.2"):
-        fits(Table("bergen", 1, 2), read(json.dumps(answer).encode(), "bergen"))
+        check_order(Table("bergen", 1, 2), parse_response(json.dumps(answer).encode(), "bergen"))
 
 
 def test_an_act_that_is_refused_for_its_token_is_the_last_under_it():
@@ -189,7 +191,7 @@
 
 def used(**more):
     made = {"path": ["bergen"], **row("orders@shop", ("127.0.0.1:1", "127.0.0.1:2")), **more}
-    return Used("bergen", one_route(made, "bergen"))
+    return UsedRoute("bergen", parse_route(made, "bergen"))
 
 
 def own(name, lifecycle=Lifecycle.READY):
@@ -219,7 +221,7 @@
                 mine |= {e.address: e for e in endpoints}
                 listed = listed or kind is not UpdateKind.REMEMBERED or bool(endpoints)
         else:
-            found = standby.use(gates(used(), 5) if kind else {}) if what == "use" else standby.over()
+            found = standby.use(border_providers(used(), 5) if kind else {}) if what == "use" else standby.end_drain()
             update, addresses = found or (MembershipUpdate(UpdateKind.FAILED), {})
         if update.kind is not UpdateKind.FAILED:  # as the balancer keeps it
             told = told if update.kind is UpdateKind.CHANGES else {}
@@ -244,11 +246,18 @@
     keyed = RequestClass("place-confirm", Effect.BY_KEY, SECOND, SECOND, Scope.ALL, SECOND)
     with_keyed = replace(own_settings, classes={**plain, "place-confirm": keyed})
     in_zone = replace(own_settings, classes={**plain, "place-confirm": replace(keyed, scope=Scope.ZONE)})
-    assert unfit(used(), own_settings, False) == unfit(used(), in_zone, False) == unfit(used(), with_keyed, True) == ""
-    assert "repeats of place-confirm" in unfit(used(), with_keyed, False)
-    assert "not for apply-submit" in unfit(used(classes=["status-read", "place-confirm"]), own_settings, False)
-    assert "its share is 0.5" in unfit(used(share=0.5), own_settings, False)
-    assert "its rate is 9 " in unfit(used(rate=9), own_settings, False)
+    assert (
+        unusable_reason(used(), own_settings, False)
+        == unusable_reason(used(), in_zone, False)
+        == unusable_reason(used(), with_keyed, True)
+        == ""
+    )
+    assert "repeats of place-confirm" in unusable_reason(used(), with_keyed, False)
+    assert "not for apply-submit" in unusable_reason(
+        used(classes=["status-read", "place-confirm"]), own_settings, False
+    )
+    assert "its share is 0.5" in unusable_reason(used(share=0.5), own_settings, False)
+    assert "its rate is 9 " in unusable_reason(used(rate=9), own_settings, False)
 
 
 # ---- the file -------------------------------------------------------------------------------------
@@ -318,4 +327,4 @@
         operator.load(str(tmp_path / "loftweir.toml"), {})
     places = {fault.path for fault in caught.value.faults}
     assert places == {f"partners.{name}" for name in ("site", "file", "hold", "service", "listen")}
-    assert Timing(hold=model.Partners().hold - model.THROUGH_COPIES).anew > 0
+    assert Timing(hold=model.Partners().hold - model.THROUGH_COPIES).quick_retry_timeout > 0
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -17,13 +17,44 @@
 from loftweir.partners import merge as merging
 from loftweir.partners import table as tables
 from loftweir.partners import terms as words
-from loftweir.partners.merge import Held, Merger, Policy, Reason, Role, Standing, joined, merge
-from loftweir.partners.session import TABLE, TRAITS, Ask, Refused, Session, State, Step, Timing, aged, ramp
-from loftweir.partners.table import BadTable, Limits, Offer, OldTable, Table, kept, read, restored, taken
-from loftweir.partners.terms import CLOSED, FOREVER, NOBODY, OPEN, Sites, Terms, leaked, plain, read_terms
+from loftweir.partners.merge import Freshness, Merger, PartnerState, Policy, Reason, Role, merge, newest_tables
+from loftweir.partners.session import (
+    STATE_TRAITS,
+    TRANSITIONS,
+    ResponseRejected,
+    SendRequest,
+    Session,
+    SessionEvent,
+    SessionState,
+    Timing,
+    aged_state,
+    ramp_factor,
+)
+from loftweir.partners.table import (
+    BadTable,
+    Limits,
+    Offer,
+    OldTable,
+    Table,
+    apply_response,
+    decode_table,
+    encode_table,
+    parse_response,
+)
+from loftweir.partners.terms import (
+    CLOSED,
+    FOREVER,
+    NO_SITES,
+    OPEN,
+    SiteSet,
+    Terms,
+    find_leaker,
+    parse_terms,
+    terms_to_json,
+)
 
 NAMES = ("aa", "bb", "cc", "dd")
-SITES = st.builds(Sites, st.frozensets(st.sampled_from(NAMES), max_size=3), st.booleans())
+SITES = st.builds(SiteSet, st.frozensets(st.sampled_from(NAMES), max_size=3), st.booleans())
 UNKNOWN = st.sampled_from([frozenset(), frozenset(), frozenset(), frozenset(("price",))])
 TERMS = st.builds(Terms, SITES, SITES, st.integers(0, 3), st.sampled_from([5, 20, FOREVER]), UNKNOWN)
 FEW = settings(derandomize=True, max_examples=60, deadline=None)
@@ -31,7 +62,7 @@
 
 
 def only(*names):
-    return Sites(frozenset(names))
+    return SiteSet(frozenset(names))
 
 
 def terms(**what):
@@ -50,7 +81,7 @@
             assert a.may_use(site, now) == (open_now and (site in a.use.names) != a.use.but)
             assert a.may_show(site, now, 2) == (open_now and a.passes >= 2 and (site in a.show.names) != a.show.but)
             assert a.meet(b).may_use(site, now) == (a.may_use(site, now) and b.may_use(site, now))
-            on = a.passed("bb", b, ("aa",))
+            on = a.passed_on("bb", b, ("aa",))
             assert a.may_show(site, now, 1) or not on.may_show(site, now, 1)
             assert b.may_show(site, now) or site in ("aa", "bb") or not on.may_show(site, now)
 
@@ -60,28 +91,28 @@
 def test_terms_only_tighten_whatever_the_order_and_come_back_from_their_form(a, b, c):
     laws(a, b, c)
     closed = msgspec.structs.replace(a.meet(CLOSED), unknown=frozenset())  # what is not known can't be written
-    assert read_terms(json.loads(msgspec.json.encode(plain(a)))) == (closed if a.unknown else a)
-    assert not a.passed("bb").show.has("cc") if not a.show.has("bb") else a.passed("bb") == a
+    assert parse_terms(json.loads(msgspec.json.encode(terms_to_json(a)))) == (closed if a.unknown else a)
+    assert not a.passed_on("bb").show.contains("cc") if not a.show.contains("bb") else a.passed_on("bb") == a
 
 
 def test_what_is_not_understood_is_closed_and_says_so():
-    good = plain(OPEN)
+    good = terms_to_json(OPEN)
     bad = [("price", 3), ("use", {"near": ["aa"]}), ("use", {"only": [1]}), ("passes", True), ("until", "soon")]
     for name, value in [*bad, ("show", None), ("passes", -1)]:
-        found = read_terms({**good, name: value})
+        found = parse_terms({**good, name: value})
         assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
-    assert read_terms(None).unknown == {"terms"} and read_terms({}).unknown == set(words.FIELDS)
+    assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(words.FIELDS)
     held = {"bb": fresh("bb", {S: route(S, "bb", terms(unknown=frozenset(("price",))))})}
     assert str(merge(held, Policy("aa"), 0).left[S]["bb"]) == "unknown term price"
 
 
 def test_a_leak_is_laid_to_the_one_who_showed_it():
-    assert leaked(terms(show=only("bb")), ("bb", "aa"), "cc") == "bb"
-    assert leaked(terms(show=only("cc")), ("bb", "aa"), "cc") == "aa"
-    assert leaked(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
-    assert leaked(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
-    word = OPEN.passed("bb", terms(show=only("cc")), ("aa",))  # what bb tightens does not make bb a leaker
-    assert leaked(word, ("bb", "aa"), "cc") == "" and not word.may_show("dd", 0, 1)
+    assert find_leaker(terms(show=only("bb")), ("bb", "aa"), "cc") == "bb"
+    assert find_leaker(terms(show=only("cc")), ("bb", "aa"), "cc") == "aa"
+    assert find_leaker(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
+    assert find_leaker(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
+    word = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))  # what bb tightens does not make bb a leaker
+    assert find_leaker(word, ("bb", "aa"), "cc") == "" and not word.may_show("dd", 0, 1)
 
 
 # ---- tables -----------------------------------------------------------------------------------------
@@ -89,16 +120,16 @@
 
 def offer(site="bb", epoch=1, number=3):
     found = Offer(site, epoch)
-    found.put({f"s{n}@{site}": route(f"s{n}@{site}", site, OPEN) for n in range(number)})
+    found.replace({f"s{n}@{site}": route(f"s{n}@{site}", site, OPEN) for n in range(number)})
     return found
 
 
 def fresh(site, routes, epoch=1, index=1, now=0):
-    return Held(Table(site, epoch, index, routes), Standing.FRESH, now, now)
+    return PartnerState(Table(site, epoch, index, routes), Freshness.FRESH, now, now)
 
 
 def broken(edit, number=0):
-    data = json.loads(offer().answer(None))
+    data = json.loads(offer().response(None))
     edit(data["routes"][number] if number is not None else data)
     return json.dumps(data).encode()
 
@@ -135,27 +166,27 @@
 @pytest.mark.parametrize("edit, number, place", FAULTS, ids=lambda x: x if isinstance(x, str) else "")
 def test_a_bad_table_is_refused_whole_and_names_the_place(edit, number, place):
     with pytest.raises(BadTable) as caught:
-        taken(None, read(broken(edit, number), "bb"))
+        apply_response(None, parse_response(broken(edit, number), "bb"))
     assert caught.value.faults[0].place.startswith(place) and caught.value.where == "partner bb"
     assert isinstance(caught.value, LoftweirError) and caught.value.remedy
 
 
 def test_every_place_is_named_and_limits_hold_for_changes_too():
-    data = json.loads(offer().answer(None))
+    data = json.loads(offer().response(None))
     data["routes"][0]["share"], data["routes"][2]["path"] = "x", []
     with pytest.raises(BadTable) as caught:
-        read(json.dumps(data).encode(), "bb")
+        parse_response(json.dumps(data).encode(), "bb")
     assert [fault.place for fault in caught.value.faults] == ["routes.0.share", "routes.2.path"]
     many, three = offer(number=3), Limits(routes=3)
-    held = taken(None, read(many.answer(None), "bb"))
-    many.put({**many.routes, "x@bb": route("x@bb", "bb", OPEN)})
-    for refused in (lambda: taken(held, read(many.answer(held.mark), "bb"), three),
-                    lambda: read(many.answer(None), "bb", three),
-                    lambda: read(many.answer(None), "bb", Limits(bytes=100))):  # fmt: skip
+    held = apply_response(None, parse_response(many.response(None), "bb"))
+    many.replace({**many.routes, "x@bb": route("x@bb", "bb", OPEN)})
+    for refused in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
+                    lambda: parse_response(many.response(None), "bb", three),
+                    lambda: parse_response(many.response(None), "bb", Limits(bytes=100))):  # fmt: skip
         with pytest.raises(BadTable, match="at most"):
             refused()
     capped = Offer("bb", 1, three)
-    assert capped.put(many.routes) and len(read(capped.answer(None), "bb", three).routes) == 3
+    assert capped.replace(many.routes) and len(parse_response(capped.response(None), "bb", three).routes) == 3
 
 
 @settings(derandomize=True, max_examples=40, deadline=None)
@@ -168,20 +199,20 @@
             routes.pop(name, None)
             if there:
                 routes[name] = route(name, "bb", terms(passes=passes))
-        source.put(dict(routes))
-        data = source.answer(held.mark if held else None, "q")
+        source.replace(dict(routes))
+        data = source.response(held.position if held else None, "q")
         for at in range(0, len(data), 97):
             with pytest.raises(BadTable):
-                read(data[:at], "bb")
-        held = taken(held, read(data, "bb"))
-        whole = taken(None, read(source.answer(None), "bb"))
+                parse_response(data[:at], "bb")
+        held = apply_response(held, parse_response(data, "bb"))
+        whole = apply_response(None, parse_response(source.response(None), "bb"))
         assert (held.etag, held.routes) == (whole.etag, whole.routes) == (held.etag, source.routes)
-        assert restored(kept(held)) == held
-        before.append(source.answer(None))
+        assert decode_table(encode_table(held)) == held
+        before.append(source.response(None))
         for old in before:
             with pytest.raises(OldTable):
-                taken(held, read(old, "bb"))
-    assert not source.put(dict(source.routes))
+                apply_response(held, parse_response(old, "bb"))
+    assert not source.replace(dict(source.routes))
 
 
 # ---- the merge --------------------------------------------------------------------------------------
@@ -189,8 +220,8 @@
 
 def test_the_decision_goes_by_its_rules_in_order_and_says_which_decided():
     def two(first, second, **policy):
-        helds = {"bb": first, "cc": second}
-        merged = merge(helds, Policy("aa", **policy), 10)
+        partner_states = {"bb": first, "cc": second}
+        merged = merge(partner_states, Policy("aa", **policy), 10)
         return merged.used["x@m"].partner, str(merged.left["x@m"]["cc" if merged.used["x@m"].partner == "bb" else "bb"])
 
     one, other = ({"x@m": route("x@m", site, OPEN)} for site in ("bb", "cc"))
@@ -198,13 +229,13 @@
     assert two(fresh("bb", one), fresh("cc", other)) == ("bb", "worse than bb (name)")
     assert two(fresh("bb", far), fresh("cc", other)) == ("cc", "worse than cc (shorter path)")
     assert two(fresh("bb", far), fresh("cc", other), preference={"bb": 1}) == ("bb", "worse than bb (preference)")
-    stale = msgspec.structs.replace(fresh("bb", one), standing=Standing.STALE)
+    stale = msgspec.structs.replace(fresh("bb", one), freshness=Freshness.STALE)
     assert two(stale, fresh("cc", other), preference={"bb": 1}) == ("cc", "worse than cc (confirmed before stale)")
     roles = {"bb": Role.UPSTREAM, "cc": Role.DOWNSTREAM}
     assert two(fresh("bb", one), fresh("cc", other), roles=roles) == ("cc", "worse than cc (role)")
     last = merge({"bb": stale}, Policy("aa", gone_after=10), 10).left["x@m"]["bb"]
     assert last.reason is Reason.STALE
-    away = merge({"bb": msgspec.structs.replace(stale, standing=Standing.GONE)}, Policy("aa"), 10)
+    away = merge({"bb": msgspec.structs.replace(stale, freshness=Freshness.GONE)}, Policy("aa"), 10)
     assert away.left["x@m"]["bb"].reason is Reason.AWAY
     excluded = {"x@m": route("x@m", "bb", terms(use=only("cc")))}
     assert merge({"bb": fresh("bb", excluded)}, Policy("aa"), 10).left["x@m"]["bb"].reason is Reason.EXCLUDED
@@ -215,8 +246,8 @@
 def test_roles_keep_what_comes_from_above_or_beside_for_those_below():
     """RFC 9234, section 5: the four relations, and a leak from below found by its mark."""
     roles = {"up": Role.UPSTREAM, "peer": Role.PEER, "down": Role.DOWNSTREAM, "any": Role.NONE, "low": Role.DOWNSTREAM}
-    helds = {n: fresh(n, {f"x@{n}": route(f"x@{n}", n, OPEN)}) for n in roles}
-    shown = merge(helds, Policy("aa", roles), 1).shown
+    partner_states = {n: fresh(n, {f"x@{n}": route(f"x@{n}", n, OPEN)}) for n in roles}
+    shown = merge(partner_states, Policy("aa", roles), 1).shown
     assert set(shown["down"]) == {"x@up", "x@peer", "x@low", "x@any"}
     assert set(shown["up"]) == {"x@down", "x@low", "x@any"} and set(shown["peer"]) == {"x@down", "x@low", "x@any"}
     assert {n: r.marked for n, r in shown["down"].items()}["x@up"] == "up" and shown["peer"]["x@down"].marked == "aa"
@@ -227,7 +258,7 @@
 PATHS = st.sampled_from([(), ("dd",), ("aa",), ("ee", "dd")])
 ROUTES = st.dictionaries(st.integers(0, 3), st.tuples(TERMS, PATHS, st.integers(1, 30)), max_size=3)
 STEPS = st.lists(
-    st.tuples(st.sampled_from(["bb", "cc"]), ROUTES, st.sampled_from(Standing), st.integers(0, 12), st.booleans()),
+    st.tuples(st.sampled_from(["bb", "cc"]), ROUTES, st.sampled_from(Freshness), st.integers(0, 12), st.booleans()),
     max_size=10,
 )
 
@@ -245,28 +276,28 @@
 def test_one_change_after_the_other_gives_what_the_whole_merge_gives(steps, word):
     own = {"s3@m": route("s3@m", "aa", terms(show=only("bb"), until=20))}
     policy = Policy("aa", {"bb": Role.NONE, "cc": Role.PEER, "ff": Role.DOWNSTREAM}, offers=own, gone_after=9,
-                    words={"s1@m": word})  # fmt: skip
-    merger, now, helds = Merger(policy), 0, {}
-    for index, (partner, drawn, standing, later, same) in enumerate(steps):
+                    restrictions={"s1@m": word})  # fmt: skip
+    merger, now, partner_states = Merger(policy), 0, {}
+    for index, (partner, drawn, freshness, later, same) in enumerate(steps):
         now += later
-        before = helds.get(partner, Held())
+        before = partner_states.get(partner, PartnerState())
         table = before.table if same else Table(partner, 1, index, routes_of(partner, drawn))
-        since = before.since if standing is before.standing else now
-        confirmed = now if standing is Standing.FRESH else before.confirmed_at
-        helds[partner] = Held(table, standing, since, confirmed)
+        since = before.since if freshness is before.freshness else now
+        confirmed = now if freshness is Freshness.FRESH else before.confirmed_at
+        partner_states[partner] = PartnerState(table, freshness, since, confirmed)
         was = {to: dict(found) for to, found in merger.merged.shown.items()}
-        changed = merger.hold(partner, helds[partner], now)
-        assert merger.merged == merge(helds, policy, now)
+        changed = merger.update_partner(partner, partner_states[partner], now)
+        assert merger.merged == merge(partner_states, policy, now)
         assert {to for to in was if was[to] != merger.merged.shown[to]} <= changed.shown
         ahead = merger.next_at
         if ahead < FOREVER:
-            assert merge(helds, policy, ahead - 1) == merger.merged
+            assert merge(partner_states, policy, ahead - 1) == merger.merged
             now = ahead
             merger.advance(now)
-            assert merger.merged == merge(helds, policy, now)
-    assert Merger(policy, now, helds).merged == merger.merged
-    for partner in list(helds):
-        merger.drop(partner, now)
+            assert merger.merged == merge(partner_states, policy, now)
+    assert Merger(policy, now, partner_states).merged == merger.merged
+    for partner in list(partner_states):
+        merger.remove_partner(partner, now)
     assert merger.merged == merge({}, policy, now)
 
 
@@ -278,8 +309,8 @@
 @FEW
 @given(MAPS, MAPS, MAPS)
 def test_what_is_held_asks_neither_for_order_nor_for_how_often(a, b, c):
-    assert joined(a, b) == joined(b, a) and joined(a, a) == a
-    assert joined(a, joined(b, c)) == joined(joined(a, b), c)
+    assert newest_tables(a, b) == newest_tables(b, a) and newest_tables(a, a) == a
+    assert newest_tables(a, newest_tables(b, c)) == newest_tables(newest_tables(a, b), c)
 
 
 # ---- the session ------------------------------------------------------------------------------------
@@ -288,7 +319,7 @@
 class Partner:
     """A session that is answered at once where `up`; each call that waits is held for its wait."""
 
-    def __init__(self, timing=TIMING, limits=tables.LIMITS):
+    def __init__(self, timing=TIMING, limits=tables.DEFAULT_LIMITS):
         self.now, self.up, self.source, self.edit = BEGIN, True, offer(), lambda data: data
         self.session = Session("bb", "life", lambda: 0.5, timing, limits)
         self.seen, self.errors = [], []
@@ -297,13 +328,13 @@
     def do(self, actions):
         for action in actions:
             self.seen.append(self.session.state)
-            if isinstance(action, Refused):
+            if isinstance(action, ResponseRejected):
                 self.errors.append(action.error)
-            if isinstance(action, Ask) and self.up:
-                if not self.source.news(action.after):
+            if isinstance(action, SendRequest) and self.up:
+                if not self.source.has_changes(action.after):
                     self.now += action.wait
-                data = self.edit(self.source.answer(action.after, action.to))
-                self.do(self.session.answer(self.now, action.number, data))
+                data = self.edit(self.source.response(action.after, action.nonce))
+                self.do(self.session.on_response(self.now, action.number, data))
 
     def run(self, length):
         until = self.now + length
@@ -315,77 +346,88 @@
 
 
 def test_the_tables_of_states_are_whole():
-    assert set(TRAITS) == set(State) and {s for s, _ in TABLE} | set(TABLE.values()) == set(State)
-    assert [s for s in State if TRAITS[s].standing is Standing.FRESH] == [State.HOLDING]
-    assert {step for _, step in TABLE} == set(Step)
+    assert set(STATE_TRAITS) == set(SessionState) and {s for s, _ in TRANSITIONS} | set(TRANSITIONS.values()) == set(
+        SessionState
+    )
+    assert [s for s in SessionState if STATE_TRAITS[s].freshness is Freshness.FRESH] == [SessionState.HOLDING]
+    assert {step for _, step in TRANSITIONS} == set(SessionEvent)
     with pytest.raises(SettingsError, match="partners.hold"):
         Timing(hold=5 * SECOND)
 
 
 def test_one_lost_answer_makes_nothing_stale_and_a_silent_partner_goes_in_steps_and_comes_back_by_a_ramp():
     partner = Partner()
-    assert partner.run(20 * SECOND) is State.HOLDING and ramp(partner.session.held(), partner.now, TIMING) == 1
+    assert (
+        partner.run(20 * SECOND) is SessionState.HOLDING
+        and ramp_factor(partner.session.partner_state(), partner.now, TIMING) == 1
+    )
     partner.up = False
     partner.run(TIMING.wait + TIMING.silent_after + 10 * MS)  # the call is silent; the first fresh one is under way
     partner.up = True
-    assert partner.run(SECOND) is State.HOLDING and State.STALE not in partner.seen
+    assert partner.run(SECOND) is SessionState.HOLDING and SessionState.STALE not in partner.seen
     partner.up = False
-    assert partner.run(TIMING.hold) is State.STALE and partner.session.held().table is not None
-    assert partner.run(TIMING.gone) is State.GONE and partner.session.held().table is None
+    assert partner.run(TIMING.hold) is SessionState.STALE and partner.session.partner_state().table is not None
+    assert partner.run(TIMING.gone) is SessionState.GONE and partner.session.partner_state().table is None
     partner.up = True
-    assert partner.run(TIMING.again_most) is State.HOLDING
-    held = partner.session.held()
-    parts = [ramp(held, held.back_at + n * TIMING.ramp_within // 4, TIMING) for n in range(5)]
+    assert partner.run(TIMING.again_most) is SessionState.HOLDING
+    held = partner.session.partner_state()
+    parts = [ramp_factor(held, held.back_at + n * TIMING.ramp_within // 4, TIMING) for n in range(5)]
     assert parts[0] == TIMING.ramp_from and parts[4] == 1 and parts == sorted(parts) and parts[1] < 0.3
     handed = Session("bb", "other", lambda: 0.5, TIMING)
     handed.start(partner.now, held)  # another sidecar has the lease: nothing is away meanwhile, the ramp goes on
-    assert handed.state is State.HOLDING and handed.held().back_at == held.back_at
+    assert handed.state is SessionState.HOLDING and handed.partner_state().back_at == held.back_at
     after = (0, TIMING.hold, TIMING.hold + TIMING.gone)
-    ages = [aged(held, held.confirmed_at + later, TIMING).standing for later in after]
-    assert ages == [Standing.FRESH, Standing.STALE, Standing.GONE]  # for who follows the copies and is cut off
+    ages = [aged_state(held, held.confirmed_at + later, TIMING).freshness for later in after]
+    assert ages == [Freshness.FRESH, Freshness.STALE, Freshness.GONE]  # for who follows the copies and is cut off
     late = Session("bb", "third", lambda: 0.5, TIMING)
     late.start(partner.now + HOP, held)
-    assert late.state is State.GONE
+    assert late.state is SessionState.GONE
 
 
 def test_a_bad_table_leaves_the_last_good_one_until_its_time_is_over():
     for edit, what in ((lambda data: data[:-20], "truncated"), (lambda data: data + b" " * 9000, "at most")):
         partner = Partner(limits=Limits(bytes=8000))
         before = partner.session.table
-        partner.source.put({S.replace("aa", "bb"): route(S.replace("aa", "bb"), "bb", CLOSED)})
+        partner.source.replace({S.replace("aa", "bb"): route(S.replace("aa", "bb"), "bb", CLOSED)})
         partner.edit = edit
-        assert partner.run(TIMING.hold - 2 * SECOND) is State.HOLDING and partner.session.table is before
+        assert partner.run(TIMING.hold - 2 * SECOND) is SessionState.HOLDING and partner.session.table is before
         assert partner.errors and what in str(partner.errors[0]) and partner.errors[0].partner == "bb"
-        assert partner.run(2 * SECOND) is State.STALE and partner.run(TIMING.gone) is State.GONE
+        assert partner.run(2 * SECOND) is SessionState.STALE and partner.run(TIMING.gone) is SessionState.GONE
         partner.edit = lambda data: data
-        assert partner.run(2 * SECOND) is State.HOLDING and len(partner.session.table.routes) == 1
+        assert partner.run(2 * SECOND) is SessionState.HOLDING and len(partner.session.table.routes) == 1
 
 
 def test_a_restart_is_told_by_its_epoch_and_a_lower_one_is_taken_only_once_all_is_gone():
     partner = Partner()
-    partner.source.put({})
+    partner.source.replace({})
     partner.run(SECOND)
-    assert partner.session.table.mark == (1, 2)
+    assert partner.session.table.position == (1, 2)
     partner.source = offer(epoch=2)
-    assert partner.run(3 * SECOND) is State.HOLDING and partner.session.table.mark == (2, 1) and not partner.errors
+    assert (
+        partner.run(3 * SECOND) is SessionState.HOLDING
+        and partner.session.table.position == (2, 1)
+        and not partner.errors
+    )
     partner.source = offer(epoch=1, number=1)
     partner.run(SECOND * 3)
-    assert partner.session.table.mark == (2, 1) and all(type(e) is OldTable for e in partner.errors) and partner.errors
+    assert (
+        partner.session.table.position == (2, 1) and all(type(e) is OldTable for e in partner.errors) and partner.errors
+    )
     partner.run(HOP)
-    assert partner.session.table.mark == (1, 1)
-    first = partner.source.answer(None, "life.1")  # an answer that something kept
+    assert partner.session.table.position == (1, 1)
+    first = partner.source.response(None, "life.1")  # an answer that something kept
     partner.source, partner.edit = offer(epoch=3), lambda data: first
     partner.run(2 * SECOND)
-    assert partner.session.table.mark == (1, 1) and "the question that was asked" in str(partner.errors[-1])
+    assert partner.session.table.position == (1, 1) and "the nonce of the request" in str(partner.errors[-1])
 
 
 def test_changes_that_follow_another_table_lead_to_the_whole():
     partner = Partner()
-    partner.source.raw["s0@bb"], partner.source.sum = b"{}", 7  # what it holds at this mark is another
+    partner.source.encoded["s0@bb"], partner.source.sum = b"{}", 7  # what it holds at this mark is another
     good = offer(number=2)
     good.index, good.changed = 9, dict.fromkeys(good.changed, 9)
     partner.source = good
-    assert partner.run(3 * SECOND) is State.HOLDING and partner.session.table.routes == good.routes
+    assert partner.run(3 * SECOND) is SessionState.HOLDING and partner.session.table.routes == good.routes
     assert partner.errors[0].faults[0].place == "sum"
 
 
@@ -394,9 +436,12 @@
     for number in range(6):
         partner.source = offer(epoch=number + 2)
         partner.run(2500 * MS)
-    assert partner.session.state is State.DAMPED and partner.session.held().standing is Standing.GONE
-    assert partner.run(TIMING.damped_most) is State.HOLDING and ramp(partner.session.held(), partner.now, TIMING) <= 1
-    assert partner.session.held().back_at > BEGIN + SECOND
+    assert partner.session.state is SessionState.DAMPED and partner.session.partner_state().freshness is Freshness.GONE
+    assert (
+        partner.run(TIMING.damped_most) is SessionState.HOLDING
+        and ramp_factor(partner.session.partner_state(), partner.now, TIMING) <= 1
+    )
+    assert partner.session.partner_state().back_at > BEGIN + SECOND
 
 
 # ---- several sites ----------------------------------------------------------------------------------
@@ -455,7 +500,7 @@
 
 def test_answers_that_are_given_again_are_not_taken():
     made = world("aa-bb")
-    made.declare("aa", S, terms(use=NOBODY))
+    made.declare("aa", S, terms(use=NO_SITES))
     made.run(SECOND)
     made.faults = Faults(repeated=0.7)
     made.run(20 * SECOND)
@@ -471,7 +516,7 @@
     made.restart(["aa", "bb"], True, SECOND)
     made.run(1500 * MS)
     held = made.sites["bb"].disk["aa"]
-    assert uses(made, "bb") == ("aa",) and ramp(held, made.clock.now, TIMING) < 0.3
+    assert uses(made, "bb") == ("aa",) and ramp_factor(held, made.clock.now, TIMING) < 0.3
     made.faults = Faults(cut=1.0)
     made.settle()
     assert not made.found()
@@ -480,7 +525,7 @@
         made.link("aa", "bb", number % 2 == 0)
         made.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
     assert made.seen["damped"] and made.sites["cc"].sessions["bb"].since == before and not made.found()
-    assert made.sites["bb"].sessions["cc"].state is State.HOLDING and uses(made, "bb") is None
+    assert made.sites["bb"].sessions["cc"].state is SessionState.HOLDING and uses(made, "bb") is None
     made.settle()
     assert not made.found() and uses(made, "bb") == ("aa",)
 
@@ -514,13 +559,13 @@
 
 
 def takes_any(self, data, asked):
-    told = read(data, self.partner)
+    told = parse_response(data, self.partner)
     return Table(told.site, told.epoch, told.index, told.routes, told.sums, told.sum) if told.after is None else (
         self.table or Table(told.site, told.epoch, told.index))  # fmt: skip
 
 
 def at_any_time(self, site, now):
-    return not self.unknown and self.use.has(site)
+    return not self.unknown and self.use.contains(site)
 
 
 def plays_on(one, policy):
@@ -531,16 +576,16 @@
     return FOREVER
 
 
-REAL_READ = words.read_terms
+REAL_READ = words.parse_terms
 BROKEN = {  # what is broken: how, and what finds it out
     "terms not tightened by who passes them on": ([(Terms, "meet", meets_nothing)], {"laws", "days"}),
-    "terms not checked by who shows": ([(Terms, "shown_to", open_to_anyone)], {"laws", "days"}),
-    "terms not checked by who is shown": ([(merging, "leaked", lambda *_: "")], {"leak", "days"}),
+    "terms not checked by who shows": ([(Terms, "allowed_recipients", open_to_anyone)], {"laws", "days"}),
+    "terms not checked by who is shown": ([(merging, "find_leaker", lambda *_: "")], {"leak", "days"}),
     "terms not checked by who uses": ([(Terms, "may_use", lambda *_: True)], {"laws", "days"}),
-    "unknown terms open": ([(tables, "read_terms", reads_what_it_knows)], {"unknown"}),
-    "a replay taken": ([(Session, "_taken", takes_any)], {"replay", "days"}),
-    "ends not checked": ([(merging, "ends", plays_on), (Terms, "may_use", at_any_time)], {"laws", "end", "days"}),
-    "silence never over": ([(Session, "_hold_over", never_over)], {"link"}),
+    "unknown terms open": ([(tables, "parse_terms", reads_what_it_knows)], {"unknown"}),
+    "a replay taken": ([(Session, "_accept", takes_any)], {"replay", "days"}),
+    "ends not checked": ([(merging, "expiry", plays_on), (Terms, "may_use", at_any_time)], {"laws", "end", "days"}),
+    "silence never over": ([(Session, "_hold_expiry", never_over)], {"link"}),
 }
 
 
@@ -586,9 +631,9 @@
     made.declare("aa", S, OPEN)
     made.start()
     made.run(2 * SECOND)
-    with mock.patch.object(tables, "plain", lambda said: {**plain(OPEN), "price": 3}):
+    with mock.patch.object(tables, "terms_to_json", lambda said: {**terms_to_json(OPEN), "price": 3}):
         made.declare("aa", S, terms(passes=7))  # goes out with a term that nobody here knows
-    made.oracle.told(made.clock.now, "aa", S, terms(use=NOBODY))  # ... and that is what it means
+    made.oracle.declare(made.clock.now, "aa", S, terms(use=NO_SITES))  # ... and that is what it means
     made.run(2 * HOP)
     return made
 
