--- a/benchmarks/catalog_lookup.py
+++ b/benchmarks/catalog_lookup.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from loftweir.catalog.build import Catalog, Service, Site, State
+from loftweir.catalog.build import Catalog, CatalogState, LocalSite, Service
 from loftweir.catalog.claims import Claim, Declaration
 from loftweir.catalog.contract import clause
 from loftweir.interface import Effect
@@ -28,7 +28,7 @@
 SECOND = 1_000_000_000
 
 
-def state(services: int, meshes: int) -> State:
+def state(services: int, meshes: int) -> CatalogState:
     used, claims = {}, {}
     for number in range(services):
         mesh = f"mesh-{number % meshes}"
@@ -37,7 +37,7 @@
         route = Route(name, (mesh,), border, ("read", "write"), 0.1, None, 60 * SECOND, OPEN)
         contract = {"read": clause(Effect.REPEATABLE), "write": clause(Effect.ONCE)}
         used[name], claims[name] = UsedRoute(mesh, route), Claim(number + 1, Declaration(contract))
-    return State({}, used, {}, claims, {})
+    return CatalogState({}, used, {}, claims, {})
 
 
 def timed(action: Callable[[], object]) -> float:
@@ -53,7 +53,7 @@
     parser.add_argument("--meshes", type=int, default=20)
     parser.add_argument("--rounds", type=int, default=5)
     words = parser.parse_args()
-    held, site, dice = state(words.services, words.meshes), Site("here", "a"), random.Random(1)
+    held, site, dice = state(words.services, words.meshes), LocalSite("here", "a"), random.Random(1)
     builds = []
     for _ in range(words.rounds):
         gc.collect()
@@ -80,13 +80,13 @@
         was = held.used[name]
         assert was is not None
         other = UsedRoute(was.partner, msgspec.structs.replace(was.route, share=0.2))
-        ones.append(timed(lambda name=name, other=other: catalog.change(State(used={name: other}))))
+        ones.append(timed(lambda name=name, other=other: catalog.update(CatalogState(used={name: other}))))
         service = catalog.find(name)
         assert isinstance(service, Service)
         sets.append(timed(lambda service=service: catalog.providers(service)))
     print(f"  one change: median {statistics.median(ones):.0f} us, worst {max(ones):.0f} us")
     print(f"  one service's providers: median {statistics.median(sets):.0f} us")
-    state_now = State(catalog.own, catalog.used, catalog.left, catalog.claims, catalog.pins)
+    state_now = CatalogState(catalog.own, catalog.used, catalog.left, catalog.claims, catalog.pins)
     assert Catalog(site, state_now).entries == catalog.entries
 
 
--- a/loftweir/catalog/__init__.py
+++ b/loftweir/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Layer 3: the own site's services and the partners' as one catalog. Nothing imports it while it is off."""
+"""The catalog: this site's services and those of the partners by name. Loaded only if it is configured."""
--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -1,15 +1,18 @@
-"""The catalog: from what a sidecar holds to the service that a request's Host names. Pure.
+"""The catalog: finds the service that a request's Host names.
 
-A function of the state alone (own services, partners' routes used here, claims, pins), whatever the order in which it
-came; `change` takes a part of it that is another, and lays anew only the short names that it touches.
+Pure: no I/O and no clock.
+
+A catalog is a function of its state alone (own services, the partners' routes used here, claims, pins), whatever the
+order in which the state was received. `update` replaces a part of the state and resolves only the short names again
+that the change affects.
 
 Invariants:
- 1. A Catalog equals one made anew from the same state.
- 2. A global name stands for that mesh's service alone, whoever has the short name.
- 3. A service's contract is no softer than any that a mesh in it declares, and over several meshes no key's scope is
-    wider than a zone: nothing that one mesh calls once is repeated at another.
- 4. One balancer is one `key`: the meshes in it. With another membership it is another key; so that what is under way
-    never goes on to a mesh that it was not begun for.
+ 1. A Catalog that was updated equals a new one made from the same state.
+ 2. A global name always refers to the service of that mesh, whichever service has the short name.
+ 3. A service's contract is at least as strict as each that a mesh in it declares, and over several meshes no key's
+    scope is wider than a zone: a request that one mesh declares as once is not retried at another.
+ 4. There is one balancer for each `key`, which lists the members of the service. Other members make another key, so
+    that a request in flight never continues at a mesh that was not a member when it began.
 """
 
 from __future__ import annotations
@@ -21,16 +24,16 @@
 import msgspec
 
 from loftweir.catalog.claims import Claim, Declaration
-from loftweir.catalog.collisions import NEVER, RULES, Collision, Contender, Rule, View, resolve
-from loftweir.catalog.contract import Clause, apart, once, strictest
-from loftweir.catalog.names import BadName, global_name, mesh_name, of_host, parts, short_name
-from loftweir.catalog.providers import ProviderSet, gathered
+from loftweir.catalog.collisions import NO_CLAIM, RULES, Collision, Contender, Rule, SiteView, resolve
+from loftweir.catalog.contract import Clause, across_meshes, once_only, strictest
+from loftweir.catalog.names import BadName, global_name, host_key, mesh_name, short_name, split_name
+from loftweir.catalog.providers import ProviderSet, build_provider_set
 from loftweir.interface import Endpoint
 from loftweir.partners.merge import Reason, UnusedRoute, UsedRoute
 
 
-class Own(msgspec.Struct, frozen=True):
-    """A service that this site has providers for; most are of the own mesh."""
+class OwnService(msgspec.Struct, frozen=True):
+    """A service that this site has providers for; usually a service of its own mesh."""
 
     endpoints: dict[str, Endpoint] = {}  # by provider
     addresses: dict[str, str] = {}
@@ -38,14 +41,16 @@
 
 
 class Service(msgspec.Struct, frozen=True, gc=False):
-    """What a Host names. Equal ones say the same."""
+    """A service that a Host can name. Services with equal fields are the same."""
 
-    key: str  # its global name, or those of its meshes with + between
-    members: tuple[str, ...]  # global names; the first one leads
+    key: str  # the global name, or those of all members joined with +
+    members: tuple[str, ...]  # global names; the first one is the leader
     contract: dict[str, Clause]  # by class
 
 
-class Why(Enum):
+class UnknownReason(Enum):
+    """Why a name has no service to send to."""
+
     NAME = "no service has this name"
     UNHELD = "the short name is not claimed yet"
     EXCLUDED = "excluded by the terms of its routes"
@@ -53,17 +58,19 @@
     UNFIT = "its routes can't be used"
 
 
-REMEDY = {
-    Why.NAME: "see the spelling, and whether the service's mesh is a partner that offers it",
-    Why.UNHELD: "call it by its global name, until the copies have the claim",
-    Why.EXCLUDED: "ask the mesh's operators to let this site use it",
-    Why.STALE: "see the partner's session; the name stays with its service meanwhile",
-    Why.UNFIT: "see why in the partners' status, and tell the partner's operators",
+REMEDIES = {
+    UnknownReason.NAME: "see the spelling, and whether the service's mesh is a partner that offers it",
+    UnknownReason.UNHELD: "call it by its global name, until the copies have the claim",
+    UnknownReason.EXCLUDED: "ask the mesh's operators to let this site use it",
+    UnknownReason.STALE: "see the partner's session; the name stays with its service meanwhile",
+    UnknownReason.UNFIT: "see why in the partners' status, and tell the partner's operators",
 }
 
 
-class Unknown(NamedTuple):
-    reason: Why
+class UnknownService(NamedTuple):
+    """The result of a lookup that found no usable service."""
+
+    reason: UnknownReason
     name: str
     more: str = ""
 
@@ -71,87 +78,93 @@
     def text(self) -> str:
         """What happened, where, and what to do."""
         more = f" ({self.more})" if self.more else ""
-        return f"{self.name[:80]!r}: {self.reason.value}{more}; {REMEDY[self.reason]}"
+        return f"{self.name[:80]!r}: {self.reason.value}{more}; {REMEDIES[self.reason]}"
 
 
-# Of a route left out, the reason that is told; the first that is there goes before the others.
-LEFT = {
-    Reason.STALE: Why.STALE,
-    Reason.EXPIRED: Why.STALE,
-    Reason.AWAY: Why.STALE,
-    Reason.EXCLUDED: Why.EXCLUDED,
+# The reason that is reported for an unused route, by the reason of the merge; others are reported as UNFIT.
+REASON_BY_UNUSED = {
+    Reason.STALE: UnknownReason.STALE,
+    Reason.EXPIRED: UnknownReason.STALE,
+    Reason.AWAY: UnknownReason.STALE,
+    Reason.EXCLUDED: UnknownReason.EXCLUDED,
 }
-FOREIGN = "its own site is not of the name's mesh"
+FOREIGN_SITE = "its own site is not of the name's mesh"
+
 
+class CatalogState(NamedTuple):
+    """All that a catalog is made of. Names are in lower case. In an update, None removes the entry of the name."""
 
-class State(NamedTuple):
-    """All that a catalog is made of. Names are small; of a change, None takes away what was under the name."""
+    own: Mapping[str, OwnService | None] = {}  # by global name
+    used: Mapping[str, UsedRoute | None] = {}  # by global name, as in `MergeResult.used`
+    left: Mapping[str, Mapping[str, UnusedRoute] | None] = {}  # by global name and partner, as in `MergeResult.left`
+    claims: Mapping[str, Claim | None] = {}  # by global name, as in `Claims.table`
+    pins: Mapping[str, str | None] = {}  # from short to global name
 
-    own: Mapping[str, Own | None] = {}  # by global name
-    used: Mapping[str, UsedRoute | None] = {}  # by global name, as `Merged.used`
-    left: Mapping[str, Mapping[str, UnusedRoute] | None] = {}  # by global name and partner, as `Merged.left`
-    claims: Mapping[str, Claim | None] = {}  # by global name, as `Claims.table`
-    pins: Mapping[str, str | None] = {}  # short name to global
 
+EMPTY_STATE = CatalogState()
 
-NOTHING = State()
 
+class CatalogChanges(NamedTuple):
+    """What an update of the catalog has changed."""
 
-class Changed(NamedTuple):
-    keys: frozenset[str]  # services whose providers or contract may be others
-    ended: frozenset[str]  # that are no more: all their providers drain (`EMPTY`)
-    moved: dict[str, tuple[str, str]]  # short name: the key that it stood for, and the one it does; empty: none
-    events: tuple[Collision, ...]  # that are new or others
+    keys: frozenset[str]  # services whose providers or contract may have changed
+    ended: frozenset[str]  # services that no longer exist: all their providers drain (`NO_PROVIDERS`)
+    moved: dict[str, tuple[str, str]]  # by short name: the former and the new service key; empty: none
+    events: tuple[Collision, ...]  # new or changed collisions
 
 
-class Site(NamedTuple):
-    mesh: str  # the own one
+class LocalSite(NamedTuple):
+    """The configuration of this site that the catalog depends on."""
+
+    mesh: str  # the own mesh
     zone: str
-    meshes: Mapping[str, str] = {}  # by site, its mesh, as the operators have it; one not named is of its own name's
+    meshes: Mapping[str, str] = {}  # mesh by site, as configured; a site that is not listed is a mesh of its own name
 
 
 class Catalog:
-    def __init__(self, site: Site, state: State = NOTHING, rules: tuple[Rule, ...] = RULES) -> None:
-        """Raises `BadName` for names of the own site, and of pins."""
+    """Finds services by name, and the providers of a service."""
+
+    def __init__(self, site: LocalSite, state: CatalogState = EMPTY_STATE, rules: tuple[Rule, ...] = RULES) -> None:
+        """Raises `BadName` for invalid names of this site's services and of pins."""
         mesh_name(site.mesh, "mesh")
         self.site, self.rules = site, rules
-        self.own: dict[str, Own] = {}
+        self.own: dict[str, OwnService] = {}
         self.used: dict[str, UsedRoute] = {}
         self.left: dict[str, Mapping[str, UnusedRoute]] = {}
         self.claims: dict[str, Claim] = {}
         self.pins: dict[str, str] = {}
-        self.refused: dict[str, BadName] = {}  # routes of partners, by the name that is none
-        self.entries: dict[str, Service | Unknown] = {}  # by short and by global name
-        self.by_short: dict[str, set[str]] = {}  # global names, of which anything is held
+        self.rejected_names: dict[str, BadName] = {}  # partners' routes with an invalid name, by that name
+        self.entries: dict[str, Service | UnknownService] = {}  # by short and by global name
+        self.names_by_short: dict[str, set[str]] = {}  # known global names by short name
         self.collisions: dict[str, Collision] = {}  # by short name
-        self.change(state)
+        self.update(state)
 
-    # ---- lookup ----
+    # ---- lookup ----------------------------------------------------------------------------------
 
-    def find(self, host: str) -> Service | Unknown:
-        """The service that a request's Host names: short or global, `service@mesh` or `service.mesh`, with or without
-        a port, in any case."""
+    def find(self, host: str) -> Service | UnknownService:
+        """The service that a request's Host names: a short or global name, as `service@mesh` or `service.mesh`, with or
+        without a port, in upper or lower case."""
         found = self.entries.get(host)
         if found is None:
-            name = of_host(host)
+            name = host_key(host)
             found = self.entries.get(name)
             if found is None and "@" not in name:
                 found = self.entries.get(name.replace(".", "@", 1))
-        return found if found is not None else Unknown(Why.NAME, host)
+        return found if found is not None else UnknownService(UnknownReason.NAME, host)
 
     def providers(self, service: Service) -> ProviderSet:
-        """Made when it is asked for: of services that nobody calls, nothing is kept."""
+        """The providers of a service. Computed on each call, so that unused services need no memory for it."""
         own = [(one.endpoints, one.addresses) for one in map(self.own.get, service.members) if one is not None]
-        used = [one for one in map(self._route, service.members) if one is not None]
-        lives_there = all(parts(name)[1] != self.site.mesh for name in service.members)
-        return gathered(own, used, lives_there, self.site.zone, frozenset(service.contract))
+        used = [one for one in map(self._usable_route, service.members) if one is not None]
+        is_remote = all(split_name(name)[1] != self.site.mesh for name in service.members)
+        return build_provider_set(own, used, is_remote, self.site.zone, frozenset(service.contract))
 
-    # ---- changes ----
+    # ---- updates ---------------------------------------------------------------------------------
 
-    def change(self, state: State) -> Changed:
-        """Takes what is another. A `BadName` of the own site's part is raised before anything is taken; a bad name of
-        a partner's costs it that route alone (`refused`)."""
-        self._check(state)
+    def update(self, state: CatalogState) -> CatalogChanges:
+        """Replaces a part of the state. An invalid name of this site raises `BadName` before anything changes; an
+        invalid name of a partner's route only disables that route (`rejected_names`)."""
+        self._validate(state)
         touched: dict[str, set[str]] = {short: set() for short in state.pins}
         held: tuple[tuple[dict[str, Any], Mapping[str, Any]], ...] = (
             (self.own, state.own),
@@ -161,77 +174,77 @@
         )
         for into, part in held:
             for name, value in part.items():
-                _put(into, name, value)
-                if self._fit(name):
-                    touched.setdefault(parts(name)[0], set()).add(name)
+                _set_or_remove(into, name, value)
+                if self._validate_route_name(name):
+                    touched.setdefault(split_name(name)[0], set()).add(name)
         for short, pin in state.pins.items():
-            _put(self.pins, short, pin)
+            _set_or_remove(self.pins, short, pin)
         keys: set[str] = set()
         ended: set[str] = set()
         moved: dict[str, tuple[str, str]] = {}
         events: list[Collision] = []
         for short in sorted(touched):
-            names = self.by_short.pop(short, set())
+            names = self.names_by_short.pop(short, set())
             was, before = self.entries.pop(short, None), self.collisions.pop(short, None)
-            gone = {_key(was), *(_key(self.entries.pop(name, None)) for name in names | touched[short])}
-            names = {name for name in names | touched[short] if self._held(name)}
+            gone = {_key_of(was), *(_key_of(self.entries.pop(name, None)) for name in names | touched[short])}
+            names = {name for name in names | touched[short] if self._is_known(name)}
             if names:
-                self.by_short[short] = names
-            self._lay(short, names)
+                self.names_by_short[short] = names
+            self._resolve_short_name(short, names)
             now, after = self.entries.get(short), self.collisions.get(short)
-            there = {_key(now), *(_key(self.entries[name]) for name in names)}
+            there = {_key_of(now), *(_key_of(self.entries[name]) for name in names)}
             keys |= there
             ended |= gone - there
-            if _key(was) != _key(now):
-                moved[short] = (_key(was), _key(now))
+            if _key_of(was) != _key_of(now):
+                moved[short] = (_key_of(was), _key_of(now))
             if after is not None and after != before:
                 events.append(after)
-        return Changed(frozenset(keys - {""}), frozenset(ended - {""}), moved, tuple(events))
+        return CatalogChanges(frozenset(keys - {""}), frozenset(ended - {""}), moved, tuple(events))
 
-    def _check(self, state: State) -> None:
+    def _validate(self, state: CatalogState) -> None:
         for name in state.own:
             if global_name(name, f"services.{name}") != name:
                 raise BadName(f"{name} is not in small letters", f"services.{name}")
         for short, pin in state.pins.items():
             place = f"pins.{short}"
             small = short_name(short, place) == short
-            if not small or (pin is not None and (global_name(pin, place) != pin or parts(pin)[0] != short)):
+            if not small or (pin is not None and (global_name(pin, place) != pin or split_name(pin)[0] != short)):
                 raise BadName(f"{pin} is not a service of that name, in small letters", place)
 
-    def _fit(self, name: str) -> bool:
+    def _validate_route_name(self, name: str) -> bool:
         try:
             if global_name(name, f"routes.{name}") == name:
                 return True
             raise BadName(f"{name} is not in small letters", f"routes.{name}")
         except BadName as error:
-            self.refused.pop(name, None)
-            if self._held(name):
-                self.refused[name] = error
+            self.rejected_names.pop(name, None)
+            if self._is_known(name):
+                self.rejected_names[name] = error
         return False
 
-    def _held(self, name: str) -> bool:
+    def _is_known(self, name: str) -> bool:
         return name in self.own or name in self.used or name in self.left or name in self.claims
 
-    # ---- one short name ----
+    # ---- one short name --------------------------------------------------------------------------
 
-    def _lay(self, short: str, names: set[str]) -> None:
+    def _resolve_short_name(self, short: str, names: set[str]) -> None:
         for name in names:
             self.entries[name] = self._entry((name,), name)
         pin = self.pins.get(short, "")
         contenders = []
         for name in {*names, pin} - {""}:
             claim, own = self.claims.get(name), self.own.get(name)
-            if own is not None and parts(name)[1] != self.site.mesh:
-                own = None  # a copy here of another mesh's service claims nothing for it
+            if own is not None and split_name(name)[1] != self.site.mesh:
+                own = None  # a copy at this site of another mesh's service gives that mesh no claim
             if claim is not None or own is not None or name == pin:
                 declared = claim.declared if claim is not None else own.declared if own is not None else None
-                contenders.append(Contender(name, claim.index if claim is not None else NEVER, declared))
+                contenders.append(Contender(name, claim.index if claim is not None else NO_CLAIM, declared))
         if not contenders:
             if names:
                 more = f"it is one of {', '.join(sorted(names)[:3])}"
-                self.entries[short] = Unknown(Why.UNHELD, short, more)
+                self.entries[short] = UnknownService(UnknownReason.UNHELD, short, more)
             return
-        found = resolve(short, contenders, View(self.site.mesh, pin), self.rules)
+        found = resolve(short, contenders, SiteView(self.site.mesh, pin), self.rules)
         if len(contenders) > 1:
             self.collisions[short] = found
         if found.joined:
@@ -240,58 +253,63 @@
             known = self.entries.get(found.leader)
             self.entries[short] = known if isinstance(known, Service) else self._entry((found.leader,), short)
 
-    def _entry(self, members: tuple[str, ...], name: str) -> Service | Unknown:
-        """The service of these, where any of them has providers or a route; else why not."""
-        if not any(self.own.get(one) is not None or self._route(one) is not None for one in members):
-            return self._missing(members, name)
+    def _entry(self, members: tuple[str, ...], name: str) -> Service | UnknownService:
+        """The service with these members if any of them has providers or a route, else the reason why not."""
+        if not any(self.own.get(one) is not None or self._usable_route(one) is not None for one in members):
+            return self._unknown(members, name)
         contract = strictest(contract for one in members for contract in self._contracts(one))
-        if len({parts(one)[1] for one in members}) > 1:
-            contract = apart(contract)
+        if len({split_name(one)[1] for one in members}) > 1:
+            contract = across_meshes(contract)
         return Service(key_of(members), members, contract)
 
     def _contracts(self, name: str) -> list[Mapping[str, Clause]]:
-        """All that is declared of it: while one of them is being told anew, the strictest holds."""
-        said: list[Mapping[str, Clause]] = []
+        """All contracts that are declared for the name. While a declaration changes, the strictest one applies."""
+        contracts: list[Mapping[str, Clause]] = []
         for one in (self.own.get(name), self.claims.get(name)):
             if one is not None and one.declared.contract:
-                said.append(one.declared.contract)
-        route = self._route(name)
-        # Another mesh's own word is its claim: until there is one, a copy that this site has does not speak for it.
-        silent = name not in self.claims and parts(name)[1] != self.site.mesh
-        if route is not None and (silent or not said):
-            said.append(once(route.route.classes))
-        return said or [{}]
-
-    def _route(self, name: str) -> UsedRoute | None:
-        """A route counts only from a site of the name's own mesh: no other can take work for that name."""
+                contracts.append(one.declared.contract)
+        route = self._usable_route(name)
+        # Another mesh declares its contract by its claim. Without a claim, a copy at this site must not declare it
+        # instead.
+        silent = name not in self.claims and split_name(name)[1] != self.site.mesh
+        if route is not None and (silent or not contracts):
+            contracts.append(once_only(route.route.classes))
+        return contracts or [{}]
+
+    def _usable_route(self, name: str) -> UsedRoute | None:
+        """The used route, if its own site belongs to the mesh of the name: no other site may receive requests for that
+        name."""
         used = self.used.get(name)
-        if used is None or name in self.refused:
+        if used is None or name in self.rejected_names:
             return None
         site = used.route.path[-1]
-        return used if self.site.meshes.get(site, site) == parts(name)[1] else None
+        return used if self.site.meshes.get(site, site) == split_name(name)[1] else None
 
-    def _missing(self, members: Iterable[str], name: str) -> Unknown:
-        whys: dict[Why, str] = {}
+    def _unknown(self, members: Iterable[str], name: str) -> UnknownService:
+        whys: dict[UnknownReason, str] = {}
         for one in members:
             if one in self.used:
-                whys.setdefault(Why.UNFIT, f"{one} from {self.used[one].partner}: {FOREIGN}")
+                whys.setdefault(UnknownReason.UNFIT, f"{one} from {self.used[one].partner}: {FOREIGN_SITE}")
             for partner, left in sorted(self.left.get(one, {}).items()):
-                whys.setdefault(LEFT.get(left.reason, Why.UNFIT), f"{one} from {partner}: {left}")
-        for why in (Why.STALE, Why.EXCLUDED, Why.UNFIT):
+                whys.setdefault(REASON_BY_UNUSED.get(left.reason, UnknownReason.UNFIT), f"{one} from {partner}: {left}")
+        for why in (UnknownReason.STALE, UnknownReason.EXCLUDED, UnknownReason.UNFIT):
             if why in whys:
-                return Unknown(why, name, whys[why])
-        return Unknown(Why.STALE, name, f"nobody offers {', '.join(members)} now, and the name is kept")
+                return UnknownService(why, name, whys[why])
+        return UnknownService(
+            UnknownReason.STALE, name, f"nobody offers {', '.join(members)} now, and the name is kept"
+        )
 
 
 def key_of(members: tuple[str, ...]) -> str:
+    """The key of a service with these members."""
     return "+".join(members)
 
 
-def _key(entry: Service | Unknown | None) -> str:
+def _key_of(entry: Service | UnknownService | None) -> str:
     return entry.key if isinstance(entry, Service) else ""
 
 
-def _put(into: dict[str, Any], name: str, value: Any) -> None:
+def _set_or_remove(into: dict[str, Any], name: str, value: Any) -> None:
     if value is None:
         into.pop(name, None)
     else:
--- a/loftweir/catalog/contract.py
+++ b/loftweir/catalog/contract.py
@@ -1,12 +1,15 @@
-"""What may be done with a service's requests, by class, and the strictest of several such words. Pure.
+"""Contracts: how often and where a service's requests may be executed, by class, and the strictest of several
+contracts.
+
+Pure: no I/O and no clock.
 
 Clauses form a semilattice under `meet`, a product of four chains: once before keyed before repeatable, cell before zone
-before all, the shorter window, the earlier deadline. Two forms are made one (`clause`): of what is repeated freely
-scope and window say nothing and are at their top, of what is called once they are at their bottom; so that neither
-loosens nor tightens another mesh's words by what it does not mean. Contracts meet class by class, and a class that one
-of them does not have is in none: nobody said what it does there.
+before all, the shorter window, the earlier deadline. `clause` makes two kinds canonical: scope and window have no
+meaning for a repeatable class and take their greatest values, and none for a class that runs once, where they take
+their smallest. So neither loosens or tightens another mesh's clause by values without meaning. Contracts meet class by
+class. A class that one of them does not have is in no result, since nothing is declared about it there.
 
-Invariant: for every class that a meet has, each of its contracts has it, and no softer.
+Invariant: for every class of a meet, each of the contracts has that class and is no stricter than the meet.
 """
 
 from __future__ import annotations
@@ -21,11 +24,11 @@
 
 FOREVER = (1 << 63) - 1
 STRICTNESS = {Effect.ONCE: 0, Effect.BY_KEY: 1, Effect.REPEATABLE: 2}
-WIDTH = {Scope.CELL: 0, Scope.ZONE: 1, Scope.ALL: 2}
+SCOPE_WIDTH = {Scope.CELL: 0, Scope.ZONE: 1, Scope.ALL: 2}
 
 
 class Clause(msgspec.Struct, frozen=True, gc=False):
-    """Of one class; made by `clause`."""
+    """The contract of one class; made by `clause`."""
 
     effect: Effect
     scope: Scope
@@ -33,17 +36,17 @@
     deadline: int  # ns
 
     def meet(self, other: Clause) -> Clause:
-        """Commutative, associative, idempotent."""
+        """The strictest of both clauses. Commutative, associative, idempotent."""
         return Clause(
             min(self.effect, other.effect, key=STRICTNESS.__getitem__),
-            min(self.scope, other.scope, key=WIDTH.__getitem__),
+            min(self.scope, other.scope, key=SCOPE_WIDTH.__getitem__),
             min(self.window, other.window),
             min(self.deadline, other.deadline),
         )
 
 
 def clause(effect: Effect, scope: Scope = Scope.ALL, window: int = 0, deadline: int = FOREVER) -> Clause:
-    """In the one form."""
+    """A clause in canonical form."""
     if effect is Effect.REPEATABLE:
         scope, window = Scope.ALL, FOREVER
     elif effect is Effect.ONCE or window <= 0:
@@ -55,28 +58,28 @@
 Contract = Mapping[str, Clause]  # by class
 
 
-def of(classes: Iterable[RequestClass]) -> dict[str, Clause]:
+def from_classes(classes: Iterable[RequestClass]) -> dict[str, Clause]:
     """The contract that the platform's settings declare."""
     return {cls.name: clause(cls.effect, cls.scope, cls.window, cls.deadline) for cls in classes}
 
 
-def once(classes: Iterable[str]) -> dict[str, Clause]:
-    """Of whom nothing is declared: every class may run once at the most."""
+def once_only(classes: Iterable[str]) -> dict[str, Clause]:
+    """The contract of a service without a declaration: every class may run at most once."""
     return dict.fromkeys(classes, ONCE)
 
 
-def _both(one: Contract, other: Contract) -> Contract:
+def _meet(one: Contract, other: Contract) -> Contract:
     return {name: one[name].meet(other[name]) for name in one.keys() & other.keys()}
 
 
 def strictest(contracts: Iterable[Contract]) -> dict[str, Clause]:
-    """Of at least one. The classes are in order of their names, whatever the order of the contracts."""
-    return dict(sorted(reduce(_both, contracts).items()))
+    """The strictest of one or more contracts. The classes are ordered by name, whatever the order of the contracts."""
+    return dict(sorted(reduce(_meet, contracts).items()))
 
 
-def apart(contract: Contract) -> dict[str, Clause]:
-    """As it holds over several meshes: one mesh's memory of keys does not reach into another, so that no scope is wider
-    than a zone, and zones of two meshes are never one."""
+def across_meshes(contract: Contract) -> dict[str, Clause]:
+    """The contract over several meshes. Servers of one mesh do not know the keys that another mesh has seen, and zones
+    of two meshes are never the same; so no scope is wider than a zone."""
     return {
         name: msgspec.structs.replace(one, scope=Scope.ZONE)
         if one.effect is Effect.BY_KEY and one.scope is Scope.ALL
@@ -85,7 +88,8 @@
     }
 
 
-def applied(cls: RequestClass, one: Clause) -> RequestClass:
-    """A class as the service's balancer gets it: this site's own figures, never softer than the contract."""
+def apply_clause(cls: RequestClass, one: Clause) -> RequestClass:
+    """The class as the service's balancer gets it: with this site's own values, but never less strict than the
+    contract."""
     met = clause(cls.effect, cls.scope, cls.window, cls.deadline).meet(one)
     return replace(cls, effect=met.effect, scope=met.scope, window=met.window, deadline=met.deadline)
--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -1,12 +1,10 @@
-"""Reads the file of this site's own services, TOML or JSON: all faults at once.
+"""Reads the file of this site's own services, in TOML or JSON, and reports all faults at once.
 
 mesh = "shop"
 
-[meshes]
-bergen = "mill"
+[meshes] bergen = "mill"
 
-[pins]
-orders = "orders@shop"
+[pins] orders = "orders@shop"
 
 [[services]]
 name = "orders"
@@ -23,64 +21,70 @@
 import msgspec
 import ujson
 
-from loftweir.catalog.build import Own
-from loftweir.catalog.claims import MOST_SAME, Declaration
-from loftweir.catalog.contract import ONCE, of
-from loftweir.catalog.names import BadName, global_name, mesh_name, parts, short_name
+from loftweir.catalog.build import OwnService
+from loftweir.catalog.claims import MAX_SAME_NAMES, Declaration
+from loftweir.catalog.contract import ONCE, from_classes
+from loftweir.catalog.names import BadName, global_name, mesh_name, short_name, split_name
 from loftweir.config.faults import MISSING, Fault, Faulty
 from loftweir.config.operator import LARGEST, nearest, read_table
 from loftweir.interface import Endpoint, RequestClass
 
-MOST = 10_000  # services
+MAX_SERVICES = 10_000
 KEYS = ("mesh", "meshes", "pins", "services")
-OF_SERVICE = ("name", "classes", "once", "same", "types", "names", "groups")
+SERVICE_KEYS = ("name", "classes", "once", "same", "types", "names", "groups")
 
 
-class Mine(msgspec.Struct, frozen=True):
-    """One of this site's own services. Of `types`, `names` and `groups`, an empty one leaves out no provider."""
+class OwnServiceConfig(msgspec.Struct, frozen=True):
+    """One of this site's own services. An empty `types`, `names` or `groups` excludes no provider."""
 
-    name: str  # global
-    classes: frozenset[str] = frozenset()  # in small letters; empty: all of the settings'
-    once: frozenset[str] = frozenset()  # in small letters; called once, whatever the settings say
+    name: str  # global name
+    classes: frozenset[str] = frozenset()  # in lower case; empty: all classes of the settings
+    once: frozenset[str] = frozenset()  # in lower case; executed at most once, whatever the settings declare
     same: tuple[str, ...] = ()
     types: frozenset[str] = frozenset()
-    names: tuple[str, ...] = ()  # prefixes
+    names: tuple[str, ...] = ()  # prefixes of providers' names
     groups: frozenset[int] = frozenset()
 
     def serves(self, one: Endpoint) -> bool:
+        """Whether the provider serves this service."""
         return (
             (not self.types or one.kind in self.types)
             and (not self.names or one.address.startswith(self.names))
             and (not self.groups or one.cell in self.groups)
         )
 
-    def own(self, known: Mapping[str, Endpoint], addresses: Mapping[str, str], classes: Iterable[RequestClass]) -> Own:
-        # Partners' tables have the names of classes in small letters, so that a contract has.
+    def to_service(
+        self, known: Mapping[str, Endpoint], addresses: Mapping[str, str], classes: Iterable[RequestClass]
+    ) -> OwnService:
+        # Contracts have class names in lower case, like the partners' tables.
+        """The service with those of the known providers that serve it."""
         contract = {
             name.lower(): ONCE if name.lower() in self.once else one
-            for name, one in of(classes).items()
+            for name, one in from_classes(classes).items()
             if not self.classes or name.lower() in self.classes
         }
         endpoints = {name: one for name, one in known.items() if self.serves(one)}
-        return Own(endpoints, {name: addresses[name] for name in endpoints}, Declaration(contract, self.same))
+        return OwnService(endpoints, {name: addresses[name] for name in endpoints}, Declaration(contract, self.same))
 
 
 class Services(NamedTuple):
+    """The contents of the file of services."""
+
     mesh: str
     meshes: dict[str, str]  # by site
     pins: dict[str, str]
-    services: dict[str, Mine]  # by global name
+    services: dict[str, OwnServiceConfig]  # by global name
 
 
 def load(path: str, site: str) -> Services:
-    """`site`: this one's name, and its mesh's where the file names none. Raises `Faulty` with every fault."""
+    """Raises `Faulty` with every fault. `site`: the name of this site, and of its mesh if the file names none."""
     faults: list[Fault] = []
-    data = _json(path, faults) if path.endswith(".json") else read_table(path, faults)
+    data = _read_json(path, faults) if path.endswith(".json") else read_table(path, faults)
 
     def fault(place: str, value: Any, expected: str) -> None:
         faults.append(Fault(path, place, value, expected))
 
-    def named(read: Any, value: Any, place: str) -> str:
+    def read_name(read: Any, value: Any, place: str) -> str:
         try:
             return str(read(value, place))
         except BadName as error:
@@ -90,21 +94,21 @@
     for key in data:
         if key not in KEYS:
             fault(key, data[key], nearest(str(key), KEYS))
-    mesh = named(mesh_name, data.get("mesh", site), "mesh")
+    mesh = read_name(mesh_name, data.get("mesh", site), "mesh")
     meshes: dict[str, str] = {}
-    for name, value in _table(data, "meshes", fault).items():
-        meshes[name.lower()] = named(mesh_name, value, f"meshes.{name}")
+    for name, value in _read_table(data, "meshes", fault).items():
+        meshes[name.lower()] = read_name(mesh_name, value, f"meshes.{name}")
     meshes.setdefault(site, mesh)
     pins: dict[str, str] = {}
-    for name, value in _table(data, "pins", fault).items():
-        short, pin = named(short_name, name, f"pins.{name}"), named(global_name, value, f"pins.{name}")
-        if short and pin and parts(pin)[0] != short:
+    for name, value in _read_table(data, "pins", fault).items():
+        short, pin = read_name(short_name, name, f"pins.{name}"), read_name(global_name, value, f"pins.{name}")
+        if short and pin and split_name(pin)[0] != short:
             fault(f"pins.{name}", value, f"a service of that name, as {short}@{mesh}")
         pins[short] = pin
-    services: dict[str, Mine] = {}
+    services: dict[str, OwnServiceConfig] = {}
     rows = data.get("services", [])
-    if not isinstance(rows, list) or len(rows) > MOST:
-        fault("services", rows, f"a list of at most {MOST} tables, [[services]]")
+    if not isinstance(rows, list) or len(rows) > MAX_SERVICES:
+        fault("services", rows, f"a list of at most {MAX_SERVICES} tables, [[services]]")
         rows = []
     for number, row in enumerate(rows):
         place = f"services.{number}"
@@ -112,19 +116,19 @@
             fault(place, row, "a table")
             continue
         for key in row:
-            if key not in OF_SERVICE:
-                fault(f"{place}.{key}", row[key], nearest(str(key), OF_SERVICE))
+            if key not in SERVICE_KEYS:
+                fault(f"{place}.{key}", row[key], nearest(str(key), SERVICE_KEYS))
         name = row.get("name", MISSING)
         if isinstance(name, str) and "@" not in name:
             name = f"{name}@{mesh}"
-        name = named(global_name, name, f"{place}.name")
+        name = read_name(global_name, name, f"{place}.name")
         if name in services:
             fault(f"{place}.name", name, "each service once")
-        lists = {key: _list(row, key, int if key == "groups" else str, place, fault) for key in OF_SERVICE[1:]}
-        if len(lists["same"]) > MOST_SAME:
-            fault(f"{place}.same", len(lists["same"]), f"at most {MOST_SAME}")
-        same = tuple(named(global_name, one, f"{place}.same") for one in lists["same"])
-        services[name] = Mine(
+        lists = {key: _read_list(row, key, int if key == "groups" else str, place, fault) for key in SERVICE_KEYS[1:]}
+        if len(lists["same"]) > MAX_SAME_NAMES:
+            fault(f"{place}.same", len(lists["same"]), f"at most {MAX_SAME_NAMES}")
+        same = tuple(read_name(global_name, one, f"{place}.same") for one in lists["same"])
+        services[name] = OwnServiceConfig(
             name,
             frozenset(one.lower() for one in lists["classes"]),
             frozenset(one.lower() for one in lists["once"]),
@@ -138,7 +142,7 @@
     return Services(mesh, meshes, pins, services)
 
 
-def _json(path: str, faults: list[Fault]) -> dict[str, Any]:
+def _read_json(path: str, faults: list[Fault]) -> dict[str, Any]:
     try:
         with open(path, "rb") as opened:
             data = opened.read(LARGEST + 1)
@@ -153,7 +157,7 @@
     return {}
 
 
-def _table(data: Mapping[str, Any], name: str, fault: Any) -> dict[str, Any]:
+def _read_table(data: Mapping[str, Any], name: str, fault: Any) -> dict[str, Any]:
     found = data.get(name, {})
     if isinstance(found, dict):
         return found
@@ -161,7 +165,7 @@
     return {}
 
 
-def _list(row: Mapping[str, Any], key: str, kind: type, place: str, fault: Any) -> list[Any]:
+def _read_list(row: Mapping[str, Any], key: str, kind: type, place: str, fault: Any) -> list[Any]:
     found = row.get(key, [])
     if isinstance(found, list) and all(type(one) is kind for one in found):
         return found
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -1,7 +1,8 @@
-"""The services of one sidecar at work: by a request's Host the catalog's service, by that a balancer of its own.
+"""Routes each request to the balancer of the service that its Host names; there is one balancer for each service in
+use.
 
-The one module of the catalog that `sidecar` imports, and only where the operator's file names one. The site's own
-list, the partners' routes and the file come in; what follows from them is the catalog's to say.
+The only module of the catalog that `sidecar` imports, and only if the operator's file names a file of services. It
+passes the site's endpoint list, the partners' routes and the file to the catalog and applies the changes that result.
 """
 
 from __future__ import annotations
@@ -12,13 +13,21 @@
 from typing import Any
 from zlib import crc32
 
-from loftweir.catalog.build import Catalog, Changed, Service, Site, State, Unknown, Why
-from loftweir.catalog.claims import Claims, Damping, Declaration, PutClaim, Seen, encode, orders
-from loftweir.catalog.contract import applied, once
-from loftweir.catalog.file import Mine, Services
-from loftweir.catalog.names import parts
-from loftweir.catalog.providers import EMPTY, Follower, ProviderSet
-from loftweir.catalog.shares import Shared
+from loftweir.catalog.build import (
+    Catalog,
+    CatalogChanges,
+    CatalogState,
+    LocalSite,
+    Service,
+    UnknownReason,
+    UnknownService,
+)
+from loftweir.catalog.claims import Claims, Damping, Declaration, ObservedService, PutClaim, encode, pending_commands
+from loftweir.catalog.contract import apply_clause, once_only
+from loftweir.catalog.file import OwnServiceConfig, Services
+from loftweir.catalog.names import split_name
+from loftweir.catalog.providers import NO_PROVIDERS, ProviderFeed, ProviderSet
+from loftweir.catalog.shares import SharedLimit
 from loftweir.core.host import Host
 from loftweir.core.invocation import Invocation
 from loftweir.errors import LoftweirError
@@ -34,33 +43,41 @@
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
 from loftweir.telemetry.log import say
 
-STATUS = {Why.NAME: 404, Why.UNHELD: 404, Why.EXCLUDED: 403, Why.STALE: 503, Why.UNFIT: 503}
-SWEEP_EVERY = 60 * SECOND
-IDLE_FOR = 600 * SECOND  # a balancer that nobody asked is let go; above the longest body and deadline together
-PAST = SECOND  # beyond the longest deadline, that a provider drains
-LOOK_EVERY = SECOND  # for what is to be claimed
-CLAIM_WITHIN = 3 * SECOND
-REFUSED_FOR = 60 * SECOND  # that a claim which was not taken is not tried
+STATUS_CODES = {
+    UnknownReason.NAME: 404,
+    UnknownReason.UNHELD: 404,
+    UnknownReason.EXCLUDED: 403,
+    UnknownReason.STALE: 503,
+    UnknownReason.UNFIT: 503,
+}
+SWEEP_INTERVAL = 60 * SECOND  # between two removals of idle balancers
+IDLE_TIMEOUT = 600 * SECOND  # of a balancer without requests; longer than the longest body and deadline together
+DRAIN_MARGIN = SECOND  # beyond the longest deadline, for which a provider drains
+CLAIM_INTERVAL = SECOND  # between two looks for claims to submit
+CLAIM_TIMEOUT = 3 * SECOND
+REJECTED_CLAIM_DELAY = 60 * SECOND  # before a rejected claim is submitted again
 DAMPING = Damping()
 BURST = 1.0  # seconds of a partner's rate that may be sent at once
 
 
-class Lane(Pool):
-    """One service's connections: its providers' names and addresses are its own, room for them is the sidecar's.
+class ServicePool(Pool):
+    """The connections of one service. Its providers' names and addresses are its own; the number of connections is
+    limited for the sidecar as a whole.
 
-    Invariant: the service holds one of `shared` for each connection that is open or coming up.
+    Invariant: the service has acquired one unit of `shared` for each connection that is open or being opened.
     """
 
-    def __init__(self, whole: Pool, shared: Shared, key: str) -> None:
+    def __init__(self, whole: Pool, shared: SharedLimit, key: str) -> None:
         self.whole, self.shared, self.key = whole, shared, key
         self.loop, self.most, self.resting = whole.loop, whole.most, whole.resting
         self.addresses: dict[str, str] = {}
-        self.names: dict[str, str] = {}  # the same the other way round, as in `Pool`
+        self.names: dict[str, str] = {}  # the inverse, as in `Pool`
         self.heard: dict[str, int] = {}
         self.idle: dict[str, dict[Connection, None]] = {}
 
     @property
     def open(self) -> int:
+        """The number of connections of the sidecar."""
         return self.whole.open
 
     @open.setter
@@ -76,7 +93,8 @@
         return self.whole.options
 
     def connect(self, name: str, until: int) -> Coroutine[Connection]:
-        while not self.shared.take(self.key):
+        """Opens a connection, and closes the service's longest idle ones while the sidecar has no room for another."""
+        while not self.shared.acquire(self.key):
             oldest = min((c for idle in self.idle.values() for c in idle), key=lambda c: c.rested_at, default=None)
             if oldest is None:
                 raise NotUp(Outcome.NOT_SENT)
@@ -85,209 +103,231 @@
         try:
             return (yield from super().connect(name, until))
         except BaseException:
-            self.shared.give(self.key)
+            self.shared.release(self.key)
             raise
 
     def close(self, connection: Connection) -> None:
+        """Closes a connection and releases its unit."""
         super().close(connection)
-        self.shared.give(self.key)
+        self.shared.release(self.key)
 
 
 class NoDiscovery:
-    """Discovery's side of a service's balancer: the sidecar's first one asks for them all."""
+    """Discovery for a service's balancer: the sidecar's main balancer sends the requests for all."""
 
     def watch(self, on: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
 
-class At:
-    """One service's balancer, and what it was told."""
+class ServiceBalancer:
+    """The balancer of one service, and its current providers."""
 
-    def __init__(self, host: Host, follower: Follower, service: Service) -> None:
-        self.host, self.follower, self.service = host, follower, service
-        self.set: ProviderSet = EMPTY
+    def __init__(self, host: Host, feed: ProviderFeed, service: Service) -> None:
+        self.host, self.feed, self.service = host, feed, service
+        self.set: ProviderSet = NO_PROVIDERS
         self.used_at = 0
-        self.wakes_at = 0  # when `follower` has something to tell though nothing changes; 0: nobody waits for that
-        self.credit = 0.0  # of `part`: a request may go once it is 1
-        self.tokens, self.filled_at = 0.0, 0  # of the least of `rates`
+        self.wakes_at = 0  # time at which `feed` has an update although nothing changes; 0: no timer is set
+        self.credit = 0.0  # of `fraction`: a request may be sent once it is 1
+        self.tokens = 0.0  # token bucket of the lowest of `rates`
+        self.filled_at = 0  # of the token bucket, in ns
 
 
 class Hosts:
-    """Invariants: `catalog` is what the file, the list and the routes make at this moment; each balancer in `ats` has
-    been told the providers of its key; all of them have the one map of ids that `first` has, so that the same id under
-    two names is never two copies."""
+    """The services of this sidecar, and their balancers.
 
-    def __init__(self, loop: Loop, services: Services, first: Host, back: Back, seed: int) -> None:
+    Invariants: `catalog` follows from the current file, endpoint list and routes; each balancer in `service_balancers`
+    has been notified of the providers of its key; all of them share the map of request ids of `main_host`, so that one
+    id under two names never makes two requests.
+    """
+
+    def __init__(self, loop: Loop, services: Services, main_host: Host, back: Back, seed: int) -> None:
         self.loop, self.services = loop, services
-        self.first, self.back, self.seed = first, back, seed
+        self.main_host, self.back, self.seed = main_host, back, seed
         self.known: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
         self.merged: MergeResult | None = None
         self.claims: Mapping[str, Any] = {}
         self.claims_read: tuple[Claims | None, int] = (None, 0)
-        self.duties: Mapping[str, Duty] = {}  # by partner: who holds one claims its names
-        self.seen: dict[str, tuple[str, Seen]] = {}  # by global name: the partner by which it came, and since when
-        self.refused: dict[str, int] = {}  # by global name, until when
-        self.unsettled: set[str] = set()  # names whose claim may be another than what is seen says
-        self.shared = Shared(back.pool.most)
-        self.ats: dict[str, At] = {}  # by the service's key
-        self.catalog = self._made()
+        self.duties: Mapping[str, Duty] = {}  # by partner; the holder of a partner's lease claims its names
+        # by global name: the partner that offers it, and what was observed
+        self.observed: dict[str, tuple[str, ObservedService]] = {}
+        self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
+        self.unsettled: set[str] = set()  # names whose claim may differ from what was observed
+        self.shared = SharedLimit(back.pool.most)
+        self.service_balancers: dict[str, ServiceBalancer] = {}  # by service key
+        self.catalog = self._build_catalog()
         loop.spawn(self._sweep())
-        loop.spawn(self._claim(), self._claim_crashed)
+        loop.spawn(self._submit_claims(), self._claims_crashed)
 
     @property
     def settings(self) -> Settings:
-        return self.first.settings
+        """The platform's settings."""
+        return self.main_host.settings
 
-    # ---- a request ------------------------------------------------------------------------------
+    # ---- requests --------------------------------------------------------------------------------
 
     def admit(self, name: str, invocation: Invocation) -> Host:
-        """The host of the service that a request names; its class becomes the service's. Raises `Malformed`."""
+        """The host of the service that a request names; the request gets that service's version of its class. Raises
+        `Malformed`."""
         found = self.catalog.find(name)
-        if isinstance(found, Unknown):
-            raise self._no(found.text, STATUS[found.reason])
-        at = self.ats.get(found.key)
-        if at is None:
-            at = self._begin(found)
-        at.used_at = self.loop.time
-        cls = at.host.settings.classes.get(invocation.cls.name)
-        if cls is None or cls.name.lower() not in at.service.contract:
-            raise self._no(f"{found.key}: {invocation.cls.name} is not a class of this service", 400)
-        if at.set.endpoints and cls.name.lower() not in at.set.classes:
-            raise self._no(f"{found.key}: nobody who is there for it now takes {cls.name}; come back", 503)
-        self._within(at)
+        if isinstance(found, UnknownService):
+            raise self._rejection(found.text, STATUS_CODES[found.reason])
+        balancer = self.service_balancers.get(found.key)
+        if balancer is None:
+            balancer = self._start_balancer(found)
+        balancer.used_at = self.loop.time
+        cls = balancer.host.settings.classes.get(invocation.cls.name)
+        if cls is None or cls.name.lower() not in balancer.service.contract:
+            raise self._rejection(f"{found.key}: {invocation.cls.name} is not a class of this service", 400)
+        if balancer.set.endpoints and cls.name.lower() not in balancer.set.classes:
+            raise self._rejection(f"{found.key}: nobody who is there for it now takes {cls.name}; come back", 503)
+        self._enforce_terms(balancer)
         invocation.cls = cls
         invocation.patience = min(invocation.patience, cls.deadline)
-        return at.host
+        return balancer.host
 
-    def _no(self, text: str, status: int) -> Malformed:
+    def _rejection(self, text: str, status: int) -> Malformed:
         after = min(COME_BACK, self.settings.max_retry_after)
         if status == 503 and self.settings.retry_after and after >= MS:
             return Malformed(text, status, ("retry-after", f"{after / SECOND:.3f}"))
         return Malformed(text, status)
 
-    def _within(self, at: At) -> None:
-        """Holds the work sent by a partner's terms: `part` of the service's, and the least of the rates, of which each
-        sidecar of the site has its part."""
-        if at.set.rates:
-            now, rate = self.loop.time, min(at.set.rates.values()) / self.settings.balancers
-            filled = at.tokens + (now - at.filled_at) / SECOND * rate
-            at.tokens, at.filled_at = min(filled, max(1.0, rate * BURST)), now
-            if at.tokens < 1:
-                raise self._no(f"{at.service.key}: more than the partner's rate of {rate:g} a second here", 503)
-        if at.set.part < 1:
-            at.credit = min(at.credit + at.set.part, 2.0)
-            if at.credit < 1:
-                raise self._no(f"{at.service.key}: more than the partners' share of {at.set.part:g}", 503)
-            at.credit -= 1
-        if at.set.rates:
-            at.tokens -= 1
-
-    # ---- balancers ------------------------------------------------------------------------------
+    def _enforce_terms(self, balancer: ServiceBalancer) -> None:
+        """Keeps requests within the partners' terms: the `fraction` of the service's requests, and the lowest of the
+        rates, of which each sidecar of the site has an equal part."""
+        if balancer.set.rates:
+            now, rate = self.loop.time, min(balancer.set.rates.values()) / self.settings.balancers
+            filled = balancer.tokens + (now - balancer.filled_at) / SECOND * rate
+            balancer.tokens, balancer.filled_at = min(filled, max(1.0, rate * BURST)), now
+            if balancer.tokens < 1:
+                raise self._rejection(
+                    f"{balancer.service.key}: more than the partner's rate of {rate:g} a second here", 503
+                )
+        if balancer.set.fraction < 1:
+            balancer.credit = min(balancer.credit + balancer.set.fraction, 2.0)
+            if balancer.credit < 1:
+                raise self._rejection(
+                    f"{balancer.service.key}: more than the partners' share of {balancer.set.fraction:g}", 503
+                )
+            balancer.credit -= 1
+        if balancer.set.rates:
+            balancer.tokens -= 1
+
+    # ---- balancers -------------------------------------------------------------------------------
 
     def _grace(self) -> int:
-        return max(c.deadline for c in self.settings.classes.values()) + PAST
+        return max(c.deadline for c in self.settings.classes.values()) + DRAIN_MARGIN
 
-    def _fitted(self, service: Service) -> Settings:
-        """The platform's settings with the classes as the contract has them. One with none of them serves nothing,
-        and its balancer is never asked (`admit`)."""
+    def _settings_for(self, service: Service) -> Settings:
+        """The platform's settings with the classes of the service's contract. A service without any class gets no
+        request (`admit`)."""
         classes = self.settings.classes
-        fitted = {name: applied(cls, service.contract[name.lower()]) for name, cls in _met(classes, service).items()}
-        return replace(self.settings, classes=fitted or classes)
+        applied = {
+            name: apply_clause(cls, service.contract[name.lower()])
+            for name, cls in _classes_of(classes, service).items()
+        }
+        return replace(self.settings, classes=applied or classes)
 
-    def _begin(self, service: Service) -> At:
+    def _start_balancer(self, service: Service) -> ServiceBalancer:
         side = copy.copy(self.back)
-        side.pool = Lane(self.back.pool, self.shared, service.key)
-        host = Host(self.loop, self._fitted(service), self.seed ^ crc32(service.key.encode()), side, NoDiscovery())
-        host.invocations, host.overload = self.first.invocations, self.first.overload
+        side.pool = ServicePool(self.back.pool, self.shared, service.key)
+        host = Host(
+            self.loop, self._settings_for(service), self.seed ^ crc32(service.key.encode()), side, NoDiscovery()
+        )
+        host.invocations, host.overload = self.main_host.invocations, self.main_host.overload
         side.ended = host.ended
-        at = self.ats[service.key] = At(host, Follower(self._grace()), service)
-        self._step(service.key, at)
-        return at
+        balancer = self.service_balancers[service.key] = ServiceBalancer(host, ProviderFeed(self._grace()), service)
+        self._update_balancer(service.key, balancer)
+        return balancer
 
-    def _step(self, key: str, at: At) -> None:
-        """Tells one balancer what is another in its service's providers."""
-        if self.ats.get(key) is not at:
+    def _update_balancer(self, key: str, balancer: ServiceBalancer) -> None:
+        """Notifies one balancer of the changes in its service's providers."""
+        if self.service_balancers.get(key) is not balancer:
             return
-        at.set = self._wanted(key, at)
-        at.follower.grace = self._grace()
-        step = at.follower.step(self.loop.now(), at.set)
+        balancer.set = self._current_providers(key, balancer)
+        balancer.feed.grace = self._grace()
+        step = balancer.feed.step(self.loop.now(), balancer.set)
         if step is not None:
-            at.host.listed(step.update, step.addresses)
-        due_at = at.follower.next_at
-        if due_at is not None and not 0 < at.wakes_at <= due_at:  # one is under way: it looks again
-            at.wakes_at = due_at
-            self.loop.after(max(MS, due_at - self.loop.now()), self._drained, key, at, due_at)
-
-    def _drained(self, key: str, at: At, due_at: int) -> None:
-        if at.wakes_at == due_at:
-            at.wakes_at = 0
-        self._step(key, at)
-
-    def _wanted(self, key: str, at: At) -> ProviderSet:
-        """None for one that is no more: its providers drain. Its members' names may still stand for others."""
+            balancer.host.listed(step.update, step.addresses)
+        due_at = balancer.feed.next_at
+        if due_at is not None and not 0 < balancer.wakes_at <= due_at:  # else the timer that is set looks again
+            balancer.wakes_at = due_at
+            self.loop.after(max(MS, due_at - self.loop.now()), self._on_drain_timer, key, balancer, due_at)
+
+    def _on_drain_timer(self, key: str, balancer: ServiceBalancer, due_at: int) -> None:
+        if balancer.wakes_at == due_at:
+            balancer.wakes_at = 0
+        self._update_balancer(key, balancer)
+
+    def _current_providers(self, key: str, balancer: ServiceBalancer) -> ProviderSet:
+        """The providers of the balancer's service; none if the service no longer exists, so that its providers drain.
+        The names of its members may then refer to other services."""
         entry = self.catalog.find(key.partition("+")[0])
         found = entry if isinstance(entry, Service) and entry.key == key else None
         if found is None:
             short = self.catalog.find(key.partition("@")[0])
             found = short if isinstance(short, Service) and short.key == key else None
         if found is None:
-            return EMPTY
-        if found != at.service:
-            at.service = found
-            at.host.use(self._fitted(found))
+            return NO_PROVIDERS
+        if found != balancer.service:
+            balancer.service = found
+            balancer.host.use(self._settings_for(found))
         return self.catalog.providers(found)
 
     def _sweep(self) -> Coroutine[None]:
         while True:
-            yield Wait(None, 0, self.loop.now() + SWEEP_EVERY)
-            due = self.loop.now() - IDLE_FOR
-            for key in [key for key, at in self.ats.items() if at.used_at < due]:
-                del self.ats[key]
+            yield Wait(None, 0, self.loop.now() + SWEEP_INTERVAL)
+            due = self.loop.now() - IDLE_TIMEOUT
+            for key in [key for key, balancer in self.service_balancers.items() if balancer.used_at < due]:
+                del self.service_balancers[key]
 
-    # ---- what holds -----------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------
 
     def serves(self) -> bool:
+        """Whether the catalog has any name."""
         return bool(self.catalog.entries)
 
-    def _own(self, names: Mapping[str, Mine]) -> dict[str, Any]:
+    def _own_services(self, names: Mapping[str, OwnServiceConfig]) -> dict[str, Any]:
         classes = self.settings.classes.values()
-        return {name: one.own(self.known, self.addresses, classes) for name, one in names.items()}
+        return {name: one.to_service(self.known, self.addresses, classes) for name, one in names.items()}
 
-    def _made(self) -> Catalog:
+    def _build_catalog(self) -> Catalog:
         of_file = self.services
         used, left = (self.merged.used, self.merged.left) if self.merged is not None else ({}, {})
-        state = State(self._own(of_file.services), dict(used), dict(left), dict(self.claims), dict(of_file.pins))
-        return Catalog(Site(of_file.mesh, self.settings.zone, of_file.meshes), state)
+        state = CatalogState(
+            self._own_services(of_file.services), dict(used), dict(left), dict(self.claims), dict(of_file.pins)
+        )
+        return Catalog(LocalSite(of_file.mesh, self.settings.zone, of_file.meshes), state)
 
     def use(self, services: Services | None) -> None:
-        """Another file, or other settings: all of the catalog anew. What is under way goes on where it is."""
+        """Applies another file or other settings: the catalog is built again. Requests in flight stay with their
+        balancer."""
         before, meshes = self.catalog, self.services.meshes
         self.services = services or self.services
-        self.catalog = self._made()
+        self.catalog = self._build_catalog()
         if self.services.meshes != meshes and self.merged is not None:
-            self.seen = {}  # a name may be another site's now
-            self._see(self.merged, self.merged.used.keys())
+            self.observed = {}  # a name may belong to another site now
+            self._observe(self.merged, self.merged.used.keys())
         for event in self.catalog.collisions.values():
             if before.collisions.get(event.short) != event:
                 say(CATALOG_COLLISION, text=event.text)
-        for key, at in list(self.ats.items()):
-            at.host.use(self._fitted(at.service))
-            self._step(key, at)
+        for key, balancer in list(self.service_balancers.items()):
+            balancer.host.use(self._settings_for(balancer.service))
+            self._update_balancer(key, balancer)
 
-    def _changed(self, changed: Changed) -> None:
+    def _apply_changes(self, changed: CatalogChanges) -> None:
         for short, (before, after) in changed.moved.items():
             say(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
         for event in changed.events:
             say(CATALOG_COLLISION, text=event.text)
         for key in changed.keys | changed.ended:
-            at = self.ats.get(key)
-            if at is not None:
-                self._step(key, at)
+            balancer = self.service_balancers.get(key)
+            if balancer is not None:
+                self._update_balancer(key, balancer)
 
-    def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
-        """Discovery's list, as the operators' words have left it."""
+    def update_membership(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Processes an update of the endpoint list, with the operators' overrides."""
         if update.kind is UpdateKind.FAILED:
             return
         if update.kind is not UpdateKind.CHANGES:
@@ -302,100 +342,103 @@
                 self.addresses.pop(one.address, None)
             else:
                 self.known[one.address], self.addresses[one.address] = one, addresses[one.address]
-        now = self._own(touched)
-        self._changed(self.catalog.change(State(own={n: o for n, o in now.items() if self.catalog.own.get(n) != o})))
+        now = self._own_services(touched)
+        self._apply_changes(
+            self.catalog.update(CatalogState(own={n: o for n, o in now.items() if self.catalog.own.get(n) != o}))
+        )
 
-    def routed(self, merged: MergeResult) -> None:
-        """The partners' routes, as this site uses them."""
+    def update_routes(self, merged: MergeResult) -> None:
+        """Processes the partners' routes that this site uses."""
         self.merged, held = merged, self.catalog
-        used = _differs(held.used, merged.used)
-        left = _differs(held.left, merged.left)
+        used = _difference(held.used, merged.used)
+        left = _difference(held.left, merged.left)
         if used or left:
-            self._changed(held.change(State(used=used, left=left)))
-            self._see(merged, used.keys() | left.keys())
+            self._apply_changes(held.update(CatalogState(used=used, left=left)))
+            self._observe(merged, used.keys() | left.keys())
 
-    def claimed(self, claims: Claims | None) -> None:
-        """The names that the copies hold for meshes."""
+    def update_claims(self, claims: Claims | None) -> None:
+        """Processes the claims in the replicated state."""
         read = claims, claims.changes if claims is not None else 0
         if read == self.claims_read:
             return
         self.claims_read = read
         self.claims = dict(claims.table) if claims is not None else {}
-        others = _differs(self.catalog.claims, self.claims)
+        others = _difference(self.catalog.claims, self.claims)
         if others:
-            self.unsettled |= others.keys() & self.seen.keys()
-            self._changed(self.catalog.change(State(claims=others)))
+            self.unsettled |= others.keys() & self.observed.keys()
+            self._apply_changes(self.catalog.update(CatalogState(claims=others)))
 
-    # ---- claims ---------------------------------------------------------------------------------
+    # ---- claims ----------------------------------------------------------------------------------
 
-    def _see(self, merged: MergeResult, names: Collection[str]) -> None:
-        """What the partners offer by names that are theirs, and since when, of those that changed. A claim stays with
-        its name through a link that fails: until it was away for long, or the partner has withdrawn the service."""
+    def _observe(self, merged: MergeResult, names: Collection[str]) -> None:
+        """Records which names the partners offer that belong to them, and since when. A claim stays with its name while
+        a link fails, until the routes were away for long or the partner withdrew the service."""
         now, meshes = self.loop.now(), self.services.meshes
         for name in names:
-            used, known = merged.used.get(name), self.seen.get(name)
+            used, known = merged.used.get(name), self.observed.get(name)
             if used is None:
                 withdrawn = name not in merged.left
                 if known is not None and (known[1].declared is not None or known[1].withdrawn is not withdrawn):
-                    self.seen[name] = known[0], Seen(None, now, withdrawn)
+                    self.observed[name] = known[0], ObservedService(None, now, withdrawn)
                     self.unsettled.add(name)
                 continue
             site = used.route.path[-1]
-            mesh = parts(name)[1]  # the own one speaks in the file, and its names are its without a claim
-            if mesh == self.services.mesh or meshes.get(site, site) != mesh or name in self.catalog.refused:
+            # the own mesh declares its services in the file, and owns its names without a claim
+            mesh = split_name(name)[1]
+            if mesh == self.services.mesh or meshes.get(site, site) != mesh or name in self.catalog.rejected_names:
                 continue
-            declared = Declaration(once(used.route.classes))
+            declared = Declaration(once_only(used.route.classes))
             if known is None or known[1].declared != declared or known[0] != used.partner:
-                self.seen[name] = used.partner, Seen(declared, now)
+                self.observed[name] = used.partner, ObservedService(declared, now)
                 self.unsettled.add(name)
 
-    def _claim(self) -> Coroutine[None]:
-        """Says in the copies what is to be claimed, for the partners whose lease this sidecar has."""
+    def _submit_claims(self) -> Coroutine[None]:
+        """Submits the commands for claims, for the partners whose lease this sidecar has."""
         while True:
-            yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
+            yield Wait(None, 0, self.loop.now() + CLAIM_INTERVAL)
             for partner, duty in list(self.duties.items()) if self.unsettled else ():
                 now = self.loop.now()
-                self.unsettled = {name for name in self.unsettled if not self._settled(name)}
+                self.unsettled = {name for name in self.unsettled if not self._is_settled(name)}
                 if duty.may_act() is None:
                     continue
-                seen = {
-                    name: self.seen[name][1]
+                observed = {
+                    name: self.observed[name][1]
                     for name in self.unsettled
-                    if self.seen[name][0] == partner and self.refused.get(name, 0) <= now
+                    if self.observed[name][0] == partner and self.rejected_until.get(name, 0) <= now
                 }
-                for act in orders(self.claims, seen, now, DAMPING):
+                for command in pending_commands(self.claims, observed, now, DAMPING):
                     try:
-                        result = yield from duty.claim(encode(act), CLAIM_WITHIN)
-                    except LoftweirError:  # the lease or the majority is gone: whoever has it next, or the next look
+                        result = yield from duty.claim(encode(command), CLAIM_TIMEOUT)
+                    except LoftweirError:  # no lease or no majority: the next holder, or the next look, continues
                         break
                     if isinstance(result, Ok):
-                        self.refused.pop(act.name, None)
-                        if not isinstance(act, PutClaim):
-                            self.seen.pop(act.name, None)
-                        say(CATALOG_CLAIMED, name=act.name, index=result.value, why="")
+                        self.rejected_until.pop(command.name, None)
+                        if not isinstance(command, PutClaim):
+                            self.observed.pop(command.name, None)
+                        say(CATALOG_CLAIMED, name=command.name, index=result.value, why="")
                     else:
-                        self.refused[act.name] = self.loop.now() + REFUSED_FOR
-                        say(CATALOG_CLAIMED, name=act.name, index=0, why=result.text)
+                        self.rejected_until[command.name] = self.loop.now() + REJECTED_CLAIM_DELAY
+                        say(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
 
-    def _settled(self, name: str) -> bool:
-        """Whether the copies have what is seen of a name."""
-        if name not in self.seen:
+    def _is_settled(self, name: str) -> bool:
+        """Whether the replicated claim of a name matches what was observed."""
+        if name not in self.observed:
             return True
-        claim, declared = self.claims.get(name), self.seen[name][1].declared
+        claim, declared = self.claims.get(name), self.observed[name][1].declared
         return claim is None if declared is None else claim is not None and claim.declared == declared
 
-    def _claim_crashed(self, _: Exception) -> None:
-        self.loop.after(LOOK_EVERY, self._claim_again)
+    def _claims_crashed(self, _: Exception) -> None:
+        self.loop.after(CLAIM_INTERVAL, self._restart_claims)
 
-    def _claim_again(self) -> None:
-        self.loop.spawn(self._claim(), self._claim_crashed)
+    def _restart_claims(self) -> None:
+        self.loop.spawn(self._submit_claims(), self._claims_crashed)
 
 
-def _met(classes: Mapping[str, Any], service: Service) -> dict[str, Any]:
+def _classes_of(classes: Mapping[str, Any], service: Service) -> dict[str, Any]:
     return {name: cls for name, cls in classes.items() if name.lower() in service.contract}
 
 
-def _differs(held: Mapping[str, Any], wanted: Mapping[str, Any]) -> dict[str, Any]:
-    """What makes one of the other, as `State` has it."""
+def _difference(held: Mapping[str, Any], wanted: Mapping[str, Any]) -> dict[str, Any]:
+    """The changes from `held` to `wanted`, in the form of `CatalogState`."""
     gone: dict[str, Any] = dict.fromkeys(held.keys() - wanted.keys())
     return gone | {name: value for name, value in wanted.items() if held.get(name) != value}
--- a/loftweir/catalog/oracle.py
+++ b/loftweir/catalog/oracle.py
@@ -1,8 +1,10 @@
-"""The judge of the catalog's third and fourth invariants: nothing runs twice that a mesh where it ran calls once, or
-outside the memory by which a mesh drops repeats. Pure.
+"""Checks the third and fourth invariant of the catalog: a request is never executed twice at meshes of which one
+declares its class as once, nor outside the scope in which a mesh drops duplicates.
 
-It asks no merged contract, but what each mesh itself had declared when the request was begun; and it repeats whatever
-the service's contract lets a balancer repeat, at every provider that the balancer then has.
+Pure: no I/O and no clock.
+
+The oracle does not use the merged contract, but what each mesh itself had declared when the request began. It retries
+whatever the service's contract lets a balancer retry, at every provider that the balancer then has.
 """
 
 from __future__ import annotations
@@ -15,49 +17,53 @@
 from loftweir.interface import Effect, Endpoint, Scope
 
 
-class Begun(NamedTuple):
-    """A request that may have run at a provider."""
+class StartedRequest(NamedTuple):
+    """A request that may have been executed at a provider."""
 
     key: str  # of its service, whose balancer it stays with
-    clause: Clause  # of its class as it was taken with
+    clause: Clause  # of its class when it was accepted
     provider: Endpoint
-    words: Mapping[str, Clause]  # by mesh, what that had declared
+    declared: Mapping[str, Clause]  # by mesh: the clause that the mesh had declared
 
 
-def group(provider: Endpoint, scope: Scope) -> object:
+def dedup_group(provider: Endpoint, scope: Scope) -> object:
+    """The group of providers that share the memory of keys for this scope."""
     return provider.cell if scope is Scope.CELL else provider.zone if scope is Scope.ZONE else None
 
 
 class Oracle:
-    def __init__(self, home: Callable[[Endpoint], str]) -> None:
-        """`home`: a provider's mesh."""
-        self.home = home
-        self.repeats = 0
+    """Retries requests in every way that the contract allows, and records breaches."""
+
+    def __init__(self, mesh_of: Callable[[Endpoint], str]) -> None:
+        """`mesh_of`: the mesh of a provider."""
+        self.mesh_of = mesh_of
+        self.retries = 0
         self.breaches: list[str] = []
 
-    def judge(self, catalog: Catalog, begun: Iterable[Begun]) -> None:
+    def check(self, catalog: Catalog, begun: Iterable[StartedRequest]) -> None:
+        """Retries each request at every provider that its service has in this catalog."""
         live = {one.key: one for one in catalog.entries.values() if isinstance(one, Service)}
         for one in begun:
             service = live.get(one.key)
-            if service is None:  # its balancer has nobody left who is not draining
+            if service is None:  # all providers of its balancer are draining
                 continue
             for other in catalog.providers(service).endpoints.values():
-                if self._may(one, other):
-                    self.repeats += 1
-                    self._hold(one, other)
+                if self._may_retry(one, other):
+                    self.retries += 1
+                    self._check_retry(one, other)
 
-    def _may(self, one: Begun, other: Endpoint) -> bool:
+    def _may_retry(self, one: StartedRequest, other: Endpoint) -> bool:
         effect, scope = one.clause.effect, one.clause.scope
-        same = group(other, scope) == group(one.provider, scope)
+        same = dedup_group(other, scope) == dedup_group(one.provider, scope)
         return effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and same)
 
-    def _hold(self, one: Begun, other: Endpoint) -> None:
+    def _check_retry(self, one: StartedRequest, other: Endpoint) -> None:
         where = f"{one.key}: at {one.provider.address}, then {other.address}"
-        words = [one.words[self.home(provider)] for provider in (one.provider, other)]
-        if any(word.effect is Effect.ONCE for word in words):
+        declared = [one.declared[self.mesh_of(provider)] for provider in (one.provider, other)]
+        if any(word.effect is Effect.ONCE for word in declared):
             self.breaches.append(f"{where}: twice, where it is called once")
-        elif any(word.effect is Effect.BY_KEY for word in words):
-            if self.home(one.provider) != self.home(other):
+        elif any(word.effect is Effect.BY_KEY for word in declared):
+            if self.mesh_of(one.provider) != self.mesh_of(other):
                 self.breaches.append(f"{where}: in a mesh that does not know its key")
-            elif group(other, words[0].scope) != group(one.provider, words[0].scope):
+            elif dedup_group(other, declared[0].scope) != dedup_group(one.provider, declared[0].scope):
                 self.breaches.append(f"{where}: outside the scope that drops repeats")
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -8,16 +8,25 @@
 
 import random
 
-from loftweir.catalog.build import Catalog, Own, Site, State, Unknown
-from loftweir.catalog.claims import ClaimAccepted, Claims, Damping, Declaration, PutClaim, ReleaseClaim, Seen, orders
+from loftweir.catalog.build import Catalog, CatalogState, LocalSite, OwnService, UnknownService
+from loftweir.catalog.claims import (
+    ClaimAccepted,
+    Claims,
+    Damping,
+    Declaration,
+    ObservedService,
+    PutClaim,
+    ReleaseClaim,
+    pending_commands,
+)
 from loftweir.catalog.contract import ONCE, Clause, clause
-from loftweir.catalog.oracle import Begun, Oracle
+from loftweir.catalog.oracle import Oracle, StartedRequest
 from loftweir.interface import Effect, Endpoint, Lifecycle, Scope
 from loftweir.partners.merge import UsedRoute
 from loftweir.partners.table import Provider, Route
 from loftweir.partners.terms import OPEN
 
-HERE = Site("aa", "z1")
+HERE = LocalSite("aa", "z1")
 MESHES = ("aa", "bb", "cc", "dd")
 SAME = tuple(f"shop@{mesh}" for mesh in MESHES)
 WORDS = (
@@ -28,9 +37,9 @@
 )
 
 
-def own(number: int, declared: Declaration, life: Lifecycle = Lifecycle.READY, zone: str = "z1") -> Own:
+def own(number: int, declared: Declaration, life: Lifecycle = Lifecycle.READY, zone: str = "z1") -> OwnService:
     ends = {f"p{n}": Endpoint(f"p{n}", zone, "plain", n, life) for n in range(number)}
-    return Own(ends, dict.fromkeys(ends, "10.0.0.1:80"), declared)
+    return OwnService(ends, dict.fromkeys(ends, "10.0.0.1:80"), declared)
 
 
 def used(
@@ -49,7 +58,7 @@
     def __init__(self) -> None:
         self.copies, self.catalog = Claims(), Catalog(HERE)
         self.done = 0  # entries of the log
-        self.begun: list[Begun] = []
+        self.begun: list[StartedRequest] = []
 
 
 class World:
@@ -73,7 +82,7 @@
             for number in {0, 1, 2} - self.cut:
                 self.follow(self.cars[number])
             for car in self.cars:
-                self.oracle.judge(car.catalog, car.begun)
+                self.oracle.check(car.catalog, car.begun)
                 car.begun = self._begin(car)
         for car in self.cars:
             self.follow(car)
@@ -96,9 +105,9 @@
 
     def _keep(self, number: int, mesh: str, now: int) -> None:
         """A sidecar that holds a mesh's session, as it thinks. Cut off, its word is lost, or comes late."""
-        seen = {f"shop@{mesh}": Seen(self._declared(mesh) if mesh in self.up else None, now - 9)}
+        seen = {f"shop@{mesh}": ObservedService(self._declared(mesh) if mesh in self.up else None, now - 9)}
         damping = Damping(away=0 if self.dice.random() < 0.1 else 10**6, settle=0)
-        for act in orders(self.cars[number].copies.table, seen, now, damping):
+        for act in pending_commands(self.cars[number].copies.table, seen, now, damping):
             if number in self.cut and self.dice.random() < 0.8:
                 continue
             self.log.append(act)
@@ -116,28 +125,30 @@
         car.done = len(self.log)
         after = car.copies.table
         names = [name for name in {**before, **after} if before.get(name) != after.get(name)]
-        changes = [State(claims={name: after.get(name)}) for name in names] + [State(pins={"shop": self.pin})]
+        changes = [CatalogState(claims={name: after.get(name)}) for name in names] + [
+            CatalogState(pins={"shop": self.pin})
+        ]
         for mesh in MESHES[1:]:
-            changes.append(State(used={f"shop@{mesh}": used(f"shop@{mesh}") if mesh in self.up else None}))
-        changes.append(State({"shop@aa": own(2, self._declared("aa")) if "aa" in self.up else None}))
+            changes.append(CatalogState(used={f"shop@{mesh}": used(f"shop@{mesh}") if mesh in self.up else None}))
+        changes.append(CatalogState({"shop@aa": own(2, self._declared("aa")) if "aa" in self.up else None}))
         self.dice.shuffle(changes)
         for change in changes:
-            car.catalog.change(change)
+            car.catalog.update(change)
 
-    def _begin(self, car: Car) -> list[Begun]:
+    def _begin(self, car: Car) -> list[StartedRequest]:
         """A request at each provider of each service."""
         words: dict[str, Clause] = {**dict.fromkeys(MESHES, ONCE), "aa": self.said["aa"]}
         for name, claim in car.copies.table.items():
             words[name.partition("@")[2]] = claim.declared.contract["read"]
-        begun: list[Begun] = []
+        begun: list[StartedRequest] = []
         for host in ("shop", *SAME):
             found = car.catalog.find(host)
-            if isinstance(found, Unknown):
+            if isinstance(found, UnknownService):
                 continue
             if host != "shop" and found.members != (host,):
                 self.oracle.breaches.append(f"{host} stands for {found.key}")
             for provider in car.catalog.providers(found).endpoints.values():
-                begun.append(Begun(found.key, found.contract["read"], provider, words))
+                begun.append(StartedRequest(found.key, found.contract["read"], provider, words))
         return begun
 
     def faults(self) -> list[str]:
@@ -146,9 +157,13 @@
         first = self.cars[0].catalog
         if {name: claim.index for name, claim in self.cars[0].copies.table.items()} != self.acked:
             found.append("an acknowledged claim is lost, or is younger than it was")
-        fresh = Catalog(HERE, State(first.own, first.used, first.left, first.claims, first.pins))
+        fresh = Catalog(HERE, CatalogState(first.own, first.used, first.left, first.claims, first.pins))
         for one in (*(car.catalog for car in self.cars), fresh):
-            if (one.entries, one.collisions, one.by_short) != (first.entries, first.collisions, first.by_short):
+            if (one.entries, one.collisions, one.names_by_short) != (
+                first.entries,
+                first.collisions,
+                first.names_by_short,
+            ):
                 found.append("two catalogs of one state")
         if any(car.copies.dump() != self.cars[0].copies.dump() for car in self.cars):
             found.append("two copies of one log")
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -60,8 +60,8 @@
     """A request to a partner brought no table. The last valid one stays until its hold time has expired."""
 
     remedy = (
-        "If it goes on, see with the partner's operators that a sidecar listens at the address that is named and knows "
-        "this site as a neighbour."
+        "If this continues, ask the partner's operators whether a sidecar listens at the named address and has this "
+        "site as a neighbour."
     )
 
 
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -58,9 +58,9 @@
 class Catalog(Protocol):
     """The catalog of services, if the operator's file names one: it uses the routes in place of `standby`."""
 
-    def routed(self, merged: MergeResult) -> None: ...
+    def update_routes(self, merged: MergeResult) -> None: ...
 
-    def claimed(self, claims: Any) -> None: ...
+    def update_claims(self, claims: Any) -> None: ...
 
 
 class Partners:
@@ -165,7 +165,7 @@
         self.shown.refresh(sites.neighbours)
         self._update_standby()
         if self.catalog is not None:
-            self.catalog.routed(self.merger.merged)
+            self.catalog.update_routes(self.merger.merged)
         if self.fleet.machine is not None:
             self._on_state_change(self.fleet.machine)
 
@@ -237,7 +237,7 @@
                 say(PARTNERS_NOT_READ, partner=name, why=error)
             self._update_partner(name, now)
         if self.catalog is not None:
-            self.catalog.claimed(machine.claims)
+            self.catalog.update_claims(machine.claims)
         if self.listener is not None:
             self.shown.on_state_change(machine, self.readers)
         for duty in self._all_duties():
@@ -268,7 +268,7 @@
         if changed.shown:
             self.shown.refresh(changed.shown)
         if self.catalog is not None:  # the reason why a route is unused may change although no used route did
-            self.catalog.routed(self.merger.merged)
+            self.catalog.update_routes(self.merger.merged)
 
     def _run(self) -> Coroutine[None]:
         """Advances with time: partners whose table was not confirmed become stale, then gone, and terms expire."""
--- a/loftweir/partners/table.py
+++ b/loftweir/partners/table.py
@@ -69,8 +69,8 @@
     place and what was expected there."""
 
     remedy = (
-        "Tell the partner's operators the places that are named. Its routes are used from the last good table until "
-        "the hold time is over; other partners are not touched."
+        "Report the named places to the partner's operators. Its routes are used from the last valid table until the "
+        "hold time has expired; other partners are not affected."
     )
 
     def __init__(self, partner: str, faults: list[Fault]) -> None:
@@ -84,8 +84,8 @@
     request: it is a repeat of an earlier response, or something between the sites caches responses."""
 
     remedy = (
-        "If it goes on, see that nothing between the two sites keeps answers, and that the partner's epoch grows with "
-        "each start; a lower one is taken once the partner's routes are gone."
+        "If this continues, check that nothing between the two sites caches responses, and that the partner's epoch "
+        "grows with each start; a lower one is accepted once the partner's routes are gone."
     )
 
 
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -132,7 +132,7 @@
         else:
             self.host.listed(*self.partners.with_partner_providers(update, addresses))
         if self.catalog is not None:
-            self.catalog.listed(update, addresses)
+            self.catalog.update_membership(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
             self.front.open()
         if self.holding is not None and update.kind is not UpdateKind.FAILED:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from loftweir.catalog import build, claims, collisions, contract, names, providers
-from loftweir.catalog.build import Catalog, Site, State, Why
+from loftweir.catalog.build import Catalog, CatalogState, LocalSite, UnknownReason
 from loftweir.catalog.claims import (
     Claim,
     ClaimAccepted,
@@ -20,16 +20,16 @@
     Damping,
     Declaration,
     Limits,
+    ObservedService,
     PutClaim,
     ReleaseClaim,
-    Seen,
-    orders,
+    pending_commands,
 )
-from loftweir.catalog.collisions import Contender, View, resolve
-from loftweir.catalog.contract import applied, clause, strictest
+from loftweir.catalog.collisions import Contender, SiteView, resolve
+from loftweir.catalog.contract import apply_clause, clause, strictest
 from loftweir.catalog.names import BadName
-from loftweir.catalog.providers import EMPTY, Follower, gathered
-from loftweir.catalog.shares import Shared
+from loftweir.catalog.providers import NO_PROVIDERS, ProviderFeed, build_provider_set
+from loftweir.catalog.shares import SharedLimit
 from loftweir.emulator import meshes
 from loftweir.emulator.meshes import HERE, World, used
 from loftweir.interface import Effect, Endpoint, Lifecycle, RequestClass, Scope, UpdateKind
@@ -64,22 +64,37 @@
     routes = {name: used(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
     routes["shop@bb.example"] = used("shop@bb.example", "site-b")
     table = dict.fromkeys(("shop@bb.example", "old@bb", "in@bb", "odd@bb"), claim(1))
-    catalog = Catalog(Site("aa", "z1", {"site-b": "bb.example"}), State({"web@aa": own()}, routes, left, table))
+    catalog = Catalog(
+        LocalSite("aa", "z1", {"site-b": "bb.example"}), CatalogState({"web@aa": own()}, routes, left, table)
+    )
     for host in ("shop", "SHOP", "Shop:8080", "shop.", "shop@bb.example", "shop.BB.example:80", "shop.bb.example."):
         assert catalog.find(host).key == "shop@bb.example", host
     assert catalog.find("web").key == catalog.find("web.aa:1").key == "web@aa"
-    reasons = {"in": Why.EXCLUDED, "old": Why.STALE, "odd.bb": Why.UNFIT, "new": Why.UNHELD, "shop:x": Why.NAME}
-    for host, reason in {**reasons, **dict.fromkeys(("", "[::1]:80", "\u212aing", "b.a@bb"), Why.NAME)}.items():
-        assert why(catalog, host) is reason and build.REMEDY[reason] in catalog.find(host).text, host
-    assert catalog.find("new@bb").key == "new@bb" and set(catalog.refused) == {"a.b@bb"}
+    reasons = {
+        "in": UnknownReason.EXCLUDED,
+        "old": UnknownReason.STALE,
+        "odd.bb": UnknownReason.UNFIT,
+        "new": UnknownReason.UNHELD,
+        "shop:x": UnknownReason.NAME,
+    }
+    for host, reason in {
+        **reasons,
+        **dict.fromkeys(("", "[::1]:80", "\u212aing", "b.a@bb"), UnknownReason.NAME),
+    }.items():
+        assert why(catalog, host) is reason and build.REMEDIES[reason] in catalog.find(host).text, host
+    assert catalog.find("new@bb").key == "new@bb" and set(catalog.rejected_names) == {"a.b@bb"}
     wrong = ["", "-a@bb", "a@", "a@b@c", "a_b@bb", "a" * 64 + "@bb", "a@bb\n", "\u212a@bb", 7, None]
     for text in [*wrong, "a@" + "b." * 130]:
         with pytest.raises(BadName, match="^here: ") as error:
             names.global_name(text, "here")
         assert error.value.where == "here"
-    for state in (State(pins={"web": "shop@bb"}), State(pins={"w b": "web@aa"}), State({"Web@aa": own()})):
+    for state in (
+        CatalogState(pins={"web": "shop@bb"}),
+        CatalogState(pins={"w b": "web@aa"}),
+        CatalogState({"Web@aa": own()}),
+    ):
         with pytest.raises(BadName):
-            catalog.change(state)
+            catalog.update(state)
     assert catalog.find("web").key == "web@aa"
 
 
@@ -103,7 +118,7 @@
     both = strictest([one, other])
     assert set(both) == set(one) & set(other) and list(both) == list(strictest([other, one]))
     cls = RequestClass("read", Effect.BY_KEY, 1, 2, Scope.ALL, 5)
-    assert contract.of([applied(cls, a)])["read"] == contract.of([cls])["read"].meet(a)
+    assert contract.from_classes([apply_clause(cls, a)])["read"] == contract.from_classes([cls])["read"].meet(a)
 
 
 # ---- collisions -------------------------------------------------------------------------------------
@@ -119,12 +134,12 @@
 @pytest.mark.parametrize(
     ("declared", "view", "leader", "joined", "lost"),
     [
-        ((ONCE, FREE, KEYED), View("aa", "shop@bb"), "bb", "", {"aa": 0, "cc": 0}),
-        ((FREE, FREE, FREE), View("aa", "shop@bb"), "bb", "", {"aa": 0, "cc": 0}),
-        ((ONCE, FREE, KEYED), View("aa", ""), "aa", "", {"bb": 1, "cc": 1}),
-        ((ONCE, FREE, FREE), View("aa", ""), "aa", "c", {"bb": 1}),
-        ((FREE, FREE, FREE), View("aa", ""), "aa", "bc", {}),
-        ((ONCE, FREE, KEYED), View("zz", ""), "cc", "", {"aa": 2, "bb": 2}),
+        ((ONCE, FREE, KEYED), SiteView("aa", "shop@bb"), "bb", "", {"aa": 0, "cc": 0}),
+        ((FREE, FREE, FREE), SiteView("aa", "shop@bb"), "bb", "", {"aa": 0, "cc": 0}),
+        ((ONCE, FREE, KEYED), SiteView("aa", ""), "aa", "", {"bb": 1, "cc": 1}),
+        ((ONCE, FREE, FREE), SiteView("aa", ""), "aa", "c", {"bb": 1}),
+        ((FREE, FREE, FREE), SiteView("aa", ""), "aa", "bc", {}),
+        ((ONCE, FREE, KEYED), SiteView("zz", ""), "cc", "", {"aa": 2, "bb": 2}),
     ],
 )
 def test_a_collision_is_decided_by_the_first_rule_that_tells_them_apart(declared, view, leader, joined, lost):
@@ -135,13 +150,13 @@
         assert found.leader == f"shop@{leader}" and found.joined == tuple(f"shop@{c}{c}" for c in joined)
         assert dict(found.lost) == {f"shop@{m}": collisions.RULES[n].name for m, n in lost.items()}
         assert all(collisions.RULES[n].remedy in found.text for n in lost.values()) and "shop is shop@" in found.text
-    tie = resolve("shop", [one._replace(age=collisions.NEVER, declared=None) for one in some], View("zz", ""))
+    tie = resolve("shop", [one._replace(age=collisions.NO_CLAIM, declared=None) for one in some], SiteView("zz", ""))
     assert tie.leader == "shop@aa" and {rule for _, rule in tie.lost} == {"the mesh's name"}
 
 
 def hostile():
     """A mesh that claims every short name, and offers others' services as its own."""
-    table, answers = Claims(Limits(of_mesh=100, all=250)), []
+    table, answers = Claims(Limits(per_mesh=100, total=250)), []
     for n in range(10):
         assert table.apply(n + 1, PutClaim(f"s{n}@bb", Declaration(FREE))) == ClaimAccepted(n + 1)
     for n in range(300):
@@ -151,13 +166,13 @@
     ].text
     routes = {f"s{n}@evil": used(f"s{n}@evil") for n in range(300)} | {f"s{n}@bb": used(f"s{n}@bb") for n in range(10)}
     routes |= {"pay@aa": used("pay@aa", "evil"), "pay@bb": used("pay@bb", "evil")}
-    state = State({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
+    state = CatalogState({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
     catalog = Catalog(HERE, state)
     assert all(catalog.find(f"s{n}").key == f"s{n}@bb" for n in range(10)) and catalog.find("s50").key == "s50@evil"
-    assert catalog.find("s20").key == "s20@aa" and why(catalog, "s21") is Why.STALE
-    assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is Why.UNHELD
+    assert catalog.find("s20").key == "s20@aa" and why(catalog, "s21") is UnknownReason.STALE
+    assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is UnknownReason.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
-    assert why(catalog, "pay@bb") is Why.UNFIT
+    assert why(catalog, "pay@bb") is UnknownReason.UNFIT
     assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)  # a good one still gets in
 
 
@@ -165,15 +180,15 @@
     """Three meshes, three contracts for one service; then two of them agree, and one goes back on it."""
     same = ("shop@bb", "shop@cc", "shop@dd")
     table = {f"shop@{m}": claim(n, d, same) for n, (m, d) in enumerate([("bb", KEYED), ("cc", ONCE), ("dd", FREE)])}
-    catalog = Catalog(HERE, State({}, {name: used(name) for name in table}, {}, table))
+    catalog = Catalog(HERE, CatalogState({}, {name: used(name) for name in table}, {}, table))
     assert catalog.find("shop").members == ("shop@bb",) and len(catalog.collisions["shop"].lost) == 2
-    changed = catalog.change(State(claims={"shop@cc": claim(1, KEYED, same)}))
+    changed = catalog.update(CatalogState(claims={"shop@cc": claim(1, KEYED, same)}))
     shop = catalog.find("shop")
     assert shop.members == ("shop@bb", "shop@cc") and changed.moved == {"shop": ("shop@bb", shop.key)}
     assert shop.contract["read"].scope is Scope.ZONE and catalog.find("shop@bb").contract == KEYED
     assert [event.joined for event in changed.events] == [("shop@cc",)]
     assert len({one.zone for one in catalog.providers(shop).endpoints.values()}) == 2
-    changed = catalog.change(State(claims={"shop@cc": claim(1, ONCE, same)}))
+    changed = catalog.update(CatalogState(claims={"shop@cc": claim(1, ONCE, same)}))
     assert changed.ended == {shop.key} and catalog.find("shop").key == "shop@bb"
     assert changed.moved["shop"] == (shop.key, "shop@bb")
 
@@ -183,23 +198,23 @@
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
     table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
     table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
-    catalog = Catalog(HERE, State({}, {"shop@cc": used("shop@cc")}, {}, table.table))
+    catalog = Catalog(HERE, CatalogState({}, {"shop@cc": used("shop@cc")}, {}, table.table))
     for now in range(100):
         there = now % 2 == 0
-        seen = {"shop@bb": Seen(Declaration(FREE) if there else None, now, withdrawn=True)}
-        writes += orders(table.table, seen, now, damping)
+        seen = {"shop@bb": ObservedService(Declaration(FREE) if there else None, now, withdrawn=True)}
+        writes += pending_commands(table.table, seen, now, damping)
         for act in writes[:]:
             table.apply(10 + now, act)
-        catalog.change(State(used={"shop@bb": used("shop@bb") if there else None}, claims=table.table))
+        catalog.update(CatalogState(used={"shop@bb": used("shop@bb") if there else None}, claims=table.table))
         found = catalog.find("shop")
-        assert found.key == "shop@bb" if there else found.reason is Why.STALE
+        assert found.key == "shop@bb" if there else found.reason is UnknownReason.STALE
         assert catalog.find("shop.cc").key == "shop@cc"
     assert not writes and table.table["shop@bb"].index == 1
-    away = {"shop@bb": Seen(None, 100, True)}
-    assert not orders(table.table, away, 119, damping) and orders(table.table, away, 120, damping)
-    other = {"shop@bb": Seen(Declaration(ONCE), 100), "new@bb": Seen(Declaration(ONCE), 104)}
-    assert [act.name for act in orders(table.table, other, 104, damping)] == ["new@bb"]
-    assert len(orders(table.table, other, 105, damping)) == 2
+    away = {"shop@bb": ObservedService(None, 100, True)}
+    assert not pending_commands(table.table, away, 119, damping) and pending_commands(table.table, away, 120, damping)
+    other = {"shop@bb": ObservedService(Declaration(ONCE), 100), "new@bb": ObservedService(Declaration(ONCE), 104)}
+    assert [act.name for act in pending_commands(table.table, other, 104, damping)] == ["new@bb"]
+    assert len(pending_commands(table.table, other, 105, damping)) == 2
 
 
 def test_a_late_release_touches_no_later_claim_and_the_table_comes_back_from_its_dump():
@@ -225,28 +240,28 @@
 
 
 def test_a_rename_keeps_both_names_until_the_old_claim_goes():
-    catalog = Catalog(HERE, State({}, {"old@bb": used("old@bb")}, {}, {"old@bb": claim(1)}))
-    changed = catalog.change(State(used={"old@bb": None, "new@bb": used("new@bb")}, claims={"new@bb": claim(2)}))
-    assert catalog.find("new").key == "new@bb" and catalog.find("old").reason is Why.STALE
+    catalog = Catalog(HERE, CatalogState({}, {"old@bb": used("old@bb")}, {}, {"old@bb": claim(1)}))
+    changed = catalog.update(CatalogState(used={"old@bb": None, "new@bb": used("new@bb")}, claims={"new@bb": claim(2)}))
+    assert catalog.find("new").key == "new@bb" and catalog.find("old").reason is UnknownReason.STALE
     assert changed.ended == {"old@bb"} and changed.keys == {"new@bb"} and not changed.events
-    catalog.change(State(claims={"old@bb": None}))
-    assert catalog.find("old").reason is Why.NAME and set(catalog.by_short) == {"new"}
+    catalog.update(CatalogState(claims={"old@bb": None}))
+    assert catalog.find("old").reason is UnknownReason.NAME and set(catalog.names_by_short) == {"new"}
 
 
 # ---- provider sets ----------------------------------------------------------------------------------
 
 
 def test_partners_come_in_only_where_the_own_site_has_none_ready_or_the_service_lives_there():
-    catalog = Catalog(HERE, State({"web@aa": own(2)}, {"web@aa": used("web@aa", "s2")}, {}, {}))
+    catalog = Catalog(HERE, CatalogState({"web@aa": own(2)}, {"web@aa": used("web@aa", "s2")}, {}, {}))
     catalog.site = HERE._replace(meshes={"s2": "aa"})
     web = catalog.find("web")
     assert list(catalog.providers(web).endpoints) == ["p0", "p1"]
-    catalog.change(State({"web@aa": own(2, life=Lifecycle.DRAINING)}))
+    catalog.update(CatalogState({"web@aa": own(2, life=Lifecycle.DRAINING)}))
     assert list(catalog.providers(catalog.find("web")).endpoints) == ["p0", "p1", "p0@s2", "p1@s2"]
     routes = {"far@bb": used("far@bb", share=0.1)}
-    there = catalog.change(State({"far@bb": own(1, zone="z2")}, routes, {}, {"far@bb": claim(1)}))
+    there = catalog.update(CatalogState({"far@bb": own(1, zone="z2")}, routes, {}, {"far@bb": claim(1)}))
     found = catalog.providers(catalog.find("far"))
-    assert there.keys == {"far@bb"} and list(found.endpoints) == ["p0", "p0@bb", "p1@bb"] and found.part == 1.0
+    assert there.keys == {"far@bb"} and list(found.endpoints) == ["p0", "p0@bb", "p1@bb"] and found.fraction == 1.0
     home, *abroad = (one.weight for one in found.endpoints.values())
     assert sum(abroad) <= 0.1 * (home + sum(abroad)) and found.shares == {"bb": 0.1}
     assert len({one.cell for one in found.endpoints.values()}) == 3 and found.endpoints["p0@bb"].zone == "z1@bb"
@@ -258,31 +273,33 @@
     classes = frozenset("rw")
     routes = [used(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1) for n, (c, s) in enumerate(partners)]
     ends = [({"p": Endpoint("p", "z1", "plain", 1, Lifecycle.READY)}, {"p": "h:1"})] if ready else []
-    found = gathered(ends, routes, True, "z1", classes)
-    assert found == gathered(ends, routes[::-1], True, "z1", classes) and set(found.addresses) >= set(found.endpoints)
+    found = build_provider_set(ends, routes, True, "z1", classes)
+    assert found == build_provider_set(ends, routes[::-1], True, "z1", classes) and set(found.addresses) >= set(
+        found.endpoints
+    )
     whole = sum(one.weight for one in found.endpoints.values())
     for one in routes:
         mine = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
         assert not mine or found.classes <= set(one.route.classes) & classes
-        assert found.part * sum(mine) <= (one.route.share or 1.0) * whole + 1e-9
+        assert found.fraction * sum(mine) <= (one.route.share or 1.0) * whole + 1e-9
     assert found.classes == classes if ready else found.classes or not any(c & classes for c, _ in partners)
 
 
 def test_changes_come_as_increments_and_who_leaves_drains_before_it_is_gone():
-    catalog = Catalog(HERE, State({"shop@aa": own(1)}, {"shop@bb": used("shop@bb")}, {}, {"shop@bb": claim(1)}))
-    follower, shop = Follower(10), catalog.find("shop")
-    first = follower.step(0, catalog.providers(shop))
-    assert first.update.kind is UpdateKind.FULL and first.addresses == {"p0": "10.0.0.1:80"} and not first.drains
-    assert follower.step(1, catalog.providers(shop)) is None and follower.next_at is None
-    changed = catalog.change(State(own={"shop@aa": None}))  # the winner withdrawn under load
+    catalog = Catalog(HERE, CatalogState({"shop@aa": own(1)}, {"shop@bb": used("shop@bb")}, {}, {"shop@bb": claim(1)}))
+    feed, shop = ProviderFeed(10), catalog.find("shop")
+    first = feed.step(0, catalog.providers(shop))
+    assert first.update.kind is UpdateKind.FULL and first.addresses == {"p0": "10.0.0.1:80"} and not first.draining
+    assert feed.step(1, catalog.providers(shop)) is None and feed.next_at is None
+    changed = catalog.update(CatalogState(own={"shop@aa": None}))  # the winner withdrawn under load
     assert changed.ended == {"shop@aa"} and changed.moved == {"shop": ("shop@aa", "shop@bb")}
-    step = follower.step(2, EMPTY)
-    assert step.drains == ("p0",) and step.update.endpoints[0].lifecycle is Lifecycle.DRAINING
-    assert step.update.kind is UpdateKind.CHANGES and follower.next_at == 12 and follower.step(11, EMPTY) is None
-    assert follower.step(12, EMPTY).update.endpoints[0].lifecycle is Lifecycle.GONE and not follower.told
-    back = follower.step(13, catalog.providers(catalog.find("shop")))
-    assert {end.address for end in back.update.endpoints} == {"p0@bb", "p1@bb"} and follower.step(14, EMPTY).drains
-    assert follower.step(15, catalog.providers(catalog.find("shop"))).update.endpoints and follower.next_at is None
+    step = feed.step(2, NO_PROVIDERS)
+    assert step.draining == ("p0",) and step.update.endpoints[0].lifecycle is Lifecycle.DRAINING
+    assert step.update.kind is UpdateKind.CHANGES and feed.next_at == 12 and feed.step(11, NO_PROVIDERS) is None
+    assert feed.step(12, NO_PROVIDERS).update.endpoints[0].lifecycle is Lifecycle.GONE and not feed.announced
+    back = feed.step(13, catalog.providers(catalog.find("shop")))
+    assert {end.address for end in back.update.endpoints} == {"p0@bb", "p1@bb"} and feed.step(14, NO_PROVIDERS).draining
+    assert feed.step(15, catalog.providers(catalog.find("shop"))).update.endpoints and feed.next_at is None
 
 
 # ---- shares -----------------------------------------------------------------------------------------
@@ -291,26 +308,28 @@
 @FEW
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(-9, 9)), max_size=60), st.integers(1, 40))
 def test_no_more_than_the_limit_is_held_and_idle_ones_cost_nothing(steps, total):
-    shared = Shared(total)
+    shared = SharedLimit(total)
     for who, count in steps:
         if count > 0:
-            room = shared.room(who)
-            assert shared.take(who, count) == (count <= room)
-        elif count and shared.held.get(who, 0) >= -count:
-            shared.give(who, -count)
-        assert sum(shared.held.values()) + shared.free == total and shared.free >= 0 and 0 not in shared.held.values()
+            room = shared.available(who)
+            assert shared.acquire(who, count) == (count <= room)
+        elif count and shared.in_use.get(who, 0) >= -count:
+            shared.release(who, -count)
+        assert (
+            sum(shared.in_use.values()) + shared.free == total and shared.free >= 0 and 0 not in shared.in_use.values()
+        )
     with pytest.raises(ValueError):
-        shared.give("e")
+        shared.release("e")
 
 
 def test_services_that_want_all_leave_room_for_the_next():
-    shared = Shared(1000)
+    shared = SharedLimit(1000)
     for _ in range(1000):
         for who in "abcd":
-            shared.take(who)
-    assert set(shared.held.values()) == {222} and shared.take("new") and shared.room("new") > 50
+            shared.acquire(who)
+    assert set(shared.in_use.values()) == {222} and shared.acquire("new") and shared.available("new") > 50
     shared.resize(100)
-    assert not shared.take("late") and shared.free < 0
+    assert not shared.acquire("late") and shared.free < 0
 
 
 # ---- a world of partitions, and what is broken on purpose ---------------------------------------------
@@ -322,7 +341,7 @@
         world = World(seed)
         world.run(60)
         assert not world.faults(), seed
-        repeats += world.oracle.repeats
+        repeats += world.oracle.retries
     return repeats
 
 
@@ -335,7 +354,7 @@
         scene()
 
 
-RULES, ABROAD, PUT = collisions.RULES, providers.abroad, Claims._put
+RULES, ABROAD, PUT = collisions.RULES, providers.partner_endpoints, Claims._put
 
 
 def loosest(some):
@@ -354,7 +373,7 @@
 
 
 def by_rules(*rules):
-    return mock.patch.object(Catalog.__init__, "__defaults__", (State(), rules))
+    return mock.patch.object(Catalog.__init__, "__defaults__", (CatalogState(), rules))
 
 
 def agree(one, other):
@@ -364,13 +383,13 @@
 MUTANTS = {
     "the loosest contract": ([(build, "strictest", loosest)], worlds),
     "a partner's cell not its own": ([(providers, "_cell", lambda partner, cell: cell)], worlds),
-    "a key's scope over several meshes": ([(build, "apart", dict)], worlds),
+    "a key's scope over several meshes": ([(build, "across_meshes", dict)], worlds),
     "one key whatever the meshes": ([(build, "key_of", lambda members: members[0])], worlds),
     "a new word makes a claim younger": ([(Claims, "_put", younger)], worlds),
-    "the same service with other contracts": ([(collisions, "same", agree)], contracts),
-    "a partner's zone not its own": ([(providers, "abroad", unqualified)], contracts),
-    "no limit of a mesh": ([(claims.LIMITS.__class__, "of_mesh", 10**9)], hostile),
-    "any site takes work for any mesh": ([(Catalog, "_route", lambda self, name: self.used.get(name))], hostile),
+    "the same service with other contracts": ([(collisions, "is_same_service", agree)], contracts),
+    "a partner's zone not its own": ([(providers, "partner_endpoints", unqualified)], contracts),
+    "no limit of a mesh": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], hostile),
+    "any site takes work for any mesh": ([(Catalog, "_usable_route", lambda self, name: self.used.get(name))], hostile),
     "no damping": ([(Damping, "withdrawn", 0)], flap),
     "no rule of the own mesh": (by_rules(*RULES[:1], *RULES[2:]), hostile),
     "no rule of pins": (by_rules(*RULES[1:]), hostile),
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -11,12 +11,11 @@
 from scene import KEYED, ONCE, READ, Party, address_of, entry, ok, reply
 from support import SECOND, settings
 
-from loftweir.catalog.build import Catalog, Own, State
-from loftweir.catalog.build import Site as Site_
+from loftweir.catalog.build import Catalog, CatalogState, LocalSite, OwnService
 from loftweir.catalog.claims import Declaration
 from loftweir.catalog.contract import clause
-from loftweir.catalog.hosts import Lane
-from loftweir.catalog.shares import Shared
+from loftweir.catalog.hosts import ServicePool
+from loftweir.catalog.shares import SharedLimit
 from loftweir.config.model import Options
 from loftweir.http1.back import Pool
 from loftweir.interface import Effect, Outcome
@@ -250,26 +249,26 @@
     declared = Declaration({name: clause(Effect.REPEATABLE) for name in CLASSES})
     for name, effect in (("orders@mill", Effect.ONCE), ("orders@oslo", Effect.REPEATABLE)):
         used = UsedRoute("bergen", parse_route({"path": ["bergen"], **row(name)}, "bergen"))
-        catalog = Catalog(Site_("oslo", "a", {"bergen": name.partition("@")[2]}))
-        catalog.change(State(own={name: Own(declared=declared)}, used={name: used}))
+        catalog = Catalog(LocalSite("oslo", "a", {"bergen": name.partition("@")[2]}))
+        catalog.update(CatalogState(own={name: OwnService(declared=declared)}, used={name: used}))
         assert {one.effect for one in catalog.find(name).contract.values()} == {effect}, name
 
 
 def test_one_services_connections_leave_room_for_the_next_and_are_counted_once():
     loop = Loop()
     whole = Pool(loop, settings(), Options(), 9)
-    shared = Shared(whole.most)
-    lanes = [Lane(whole, shared, key) for key in "ab"]
+    shared = SharedLimit(whole.most)
+    pools = [ServicePool(whole, shared, key) for key in "ab"]
     peer = socket.create_server(("127.0.0.1", 0), backlog=64)
     made, refused = {"a": [], "b": []}, []
 
-    def fill(lane):
-        lane.addresses["p"] = address_of(peer)
+    def fill(pool):
+        pool.addresses["p"] = address_of(peer)
         try:
             while True:
-                made[lane.key].append((yield from lane.connect("p", loop.time + 5 * SECOND)))
+                made[pool.key].append((yield from pool.connect("p", loop.time + 5 * SECOND)))
         except NotUp as error:
-            refused.append((lane.key, error.outcome))
+            refused.append((pool.key, error.outcome))
 
     def run(coroutine):
         task = loop.spawn(coroutine)
@@ -280,19 +279,19 @@
             loop.stopped = False
             loop.run()
 
-    run(fill(lanes[0]))
-    run(fill(lanes[1]))
+    run(fill(pools[0]))
+    run(fill(pools[1]))
     assert refused == [("a", Outcome.NOT_SENT), ("b", Outcome.NOT_SENT)]
     assert (len(made["a"]), whole.open) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
     # One that rests makes room for its own service's next, and what is closed through the whole is given back.
-    lanes[1].rest(made["b"].pop())
-    run(fill(lanes[1]))
+    pools[1].rest(made["b"].pop())
+    run(fill(pools[1]))
     assert not whole.resting
     for connection in [*made["a"], *made["b"]]:
         connection.pool.rest(connection)
     while whole.spare():
         pass
-    assert (whole.open, shared.free, shared.held) == (0, 9, {})
+    assert (whole.open, shared.free, shared.in_use) == (0, 9, {})
     peer.close()
 
 
