--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -204,18 +204,18 @@
     def _validate(self, state: CatalogState) -> None:
         for name in state.own:
             if global_name(name, f"services.{name}") != name:
-                raise BadName(f"{name} is not in small letters", f"services.{name}")
+                raise BadName(f"{name} is not in lower case", f"services.{name}")
         for short, pin in state.pins.items():
             place = f"pins.{short}"
             small = short_name(short, place) == short
             if not small or (pin is not None and (global_name(pin, place) != pin or split_name(pin)[0] != short)):
-                raise BadName(f"{pin} is not a service of that name, in small letters", place)
+                raise BadName(f"{pin} is not a service of that name, in lower case", place)
 
     def _validate_route_name(self, name: str) -> bool:
         try:
             if global_name(name, f"routes.{name}") == name:
                 return True
-            raise BadName(f"{name} is not in small letters", f"routes.{name}")
+            raise BadName(f"{name} is not in lower case", f"routes.{name}")
         except BadName as error:
             self.rejected_names.pop(name, None)
             if self._is_known(name):
@@ -286,15 +286,17 @@
         return used if self.site.meshes.get(site, site) == split_name(name)[1] else None
 
     def _unknown(self, members: Iterable[str], name: str) -> UnknownService:
-        whys: dict[UnknownReason, str] = {}
+        reasons: dict[UnknownReason, str] = {}
         for one in members:
             if one in self.used:
-                whys.setdefault(UnknownReason.UNFIT, f"{one} from {self.used[one].partner}: {FOREIGN_SITE}")
+                reasons.setdefault(UnknownReason.UNFIT, f"{one} from {self.used[one].partner}: {FOREIGN_SITE}")
             for partner, left in sorted(self.left.get(one, {}).items()):
-                whys.setdefault(REASON_BY_UNUSED.get(left.reason, UnknownReason.UNFIT), f"{one} from {partner}: {left}")
-        for why in (UnknownReason.STALE, UnknownReason.EXCLUDED, UnknownReason.UNFIT):
-            if why in whys:
-                return UnknownService(why, name, whys[why])
+                reasons.setdefault(
+                    REASON_BY_UNUSED.get(left.reason, UnknownReason.UNFIT), f"{one} from {partner}: {left}"
+                )
+        for reason in (UnknownReason.STALE, UnknownReason.EXCLUDED, UnknownReason.UNFIT):
+            if reason in reasons:
+                return UnknownService(reason, name, reasons[reason])
         return UnknownService(
             UnknownReason.STALE, name, f"nobody offers {', '.join(members)} now, and the name is kept"
         )
--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -56,8 +56,8 @@
     def to_service(
         self, known: Mapping[str, Endpoint], addresses: Mapping[str, str], classes: Iterable[RequestClass]
     ) -> OwnService:
-        # Contracts have class names in lower case, like the partners' tables.
         """The service with those of the known providers that serve it."""
+        # Contracts have class names in lower case, like the partners' tables.
         contract = {
             name.lower(): ONCE if name.lower() in self.once else one
             for name, one in from_classes(classes).items()
@@ -103,7 +103,7 @@
     for name, value in _read_table(data, "pins", fault).items():
         short, pin = read_name(short_name, name, f"pins.{name}"), read_name(global_name, value, f"pins.{name}")
         if short and pin and split_name(pin)[0] != short:
-            fault(f"pins.{name}", value, f"a service of that name, as {short}@{mesh}")
+            fault(f"pins.{name}", value, f"a service of that name, such as {short}@{mesh}")
         pins[short] = pin
     services: dict[str, OwnServiceConfig] = {}
     rows = data.get("services", [])
--- a/loftweir/catalog/providers.py
+++ b/loftweir/catalog/providers.py
@@ -105,8 +105,8 @@
 
 
 def _scale_weights(partner_routes: list[tuple[UsedRoute, dict[str, Endpoint]]], unlimited_weight: float) -> float:
-    """Scales the partners' weights to their shares and returns the part of the requests that may be sent. `free`: the
-    total weight of providers without a share."""
+    """Scales the partners' weights to their shares and returns the part of the requests that may be sent.
+    `unlimited_weight`: the total weight of this site's providers."""
     sums = [sum(endpoint.weight for endpoint in endpoints.values()) for _, endpoints in partner_routes]
     unlimited_weight += sum(
         total for total, (one, _) in zip(sums, partner_routes, strict=True) if one.route.share is None
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -1,4 +1,4 @@
-"""Sites for tests: fleets of real sidecars with neighbours, and toy partners that offer what a test says."""
+"""Test helpers for partners: sites of real sidecars with neighbours, and fake partners whose tables a test controls."""
 
 import http.client
 import json
@@ -17,107 +17,117 @@
 from loftweir.replication import wire
 from loftweir.replication.machine import Fenced, Machine, Ok, Order
 
-QUICK = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
+FAST_OPTIONS = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
-Order_ = msgspec.msgpack.Decoder(Order)
-GIVEN = set()  # ports
+order_decoder = msgspec.msgpack.Decoder(Order)
+USED_PORTS = set()  # ports that a test already got
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
 
-def row(service, addresses=("127.0.0.1:9",), terms=None, **more):
-    """A route in a partner's form."""
+def make_route(service, addresses=("127.0.0.1:9",), terms=None, **more):
+    """A route in the JSON form of a partner's table."""
     providers = [{"name": f"g{n}", "address": a, "zone": "p", "type": "m"} for n, a in enumerate(addresses)]
     made = {"service": service, "providers": providers, "classes": CLASSES, "share": 1.0, "valid_for": 60 * 10**9}
     return {**made, "terms": OPEN | (terms or {}), **more}
 
 
-class Toy(Party):
-    """A partner's one sidecar: a table that tests change, and calls that wait for news. `change` makes the bytes of
-    each answer of its body; `silent`: none is given."""
+class FakePartner(Party):
+    """A fake partner with one sidecar. Tests change its table; its requests wait for changes. `make_reply` makes the
+    bytes of a response from its body, and while `silent` there is no response."""
 
-    def __init__(self, site, *rows):
+    def __init__(self, site, *own_routes):
         self.site, self.offer = site, Offer(site, int(time.time()))
-        self.asks = []  # (life of the asker, mark)
-        self.news = threading.Condition()
+        self.requests = []  # (session instance of the client, position) of each request
+        self.table_changed = threading.Condition()
         self.silent = False
-        self.put(*rows)
+        self.replace_routes(*own_routes)
         super().__init__(self._routes)
 
-    def put(self, *rows):
-        with self.news:
-            self.offer.replace({r["service"]: parse_route({"path": [self.site], **r}, self.site) for r in rows})
-            self.news.notify_all()
+    def replace_routes(self, *own_routes):
+        """Replaces the offered routes."""
+        with self.table_changed:
+            self.offer.replace({r["service"]: parse_route({"path": [self.site], **r}, self.site) for r in own_routes})
+            self.table_changed.notify_all()
 
-    def begin_anew(self, *rows, epoch=1):
-        """With an index that is lower, under a later epoch."""
-        with self.news:
+    def restart(self, *own_routes, epoch=1):
+        """Continues with a lower index under a later epoch."""
+        with self.table_changed:
             self.offer = Offer(self.site, self.offer.epoch + epoch)
-        self.put(*rows)
+        self.replace_routes(*own_routes)
 
-    def be_silent(self, on):
-        with self.news:
+    def set_silent(self, on):
+        """Stops or resumes sending responses."""
+        with self.table_changed:
             self.silent = on
-            self.news.notify_all()
+            self.table_changed.notify_all()
 
     def _routes(self, head, _):
         query = dict(parse_qsl(head.split()[1].partition("?")[2]))
         after = tuple(map(int, query["after"].split("."))) if "after" in query else None
-        with self.news:
-            self.asks.append((query["to"].partition(".")[0], after))
-            self.news.wait_for(lambda: not self.silent and self.offer.has_changes(after), int(query["wait_ms"]) / 1000)
+        with self.table_changed:
+            self.requests.append((query["to"].partition(".")[0], after))
+            self.table_changed.wait_for(
+                lambda: not self.silent and self.offer.has_changes(after), int(query["wait_ms"]) / 1000
+            )
             if self.silent:
-                self.news.wait_for(lambda: not self.silent, 30)
+                self.table_changed.wait_for(lambda: not self.silent, 30)
                 return None
-            return self.change(self.offer.response(after, query["to"]))
+            return self.make_reply(self.offer.response(after, query["to"]))
 
-    def change(self, body):
+    def make_reply(self, body):
+        """The bytes that are sent for a response with this body; tests replace it."""
         return reply(200, body)
 
-    def is_held(self):
-        """Whether who asked last has the table as it is."""
-        return self.asks[-1][1] == (self.offer.epoch, self.offer.index)
+    def is_up_to_date(self):
+        """Whether the last request had the position of the current table."""
+        return self.requests[-1][1] == (self.offer.epoch, self.offer.index)
 
-    def lives(self):
-        """Who has asked."""
-        return {life for life, _ in self.asks}
+    def client_instances(self):
+        """The session instances that sent requests."""
+        return {instance for instance, _ in self.requests}
 
 
-class Site(FleetScene):
-    """One site of a test: `Site.of(test, name)`; it ends with the test."""
+class PartnerSite(FleetScene):
+    """A site made by `PartnerSite.of(test, name)`, which ends with the test."""
 
     @classmethod
     def of(cls, test, name, **shape):
+        """A site that is not started yet."""
         site = cls()
         test.addCleanup(site.doCleanups)
-        site.name, site.neighbours, site.rows, site.options = name, {}, [], QUICK
+        site.name, site.neighbours, site.own_routes, site.options = name, {}, [], FAST_OPTIONS
         site.fleet(**({"voters": 3, "followers": 1, "providers": 1} | shape))
         site.listens = {n: site.free() for n in site.voters}
         return site
 
     def free(self):
-        """Below the ports that the kernel gives to connections: one of those may go to any before it is listened on."""
+        """An address with a port below the range for outgoing connections, which any of them could take before it is
+        listened on."""
         while True:
             port = random.randrange(10_000, 32_000)
             with suppress(OSError), socket.create_server(("127.0.0.1", port)):
-                if port not in GIVEN:
-                    GIVEN.add(port)
+                if port not in USED_PORTS:
+                    USED_PORTS.add(port)
                     return f"127.0.0.1:{port}"
 
-    def knows(self, name, *addresses, **more):
+    def add_neighbour(self, name, *addresses, **more):
+        """Adds a neighbour to the configuration."""
         self.neighbours[name] = {"name": name, "addresses": list(addresses), **more}
 
-    def offers(self, *rows):
-        self.rows = list(rows)
+    def offer_routes(self, *own_routes):
+        """Replaces this site's own routes in the configuration."""
+        self.own_routes = list(own_routes)
 
-    def write(self, *names):
-        """The file of the partners, at the sidecars that are named, else at all."""
-        rows = [{k: v for k, v in r.items() if k != "valid_for"} for r in self.rows]
-        text = json.dumps({"neighbours": list(self.neighbours.values()), "routes": rows})
+    def write_config(self, *names):
+        """Writes the partners' file at the named sidecars, by default at all."""
+        own_routes = [{k: v for k, v in r.items() if k != "valid_for"} for r in self.own_routes]
+        text = json.dumps({"neighbours": list(self.neighbours.values()), "routes": own_routes})
         for name in names or self.sidecars:
             (self.sidecars[name].folder / "partners.json").write_text(text, encoding="utf-8")
 
     def begin(self, *names):
-        self.write()
+        """Writes the configuration and starts the sidecars."""
+        self.write_config()
         for name, sidecar in self.sidecars.items():
             keys = {"site": self.name, "file": "partners.json", "service": "orders@shop"} | self.options
             if name in self.listens:
@@ -126,37 +136,42 @@
         return super().begin(*names)
 
     def reload(self, *names):
-        self.write(*names)
+        """Writes the partners' file and reloads it."""
+        self.write_config(*names)
         for name in names or self.sidecars:
             self.sidecars[name].signal(1)
 
-    def routes(self, sidecar):
-        """What ROUTES says there, by key."""
+    def routes_status(self, sidecar):
+        """The fields of a sidecar's answer to ROUTES."""
         answer = sidecar.call("ROUTES", 2)
         return dict(part.split("=", 1) for part in answer.split()[1:] if "=" in part) if answer[:2] == "OK" else {}
 
-    def standing(self, sidecar, partner):
-        pairs = dict(pair.split(":") for pair in self.routes(sidecar).get("partners", "").split(",") if ":" in pair)
+    def freshness(self, sidecar, partner):
+        """The freshness of a partner that a sidecar reports."""
+        pairs = dict(
+            pair.split(":") for pair in self.routes_status(sidecar).get("partners", "").split(",") if ":" in pair
+        )
         return pairs.get(partner, "")
 
     def running(self):
+        """The sidecars that run."""
         return [s for s in self.sidecars.values() if s.program is not None]
 
-    def all(self, check, seconds=10):
-        """Waits until it holds at every sidecar that runs."""
+    def wait_everywhere(self, check, seconds=10):
+        """Waits until the check holds at every sidecar that runs."""
         for sidecar in self.running():
             self.wait(lambda sidecar=sidecar: check(sidecar), seconds)
 
-    def asks(self, partner):
-        """The sidecars that ask a partner, by their own word."""
-        return [s.name for s in self.running() if partner in self.routes(s).get("asks", "").split(",")]
+    def asking_sidecars(self, partner):
+        """The sidecars that report to have the session with a partner."""
+        return [s.name for s in self.running() if partner in self.routes_status(s).get("asks", "").split(",")]
 
-    def fenced(self, duty):
-        """The duty's writes in the order of the log: token, key, value, and whether the machine refused each."""
+    def fenced_writes(self, duty):
+        """The lease's fenced writes in log order: token, key, value, and whether the state machine rejected it."""
         host, port = self.seats[self.leader().name].split(":")
         machine, found, reader = Machine(), [], wire.Reader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "id", "judge", wire.Kind.FOLLOWER)))
+            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "id", "observer", wire.Kind.FOLLOWER)))
             while True:
                 sock.sendall(wire.written(wire.Follow(machine.index, 0)))
                 while not isinstance(news := reader.next(), wire.News):
@@ -164,22 +179,22 @@
                         reader.feed(sock.recv(65536))
                 if not news.entries:
                     return found
-                for told in news.entries:
-                    if not told.data:
-                        machine.passed(told.index)
+                for entry in news.entries:
+                    if not entry.data:
+                        machine.passed(entry.index)
                         continue
-                    act, result = Order_.decode(told.data).act, machine.apply(told.index, told.data)
+                    act, result = order_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
                     if isinstance(act, Fenced) and act.duty == duty:
                         found.append((act.token, act.key, act.value, not isinstance(result, Ok)))
 
-    def kept(self, duty):
-        """The keys that a duty has."""
-        held = {key: bool(value) for _, key, value, refused in self.fenced(duty) if not refused}
+    def stored_keys(self, duty):
+        """The keys that exist under a lease."""
+        held = {key: bool(value) for _, key, value, refused in self.fenced_writes(duty) if not refused}
         return {key for key, there in held.items() if there}
 
 
-def ask(address, site, after=None, wait_ms=0, timeout=5, source="127.0.0.1"):
-    """One call for a site's routes: the status, and the answer or its words."""
+def request_routes(address, site, after=None, wait_ms=0, timeout=5, source="127.0.0.1"):
+    """Requests a site's routes: returns the status, and the response or the text of the error."""
     query = {"site": site, "to": "m", "wait_ms": wait_ms} | ({"after": after} if after else {})
     client = http.client.HTTPConnection(address, timeout=timeout, source_address=(source, 0))
     try:
@@ -193,9 +208,11 @@
         client.close()
 
 
-def mark(answer):
+def position(answer):
+    """The epoch and index of a response, as a request gives them."""
     return f"{answer['epoch']}.{answer['index']}"
 
 
-def services(answer):
+def service_names(answer):
+    """The services of a response."""
     return {r["service"] for r in answer["routes"]}
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -1,4 +1,6 @@
-"""The catalog without sockets: names, contracts, claims, collisions, provider sets, shares, a world of partitions."""
+"""Tests of the catalog without sockets: names, contracts, claims, collisions, provider sets, shares, simulated
+partitions.
+"""
 
 import random
 from contextlib import ExitStack
@@ -55,7 +57,7 @@
     return getattr(catalog.find(host), "reason", None)
 
 
-# ---- names and lookup -------------------------------------------------------------------------------
+# ---- names and lookup ----------------------------------------------------------------------------
 
 
 def test_a_host_names_the_service_in_every_form_and_what_is_not_there_says_why():
@@ -98,7 +100,7 @@
     assert catalog.find("web").key == "web@aa"
 
 
-# ---- contracts --------------------------------------------------------------------------------------
+# ---- contracts -----------------------------------------------------------------------------------
 
 
 @FEW
@@ -107,7 +109,7 @@
     three = (a, b, c)
     assert a.meet(b) == b.meet(a) and a.meet(a) == a and a.meet(b.meet(c)) == a.meet(b).meet(c)
     met = three[order[0]].meet(three[order[1]]).meet(three[order[2]])
-    assert met == a.meet(b).meet(c) == clause(met.effect, met.scope, met.window, met.deadline)  # in the one form
+    assert met == a.meet(b).meet(c) == clause(met.effect, met.scope, met.window, met.deadline)  # in canonical form
     assert (met.effect is Effect.ONCE) == any(word.effect is Effect.ONCE for word in three)
     assert (met.effect is Effect.REPEATABLE) == all(word.effect is Effect.REPEATABLE for word in three)
     keyed = [word for word in three if word.effect is Effect.BY_KEY]
@@ -121,7 +123,7 @@
     assert contract.from_classes([apply_clause(cls, a)])["read"] == contract.from_classes([cls])["read"].meet(a)
 
 
-# ---- collisions -------------------------------------------------------------------------------------
+# ---- collisions ----------------------------------------------------------------------------------
 
 THREE = (("bb", 5), ("cc", 3), ("aa", 9))
 
@@ -155,7 +157,7 @@
 
 
 def hostile():
-    """A mesh that claims every short name, and offers others' services as its own."""
+    """A mesh claims every short name, and offers other meshes' services as its own."""
     table, answers = Claims(Limits(per_mesh=100, total=250)), []
     for n in range(10):
         assert table.apply(n + 1, PutClaim(f"s{n}@bb", Declaration(FREE))) == ClaimAccepted(n + 1)
@@ -173,11 +175,13 @@
     assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is UnknownReason.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
     assert why(catalog, "pay@bb") is UnknownReason.UNFIT
-    assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)  # a good one still gets in
+    # another mesh can still claim names
+    assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)
 
 
 def contracts():
-    """Three meshes, three contracts for one service; then two of them agree, and one goes back on it."""
+    """Three meshes have three contracts for one service; then two of them agree, and one of these changes its contract
+    again."""
     same = ("shop@bb", "shop@cc", "shop@dd")
     table = {f"shop@{m}": claim(n, d, same) for n, (m, d) in enumerate([("bb", KEYED), ("cc", ONCE), ("dd", FREE)])}
     catalog = Catalog(HERE, CatalogState({}, {name: used(name) for name in table}, {}, table))
@@ -194,7 +198,8 @@
 
 
 def flap():
-    """A service that comes and goes every second: one entry in the log; the name stays, the loser is reachable."""
+    """A service appears and disappears every second: the log gets one entry, the name stays, and the loser stays
+    reachable."""
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
     table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
     table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
@@ -248,7 +253,7 @@
     assert catalog.find("old").reason is UnknownReason.NAME and set(catalog.names_by_short) == {"new"}
 
 
-# ---- provider sets ----------------------------------------------------------------------------------
+# ---- provider sets -------------------------------------------------------------------------------
 
 
 def test_partners_come_in_only_where_the_own_site_has_none_ready_or_the_service_lives_there():
@@ -291,7 +296,7 @@
     first = feed.step(0, catalog.providers(shop))
     assert first.update.kind is UpdateKind.FULL and first.addresses == {"p0": "10.0.0.1:80"} and not first.draining
     assert feed.step(1, catalog.providers(shop)) is None and feed.next_at is None
-    changed = catalog.update(CatalogState(own={"shop@aa": None}))  # the winner withdrawn under load
+    changed = catalog.update(CatalogState(own={"shop@aa": None}))  # the leading service is withdrawn while it is in use
     assert changed.ended == {"shop@aa"} and changed.moved == {"shop": ("shop@aa", "shop@bb")}
     step = feed.step(2, NO_PROVIDERS)
     assert step.draining == ("p0",) and step.update.endpoints[0].lifecycle is Lifecycle.DRAINING
@@ -302,7 +307,7 @@
     assert feed.step(15, catalog.providers(catalog.find("shop"))).update.endpoints and feed.next_at is None
 
 
-# ---- shares -----------------------------------------------------------------------------------------
+# ---- shares --------------------------------------------------------------------------------------
 
 
 @FEW
@@ -332,7 +337,7 @@
     assert not shared.acquire("late") and shared.free < 0
 
 
-# ---- a world of partitions, and what is broken on purpose ---------------------------------------------
+# ---- simulated partitions and deliberate defects -------------------------------------------------
 
 
 def worlds():
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the partners that need no sockets: tables in the copies, providers in place of the own, the file."""
+"""Tests of partners without sockets: the replicated table, standby providers, the configuration file."""
 
 import json
 from dataclasses import replace
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from partner_scene import CLASSES, OPEN, row
+from partner_scene import CLASSES, OPEN, make_route
 from support import SECOND
 from support import settings as platform_settings
 
@@ -15,8 +15,7 @@
 from loftweir.interface import Effect, Endpoint, Lifecycle, MembershipUpdate, RequestClass, Scope, UpdateKind
 from loftweir.lease.duty import Duty, NotActing
 from loftweir.net.loop import Loop, Wait
-from loftweir.partners import file
-from loftweir.partners import replicated_table as copies
+from loftweir.partners import file, replicated_table
 from loftweir.partners.keeping import NotKept, TableWriter, Target
 from loftweir.partners.link import NotAnswered, PartnerClient
 from loftweir.partners.merge import Freshness, UsedRoute
@@ -31,11 +30,11 @@
 
 
 def route(n, version=0):
-    return parse_route({"path": ["bergen"], **row(f"s{n}@shop", terms={"passes": version})}, "bergen")
+    return parse_route({"path": ["bergen"], **make_route(f"s{n}@shop", terms={"passes": version})}, "bergen")
 
 
-class Kept:
-    """Stands in for the duty: the facts, and a death before the write with a number."""
+class FakeLease:
+    """A fake lease that stores the facts, and ends before the write with a given number."""
 
     duty = DUTY
 
@@ -64,67 +63,72 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.dictionaries(st.integers(0, 150), st.integers(0, 2), max_size=120), st.integers(0, 9))))
-def test_a_table_is_there_whole_or_not_at_all_whoever_was_killed_in_it(steps):
-    kept, reader, allowed = Kept(), TableReader(DUTY), [{}]
+def test_a_table_is_visible_as_a_whole_or_not_at_all_whichever_writer_was_killed(steps):
+    lease, reader, allowed = FakeLease(), TableReader(DUTY), [{}]
 
     def check():
-        reader.read(kept.facts, SECOND)
+        reader.read(lease.facts, SECOND)
         assert reader.routes in allowed
-        fresh = TableReader(DUTY)  # one that sees only this
-        fresh.read(kept.facts, SECOND)
+        fresh = TableReader(DUTY)  # a reader without earlier state
+        fresh.read(lease.facts, SECOND)
         assert (fresh.routes, fresh.sums) == (reader.routes, reader.sums)
 
-    kept.check = check
+    lease.check = check
     for index, (wanted, left) in enumerate(steps):
         routes = {f"s{n}@shop": route(n, version) for n, version in wanted.items()}
-        writer = TableWriter(None, kept)
-        head = kept.facts.get((DUTY, "head"))
-        writer.head, writer.stored = head.value if head else None, {key for _, key in kept.facts}
+        writer = TableWriter(None, lease)
+        head = lease.facts.get((DUTY, "head"))
+        writer.head, writer.stored = head.value if head else None, {key for _, key in lease.facts}
         writer.possible = set(writer.stored)
-        before, allowed[:], kept.left = dict(reader.routes), [reader.routes, routes], left or 1 << 30
+        before, allowed[:], lease.left = dict(reader.routes), [reader.routes, routes], left or 1 << 30
         try:
             list(writer._write(target(Chunker(), routes, index)))
         except NotActing:
             assert reader.routes in (before, routes)
         else:
             assert reader.routes == routes
-            assert {key for _, key in kept.facts} == {"head", *reader.head.chunks}, "nothing is left behind"
+            assert {key for _, key in lease.facts} == {"head", *reader.head.chunks}, "no unused chunk is left"
 
 
-def test_a_change_touches_one_chunk_and_what_stays_is_the_same_object():
-    chunker, reader, kept = Chunker(), TableReader(DUTY), Kept()
+def test_a_change_concerns_one_chunk_and_unchanged_routes_stay_the_same_objects():
+    chunker, reader, lease = Chunker(), TableReader(DUTY), FakeLease()
     routes = {f"s{n}@shop": route(n) for n in range(500)}
     before = target(chunker, routes, 1)
-    writer = TableWriter(None, kept)
+    writer = TableWriter(None, lease)
     list(writer._write(before))
-    reader.read(kept.facts, 0)
+    reader.read(lease.facts, 0)
     old = dict(reader.routes)
     after = target(chunker, routes | {"s7@shop": route(7, 1)}, 2)
     assert len(before.chunks) > 8 and len(after.chunks.keys() - before.chunks.keys()) == 1
     list(writer._write(after))
-    assert reader.read(kept.facts, 0) and not reader.read(kept.facts, 0)
+    assert reader.read(lease.facts, 0) and not reader.read(lease.facts, 0)
     assert sum(reader.routes[name] is not old[name] for name in old) < 100
-    # What is not whole, or of another version, is not used in part.
+    # A table that is incomplete or of another version is not used at all.
     for head in (Head(chunks=("c:none",), routes=1), Head(version=9), Head(routes=4)):
-        kept.facts[DUTY, "head"] = Fact(encode_head(head), 1, 99)
+        lease.facts[DUTY, "head"] = Fact(encode_head(head), 1, 99)
         with pytest.raises(NotReadable):
-            reader.read(kept.facts, 0)
+            reader.read(lease.facts, 0)
         assert (reader.routes, reader.table, reader.partner_state(0, Timing()).freshness) == ({}, None, Freshness.GONE)
 
 
-def test_time_runs_on_without_news_and_no_clock_ahead_makes_it_fresher():
-    reader, kept, timing = TableReader(DUTY), Kept(), Timing(wait=1, silent_after=1, hold=15 * SECOND, gone=30 * SECOND)
-    list(TableWriter(None, kept)._write(target(Chunker(), {}, 100 * SECOND)))
-    assert reader.read(kept.facts, 100 * SECOND)
+def test_a_table_expires_without_updates_and_a_fast_clock_does_not_extend_it():
+    reader, lease, timing = (
+        TableReader(DUTY),
+        FakeLease(),
+        Timing(wait=1, silent_after=1, hold=15 * SECOND, gone=30 * SECOND),
+    )
+    list(TableWriter(None, lease)._write(target(Chunker(), {}, 100 * SECOND)))
+    assert reader.read(lease.facts, 100 * SECOND)
     stands = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
     assert stands == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
     assert [reader.next_change_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
-    kept.facts[DUTY, "note"] = Fact(copies.encode_note(5000 * SECOND), 1, 9)
-    assert reader.read(kept.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
-    # Damped, it stays so at whoever takes the lease over, for as long as the penalty lasts.
-    kept.facts[DUTY, "head"] = Fact(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
+    lease.facts[DUTY, "note"] = Fact(replicated_table.encode_note(5000 * SECOND), 1, 9)
+    assert reader.read(lease.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
+    # A damped partner stays damped after another sidecar takes the lease over, as long as the penalty lasts.
+    lease.facts[DUTY, "head"] = Fact(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
     assert (
-        reader.read(kept.facts, 121 * SECOND) and reader.partner_state(121 * SECOND, timing).freshness is Freshness.GONE
+        reader.read(lease.facts, 121 * SECOND)
+        and reader.partner_state(121 * SECOND, timing).freshness is Freshness.GONE
     )
     session = Session("bergen", "x", lambda: 0.0)
     session.start(0, reader.partner_state(0, timing), (5000.0, 0), True)
@@ -133,15 +137,15 @@
     assert session.state is SessionState.ASKING
 
 
-def test_each_error_is_caused():
+def test_each_error_is_raised():
     loop = Loop()
     duty = Duty(loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None)
     with pytest.raises(NotActing, match="its lease is over"):
         next(duty.put("head", b"x", SECOND))
-    kept = Kept()
-    kept.put = lambda *_: (yield from ()) or Full(1, "fenced values", 10)
+    lease = FakeLease()
+    lease.put = lambda *_: (yield from ()) or Full(1, "fenced values", 10)
     with pytest.raises(NotKept, match="no room"):
-        list(TableWriter(None, kept)._write(target(Chunker(), {}, 1)))
+        list(TableWriter(None, lease)._write(target(Chunker(), {}, 1)))
     client = PartnerClient(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
     with pytest.raises(NotAnswered, match="not up"):
         next(client._fetch(SendRequest(1, "x.1", None, 0, SECOND)))
@@ -152,11 +156,11 @@
         check_order(Table("bergen", 1, 2), parse_response(json.dumps(answer).encode(), "bergen"))
 
 
-def test_an_act_that_is_refused_for_its_token_is_the_last_under_it():
+def test_a_write_rejected_for_its_token_is_the_last_one_under_that_token():
     loop, sent, told = Loop(), [], []
     answers = {Acquire: Ok(5, 5), Fenced: Lower(6, 5, 6), Release: NotHeld(7, 5)}
 
-    class Copies:
+    class FakeCluster:
         writes = type("W", (), {"busy": False})
 
         def write(self, act, within):
@@ -174,23 +178,23 @@
         yield Wait(None, 0, loop.now() + SECOND // 5)
         loop.stopped = True
 
-    duty = Duty(loop, "n0", DUTY, SECOND, (Copies(), Copies()), told.append, lambda: told.append("end"))
+    duty = Duty(loop, "n0", DUTY, SECOND, (FakeCluster(), FakeCluster()), told.append, lambda: told.append("end"))
     held = Machine()
     held.leases[DUTY] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
     loop.spawn(act())
     duty.want(True)
-    assert duty.may_act() is None and sent == []  # nothing is known of the lease yet
+    assert duty.may_act() is None and sent == []  # the state of the lease is not known yet
     duty.saw(Machine())
     loop.run()
     assert (told, sent) == ([5, None, "end"], [Acquire, Fenced, Release])
 
 
-# ---- in place of the own --------------------------------------------------------------------------
+# ---- standby providers ---------------------------------------------------------------------------
 
 
 def used(**more):
-    made = {"path": ["bergen"], **row("orders@shop", ("127.0.0.1:1", "127.0.0.1:2")), **more}
+    made = {"path": ["bergen"], **make_route("orders@shop", ("127.0.0.1:1", "127.0.0.1:2")), **more}
     return UsedRoute("bergen", parse_route(made, "bergen"))
 
 
@@ -208,7 +212,7 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(STEPS, max_size=12))
-def test_a_partners_providers_are_ready_only_while_none_of_the_own_is(steps):
+def test_a_partners_providers_are_ready_only_while_no_own_provider_is(steps):
     standby, told, mine, listed = Standby(), {}, {}, False
     for what, kind, entries in steps:
         if what == "list":
@@ -223,7 +227,7 @@
         else:
             found = standby.use(border_providers(used(), 5) if kind else {}) if what == "use" else standby.end_drain()
             update, addresses = found or (MembershipUpdate(UpdateKind.FAILED), {})
-        if update.kind is not UpdateKind.FAILED:  # as the balancer keeps it
+        if update.kind is not UpdateKind.FAILED:  # the view of the balancer
             told = told if update.kind is UpdateKind.CHANGES else {}
             told |= {e.address: e for e in update.endpoints}
             assert all(e.address in addresses for e in update.endpoints if e.lifecycle is not Lifecycle.GONE)
@@ -240,7 +244,7 @@
         assert {n for n, e in partners.items() if e.lifecycle is Lifecycle.READY} == wanted
 
 
-def test_a_route_is_used_only_where_its_terms_allow_all_that_may_be_sent():
+def test_a_route_is_used_only_if_its_terms_allow_all_that_may_be_sent():
     plain = {name: RequestClass(name, Effect.REPEATABLE, SECOND, SECOND) for name in CLASSES}
     own_settings = replace(platform_settings(), classes=plain)
     keyed = RequestClass("place-confirm", Effect.BY_KEY, SECOND, SECOND, Scope.ALL, SECOND)
@@ -260,11 +264,11 @@
     assert "its rate is 9 " in unusable_reason(used(rate=9), own_settings, False)
 
 
-# ---- the file -------------------------------------------------------------------------------------
+# ---- configuration file --------------------------------------------------------------------------
 
 GOOD = {
     "neighbours": [{"name": "Bergen", "addresses": ["127.0.0.1:1"], "role": "peer"}],
-    "routes": [{k: v for k, v in row("orders@shop").items() if k != "valid_for"}],
+    "routes": [{k: v for k, v in make_route("orders@shop").items() if k != "valid_for"}],
 }
 
 
@@ -274,7 +278,7 @@
     return file.load(str(path), "oslo", LIMITS)
 
 
-def test_the_file_is_read_in_both_forms(tmp_path):
+def test_the_file_is_read_as_json_and_toml(tmp_path):
     sites = load(tmp_path, GOOD)
     assert sites.neighbours["bergen"].role.value == "peer" and sites.routes["orders@shop"].path == ("oslo",)
     text = """
@@ -292,7 +296,7 @@
     assert (found.share, found.valid_for, found.terms.until) == (0.5, 120 * SECOND, 1893456000 * SECOND)
 
 
-def test_all_faults_of_the_file_are_named_by_their_places(tmp_path):
+def test_all_faults_of_the_file_are_reported_with_their_places(tmp_path):
     neighbour, route = GOOD["neighbours"][0], GOOD["routes"][0]
     neighbours = [
         {"name": "a b"}, {"name": "oslo"}, {"name": "x", "asks_from": ["10.0.0.1/8"]}, {"addresses": ["nowhere"]},
@@ -313,14 +317,14 @@
         "routes.4.providers.0.nam", "routes.5.providers.0", "routes.6.terms.show", "routes.6.terms.until",
         "routes.6.terms.pass", "routes.8.service",
     }  # fmt: skip
-    many = {"routes": [row(f"s{n}@shop") | {"valid_for": "1s"} for n in range(4)]}
+    many = {"routes": [make_route(f"s{n}@shop") | {"valid_for": "1s"} for n in range(4)]}
     for data, place in (("{", ""), ("[]", ""), ({"neighbours": {}}, "neighbours"), (many, "routes")):
         with pytest.raises(Faulty) as caught:
             load(tmp_path, data)
         assert [fault.path for fault in caught.value.faults] == [place]
 
 
-def test_what_the_operator_says_must_go_together(tmp_path):
+def test_contradicting_settings_of_partners_are_reported(tmp_path):
     text = '[partners]\nsite = "oslo"\nhold = "2s"\nservice = "orders"\nlisten = "x"\n'
     (tmp_path / "loftweir.toml").write_text(text, encoding="utf-8")
     with pytest.raises(Faulty) as caught:
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -1,4 +1,4 @@
-"""Partners' routes without sockets: terms, tables, the merge, sessions, and several sites in virtual time."""
+"""Tests of the partners' routes without sockets: terms, tables, the merge, sessions, and several simulated sites."""
 
 import json
 import random
@@ -14,9 +14,9 @@
 from loftweir.emulator.sites import BEGIN, HOP, MS, SECOND, TIMING, Faults, World, play, route
 from loftweir.errors import LoftweirError
 from loftweir.interface import SettingsError
-from loftweir.partners import merge as merging
-from loftweir.partners import table as tables
-from loftweir.partners import terms as words
+from loftweir.partners import merge as merge_module
+from loftweir.partners import table as table_module
+from loftweir.partners import terms as terms_module
 from loftweir.partners.merge import Freshness, Merger, PartnerState, Policy, Reason, Role, merge, newest_tables
 from loftweir.partners.session import (
     STATE_TRAITS,
@@ -69,15 +69,15 @@
     return msgspec.structs.replace(OPEN, **what)
 
 
-# ---- terms ------------------------------------------------------------------------------------------
+# ---- terms ---------------------------------------------------------------------------------------
 
 
-def laws(a, b, c):
+def check_laws(a, b, c):
     assert a.meet(b) == b.meet(a) and a.meet(a) == a and a.meet(OPEN) == a
     assert a.meet(b.meet(c)) == a.meet(b).meet(c)
     for site in NAMES:
         for now in (0, 10, 30 * SECOND):
-            open_now = not a.unknown and now < a.until  # said in other words than the code's
+            open_now = not a.unknown and now < a.until  # written independently of the code under test
             assert a.may_use(site, now) == (open_now and (site in a.use.names) != a.use.but)
             assert a.may_show(site, now, 2) == (open_now and a.passes >= 2 and (site in a.show.names) != a.show.but)
             assert a.meet(b).may_use(site, now) == (a.may_use(site, now) and b.may_use(site, now))
@@ -88,34 +88,35 @@
 
 @FEW
 @given(TERMS, TERMS, TERMS)
-def test_terms_only_tighten_whatever_the_order_and_come_back_from_their_form(a, b, c):
-    laws(a, b, c)
-    closed = msgspec.structs.replace(a.meet(CLOSED), unknown=frozenset())  # what is not known can't be written
+def test_terms_only_tighten_in_any_order_and_survive_their_json_form(a, b, c):
+    check_laws(a, b, c)
+    closed = msgspec.structs.replace(a.meet(CLOSED), unknown=frozenset())  # unknown terms can't be written
     assert parse_terms(json.loads(msgspec.json.encode(terms_to_json(a)))) == (closed if a.unknown else a)
     assert not a.passed_on("bb").show.contains("cc") if not a.show.contains("bb") else a.passed_on("bb") == a
 
 
-def test_what_is_not_understood_is_closed_and_says_so():
+def test_unknown_terms_close_the_route_and_are_named():
     good = terms_to_json(OPEN)
     bad = [("price", 3), ("use", {"near": ["aa"]}), ("use", {"only": [1]}), ("passes", True), ("until", "soon")]
     for name, value in [*bad, ("show", None), ("passes", -1)]:
         found = parse_terms({**good, name: value})
         assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
-    assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(words.FIELDS)
+    assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(terms_module.FIELDS)
     held = {"bb": fresh("bb", {S: route(S, "bb", terms(unknown=frozenset(("price",))))})}
     assert str(merge(held, Policy("aa"), 0).left[S]["bb"]) == "unknown term price"
 
 
-def test_a_leak_is_laid_to_the_one_who_showed_it():
+def test_a_leak_is_attributed_to_the_site_that_showed_the_route():
     assert find_leaker(terms(show=only("bb")), ("bb", "aa"), "cc") == "bb"
     assert find_leaker(terms(show=only("cc")), ("bb", "aa"), "cc") == "aa"
     assert find_leaker(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
     assert find_leaker(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
-    word = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))  # what bb tightens does not make bb a leaker
+    # a site that tightens the terms does not count as leaking
+    word = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
     assert find_leaker(word, ("bb", "aa"), "cc") == "" and not word.may_show("dd", 0, 1)
 
 
-# ---- tables -----------------------------------------------------------------------------------------
+# ---- tables --------------------------------------------------------------------------------------
 
 
 def offer(site="bb", epoch=1, number=3):
@@ -146,7 +147,7 @@
 FAULTS = [
     (put("service", value="a b@m"), 1, "routes.1.service"),
     (put("service", value="-a@m"), 1, "routes.1.service"),
-    (put("service", value="S0@BB"), 1, "routes.1.service"),  # the same as another, but for case
+    (put("service", value="S0@BB"), 1, "routes.1.service"),  # a duplicate that differs only in case
     (put("path", value=["cc", "bb"]), 0, "routes.0.path"),
     (put("path", value=["bb", "cc", "bb"]), 0, "routes.0.path"),
     (put("path", value=["bb", *(f"x{n}" for n in range(9))]), 0, "routes.0.path"),
@@ -164,14 +165,14 @@
 
 
 @pytest.mark.parametrize("edit, number, place", FAULTS, ids=lambda x: x if isinstance(x, str) else "")
-def test_a_bad_table_is_refused_whole_and_names_the_place(edit, number, place):
+def test_an_invalid_table_is_rejected_as_a_whole_with_the_place(edit, number, place):
     with pytest.raises(BadTable) as caught:
         apply_response(None, parse_response(broken(edit, number), "bb"))
     assert caught.value.faults[0].place.startswith(place) and caught.value.where == "partner bb"
     assert isinstance(caught.value, LoftweirError) and caught.value.remedy
 
 
-def test_every_place_is_named_and_limits_hold_for_changes_too():
+def test_every_fault_has_its_place_and_limits_apply_to_changes_too():
     data = json.loads(offer().response(None))
     data["routes"][0]["share"], data["routes"][2]["path"] = "x", []
     with pytest.raises(BadTable) as caught:
@@ -191,7 +192,7 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.lists(st.lists(st.tuples(st.integers(0, 5), st.booleans(), st.integers(0, 3)), max_size=4), max_size=8))
-def test_changes_lead_to_the_same_table_as_the_whole_and_a_cut_or_a_replay_is_refused(steps):
+def test_changes_give_the_same_table_as_a_snapshot_and_truncated_or_replayed_ones_are_rejected(steps):
     source, held, before, routes = offer(number=2), None, [], {}
     for step in steps:
         for number, there, passes in step:
@@ -215,10 +216,10 @@
     assert not source.replace(dict(source.routes))
 
 
-# ---- the merge --------------------------------------------------------------------------------------
+# ---- merge ---------------------------------------------------------------------------------------
 
 
-def test_the_decision_goes_by_its_rules_in_order_and_says_which_decided():
+def test_the_first_rule_that_differs_decides_and_is_named():
     def two(first, second, **policy):
         partner_states = {"bb": first, "cc": second}
         merged = merge(partner_states, Policy("aa", **policy), 10)
@@ -243,8 +244,8 @@
     assert merge({"bb": fresh("bb", far)}, limited, 10).left["x@m"]["bb"] == (Reason.LIMIT, "path", "")
 
 
-def test_roles_keep_what_comes_from_above_or_beside_for_those_below():
-    """RFC 9234, section 5: the four relations, and a leak from below found by its mark."""
+def test_routes_of_upstream_sites_and_peers_go_only_downstream():
+    """RFC 9234, section 5: the four relations, and a leak by a downstream site that the mark reveals."""
     roles = {"up": Role.UPSTREAM, "peer": Role.PEER, "down": Role.DOWNSTREAM, "any": Role.NONE, "low": Role.DOWNSTREAM}
     partner_states = {n: fresh(n, {f"x@{n}": route(f"x@{n}", n, OPEN)}) for n in roles}
     shown = merge(partner_states, Policy("aa", roles), 1).shown
@@ -273,7 +274,7 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS, TERMS)
-def test_one_change_after_the_other_gives_what_the_whole_merge_gives(steps, word):
+def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, word):
     own = {"s3@m": route("s3@m", "aa", terms(show=only("bb"), until=20))}
     policy = Policy("aa", {"bb": Role.NONE, "cc": Role.PEER, "ff": Role.DOWNSTREAM}, offers=own, gone_after=9,
                     restrictions={"s1@m": word})  # fmt: skip
@@ -308,18 +309,18 @@
 
 @FEW
 @given(MAPS, MAPS, MAPS)
-def test_what_is_held_asks_neither_for_order_nor_for_how_often(a, b, c):
+def test_newest_tables_depend_neither_on_order_nor_on_repetition(a, b, c):
     assert newest_tables(a, b) == newest_tables(b, a) and newest_tables(a, a) == a
     assert newest_tables(a, newest_tables(b, c)) == newest_tables(newest_tables(a, b), c)
 
 
-# ---- the session ------------------------------------------------------------------------------------
+# ---- session -------------------------------------------------------------------------------------
 
 
 class Partner:
-    """A session that is answered at once where `up`; each call that waits is held for its wait."""
+    """A session whose partner responds at once while `up`. A request without changes takes its whole wait."""
 
-    def __init__(self, timing=TIMING, limits=tables.DEFAULT_LIMITS):
+    def __init__(self, timing=TIMING, limits=table_module.DEFAULT_LIMITS):
         self.now, self.up, self.source, self.edit = BEGIN, True, offer(), lambda data: data
         self.session = Session("bb", "life", lambda: 0.5, timing, limits)
         self.seen, self.errors = [], []
@@ -345,7 +346,7 @@
         return self.session.state
 
 
-def test_the_tables_of_states_are_whole():
+def test_the_state_machine_covers_all_states_and_events():
     assert set(STATE_TRAITS) == set(SessionState) and {s for s, _ in TRANSITIONS} | set(TRANSITIONS.values()) == set(
         SessionState
     )
@@ -355,14 +356,15 @@
         Timing(hold=5 * SECOND)
 
 
-def test_one_lost_answer_makes_nothing_stale_and_a_silent_partner_goes_in_steps_and_comes_back_by_a_ramp():
+def test_one_lost_response_makes_nothing_stale_and_a_silent_partner_expires_in_steps_and_returns_by_the_ramp():
     partner = Partner()
     assert (
         partner.run(20 * SECOND) is SessionState.HOLDING
         and ramp_factor(partner.session.partner_state(), partner.now, TIMING) == 1
     )
     partner.up = False
-    partner.run(TIMING.wait + TIMING.silent_after + 10 * MS)  # the call is silent; the first fresh one is under way
+    # the request timed out; the first one without a wait is in flight
+    partner.run(TIMING.wait + TIMING.silent_after + 10 * MS)
     partner.up = True
     assert partner.run(SECOND) is SessionState.HOLDING and SessionState.STALE not in partner.seen
     partner.up = False
@@ -374,17 +376,18 @@
     parts = [ramp_factor(held, held.back_at + n * TIMING.ramp_within // 4, TIMING) for n in range(5)]
     assert parts[0] == TIMING.ramp_from and parts[4] == 1 and parts == sorted(parts) and parts[1] < 0.3
     handed = Session("bb", "other", lambda: 0.5, TIMING)
-    handed.start(partner.now, held)  # another sidecar has the lease: nothing is away meanwhile, the ramp goes on
+    # another sidecar gets the lease: the ramp continues, since the partner was never away
+    handed.start(partner.now, held)
     assert handed.state is SessionState.HOLDING and handed.partner_state().back_at == held.back_at
     after = (0, TIMING.hold, TIMING.hold + TIMING.gone)
     ages = [aged_state(held, held.confirmed_at + later, TIMING).freshness for later in after]
-    assert ages == [Freshness.FRESH, Freshness.STALE, Freshness.GONE]  # for who follows the copies and is cut off
+    assert ages == [Freshness.FRESH, Freshness.STALE, Freshness.GONE]  # as an observer that is cut off computes it
     late = Session("bb", "third", lambda: 0.5, TIMING)
     late.start(partner.now + HOP, held)
     assert late.state is SessionState.GONE
 
 
-def test_a_bad_table_leaves_the_last_good_one_until_its_time_is_over():
+def test_an_invalid_table_leaves_the_last_valid_one_until_it_expires():
     for edit, what in ((lambda data: data[:-20], "truncated"), (lambda data: data + b" " * 9000, "at most")):
         partner = Partner(limits=Limits(bytes=8000))
         before = partner.session.table
@@ -397,7 +400,7 @@
         assert partner.run(2 * SECOND) is SessionState.HOLDING and len(partner.session.table.routes) == 1
 
 
-def test_a_restart_is_told_by_its_epoch_and_a_lower_one_is_taken_only_once_all_is_gone():
+def test_a_restart_is_detected_by_its_epoch_and_a_lower_one_is_accepted_only_after_expiry():
     partner = Partner()
     partner.source.replace({})
     partner.run(SECOND)
@@ -415,15 +418,16 @@
     )
     partner.run(HOP)
     assert partner.session.table.position == (1, 1)
-    first = partner.source.response(None, "life.1")  # an answer that something kept
+    first = partner.source.response(None, "life.1")  # a cached response
     partner.source, partner.edit = offer(epoch=3), lambda data: first
     partner.run(2 * SECOND)
     assert partner.session.table.position == (1, 1) and "the nonce of the request" in str(partner.errors[-1])
 
 
-def test_changes_that_follow_another_table_lead_to_the_whole():
+def test_changes_that_follow_another_table_cause_a_request_for_the_whole():
     partner = Partner()
-    partner.source.encoded["s0@bb"], partner.source.sum = b"{}", 7  # what it holds at this mark is another
+    # the table at this position is another one than the stored one
+    partner.source.encoded["s0@bb"], partner.source.sum = b"{}", 7
     good = offer(number=2)
     good.index, good.changed = 9, dict.fromkeys(good.changed, 9)
     partner.source = good
@@ -431,7 +435,7 @@
     assert partner.errors[0].faults[0].place == "sum"
 
 
-def test_a_flapping_partner_is_damped_and_then_taken_again():
+def test_a_flapping_partner_is_damped_and_then_used_again():
     partner = Partner()
     for number in range(6):
         partner.source = offer(epoch=number + 2)
@@ -444,7 +448,7 @@
     assert partner.session.partner_state().back_at > BEGIN + SECOND
 
 
-# ---- several sites ----------------------------------------------------------------------------------
+# ---- several sites -------------------------------------------------------------------------------
 
 
 def world(links, dishonest="", seed=1, said=OPEN):
@@ -475,12 +479,12 @@
 
 
 @pytest.mark.parametrize("then", [terms(use=only("zz")), None], ids=["tightened", "withdrawn"])
-def test_what_is_told_while_the_session_is_silent_holds_beyond_the_bound_and_after_it(then):
+def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(then):
     made = tightened_while_a_link_is_down(then)
     assert not made.found() and uses(made, "bb") is None and made.seen["stale"] and made.seen["gone"]
 
 
-def test_a_withdrawn_route_does_not_go_round_three_sites():
+def test_a_withdrawn_route_does_not_loop_through_three_sites():
     made = world("aa-bb bb-cc cc-aa dd-cc", said=terms(passes=9))
     assert uses(made, "bb") == ("aa",) and uses(made, "dd") == ("cc", "aa")
     made.declare("aa", S, None)
@@ -491,14 +495,14 @@
 
 
 @pytest.mark.parametrize("said", [terms(show=only("bb", "dd")), terms(passes=0)], ids=["show", "passes"])
-def test_a_leak_is_found_out_by_the_next_honest_site(said):
+def test_a_leak_is_detected_by_the_next_honest_site(said):
     made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=said)
     assert uses(made, "cc") is None and uses(made, "dd") is None and made.leakers["bb"] and not made.found()
     assert str(made.sites["cc"].merger.merged.left[S]["bb"]) == "leaked by bb"
     assert S not in made.sites["cc"].merger.merged.shown["dd"]
 
 
-def test_answers_that_are_given_again_are_not_taken():
+def test_replayed_responses_are_rejected():
     made = world("aa-bb")
     made.declare("aa", S, terms(use=NO_SITES))
     made.run(SECOND)
@@ -509,7 +513,7 @@
     assert not made.found()
 
 
-def test_both_sites_restarted_with_all_lost_come_back_by_the_ramp_and_the_others_are_not_touched():
+def test_two_sites_restarted_without_data_return_by_the_ramp_and_others_are_not_affected():
     made = world("aa-bb cc-bb")
     made.declare("cc", "t@cc", OPEN)
     made.run(SECOND)
@@ -530,7 +534,7 @@
     assert not made.found() and uses(made, "bb") == ("aa",)
 
 
-def test_days_of_random_sites_keep_the_fifth_rule():
+def test_random_sites_never_use_or_show_a_route_against_its_terms():
     seen, acts = {}, 0
     for seed in range(200):
         made = play(seed)
@@ -543,49 +547,53 @@
         assert seen[name] >= 3, (name, seen)
 
 
-# ---- what is broken on purpose ----------------------------------------------------------------------
+# ---- deliberate defects --------------------------------------------------------------------------
 
 
-def meets_nothing(self, other):
+def unchanged(self, other):
     return self
 
 
-def open_to_anyone(self, sites, now, passed=0):
+def all_recipients(self, sites, now, passed=0):
     return list(sites)
 
 
-def reads_what_it_knows(value):
-    return msgspec.structs.replace(REAL_READ(value), unknown=frozenset())
+def parse_without_unknown(value):
+    return msgspec.structs.replace(REAL_PARSE_TERMS(value), unknown=frozenset())
 
 
-def takes_any(self, data, asked):
-    told = parse_response(data, self.partner)
-    return Table(told.site, told.epoch, told.index, told.routes, told.sums, told.sum) if told.after is None else (
-        self.table or Table(told.site, told.epoch, told.index))  # fmt: skip
+def accept_any(self, data, request):
+    response = parse_response(data, self.partner)
+    if response.after is None:
+        return Table(response.site, response.epoch, response.index, response.routes, response.sums, response.sum)
+    return self.table or Table(response.site, response.epoch, response.index)
 
 
-def at_any_time(self, site, now):
+def may_use_at_any_time(self, site, now):
     return not self.unknown and self.use.contains(site)
 
 
-def plays_on(one, policy):
+def never_expires(one, policy):
     return FOREVER, Reason.EXPIRED
 
 
-def never_over(self):
+def no_hold_expiry(self):
     return FOREVER
 
 
-REAL_READ = words.parse_terms
-BROKEN = {  # what is broken: how, and what finds it out
-    "terms not tightened by who passes them on": ([(Terms, "meet", meets_nothing)], {"laws", "days"}),
-    "terms not checked by who shows": ([(Terms, "allowed_recipients", open_to_anyone)], {"laws", "days"}),
-    "terms not checked by who is shown": ([(merging, "find_leaker", lambda *_: "")], {"leak", "days"}),
-    "terms not checked by who uses": ([(Terms, "may_use", lambda *_: True)], {"laws", "days"}),
-    "unknown terms open": ([(tables, "parse_terms", reads_what_it_knows)], {"unknown"}),
-    "a replay taken": ([(Session, "_accept", takes_any)], {"replay", "days"}),
-    "ends not checked": ([(merging, "expiry", plays_on), (Terms, "may_use", at_any_time)], {"laws", "end", "days"}),
-    "silence never over": ([(Session, "_hold_expiry", never_over)], {"link"}),
+REAL_PARSE_TERMS = terms_module.parse_terms
+DEFECTS = {  # defect: the patches, and the checks that have to detect it
+    "a site passes terms on without tightening them": ([(Terms, "meet", unchanged)], {"laws", "days"}),
+    "the showing site does not check the terms": ([(Terms, "allowed_recipients", all_recipients)], {"laws", "days"}),
+    "the receiving site does not check the path": ([(merge_module, "find_leaker", lambda *_: "")], {"leak", "days"}),
+    "the using site does not check the terms": ([(Terms, "may_use", lambda *_: True)], {"laws", "days"}),
+    "unknown terms are ignored": ([(table_module, "parse_terms", parse_without_unknown)], {"unknown"}),
+    "a replayed table is accepted": ([(Session, "_accept", accept_any)], {"replay", "days"}),
+    "routes do not expire": (
+        [(merge_module, "expiry", never_expires), (Terms, "may_use", may_use_at_any_time)],
+        {"laws", "end", "days"},
+    ),
+    "the hold time never expires": ([(Session, "_hold_expiry", no_hold_expiry)], {"link"}),
 }
 
 
@@ -596,29 +604,29 @@
         return False
 
 
-class Nothing:
+class NoFindings:
     def found(self):
         return []
 
 
-def some_laws():
+def random_laws():
     draw = random.Random(5)
     for _ in range(60):
-        laws(*(sites.random_terms(draw, NAMES, 0) for _ in range(3)))
-    return Nothing()
+        check_laws(*(sites.random_terms(draw, NAMES, 0) for _ in range(3)))
+    return NoFindings()
 
 
-def some_days():
-    return next((made for made in map(play, range(40)) if made.found()), Nothing())
+def random_days():
+    return next((made for made in map(play, range(40)) if made.found()), NoFindings())
 
 
-def a_leak():
+def leak():
     made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=terms(passes=0))
     assert uses(made, "cc") is None
     return made
 
 
-def a_replay():
+def replay():
     made = world("aa-bb")
     made.declare("aa", S, CLOSED)
     made.faults = Faults(repeated=0.7)
@@ -626,19 +634,19 @@
     return made
 
 
-def an_unknown_term():
+def unknown_term():
     made = World(1, ["aa", "bb"], [("aa", "bb")])
     made.declare("aa", S, OPEN)
     made.start()
     made.run(2 * SECOND)
-    with mock.patch.object(tables, "terms_to_json", lambda said: {**terms_to_json(OPEN), "price": 3}):
-        made.declare("aa", S, terms(passes=7))  # goes out with a term that nobody here knows
-    made.oracle.declare(made.clock.now, "aa", S, terms(use=NO_SITES))  # ... and that is what it means
+    with mock.patch.object(table_module, "terms_to_json", lambda said: {**terms_to_json(OPEN), "price": 3}):
+        made.declare("aa", S, terms(passes=7))  # is sent with a term that no site knows
+    made.oracle.declare(made.clock.now, "aa", S, terms(use=NO_SITES))  # and this is the meaning of that term
     made.run(2 * HOP)
     return made
 
 
-def an_end():
+def expired_terms():
     made = world("aa-bb", said=terms(until=BEGIN + 8 * SECOND))
     assert uses(made, "bb")
     made.link("aa", "bb", False)
@@ -646,18 +654,18 @@
     return made
 
 
-CHECKS = {"laws": some_laws, "days": some_days, "leak": a_leak, "replay": a_replay, "unknown": an_unknown_term,
-          "end": an_end, "link": tightened_while_a_link_is_down}  # fmt: skip
+CHECKS = {"laws": random_laws, "days": random_days, "leak": leak, "replay": replay, "unknown": unknown_term,
+          "end": expired_terms, "link": tightened_while_a_link_is_down}  # fmt: skip
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_what_is_broken_is_found_out(name):
-    patches, by = BROKEN[name]
+@pytest.mark.parametrize("name", DEFECTS)
+def test_a_deliberate_defect_is_detected(name):
+    patches, by = DEFECTS[name]
     with ExitStack() as stack:
         for owner, what, value in patches:
             stack.enter_context(mock.patch.object(owner, what, value))
         assert {check for check in CHECKS if not holds(CHECKS[check])} >= by
 
 
-def test_the_checks_hold_where_nothing_is_broken():
+def test_the_checks_hold_without_a_defect():
     assert all(map(holds, CHECKS.values()))
