--- a/benchmarks/faults/holder.py
+++ b/benchmarks/faults/holder.py
@@ -78,7 +78,7 @@
                 result = said(caller, action.act, time.monotonic_ns())
                 todo.extend(holder.step(time.monotonic_ns(), Answer(action.ask, result)))
         now = time.monotonic_ns()
-        token = holder.may_act(now)
+        token = holder.valid_token(now)
         if token is not None:
             count += 1
             said(caller, Fenced(holder.duty, token, "last", f"{holder.name} {count}".encode()), now)
--- a/benchmarks/faults/load.py
+++ b/benchmarks/faults/load.py
@@ -25,7 +25,7 @@
 from loftweir.emulator.histories import Act as Acted
 from loftweir.emulator.histories import Call
 from loftweir.replication.machine import Acquire, Fenced, Ok, Word
-from loftweir.replication.wire import FactOf, Kind
+from loftweir.replication.wire import FencedValueQuery, Kind
 
 PEN, DUTY = "pen", "duty"  # the lease that callers write under, and the one that holders want
 HOUR = 3_600_000_000_000
@@ -149,7 +149,7 @@
 
     def get(self, client: str, caller: Caller, key: str) -> None:
         with self.oracle.call(self.oracle.values, client, key, ("get",)) as result:
-            found = msgspec.msgpack.decode(caller.read(FactOf(PEN, key), WITHIN))
+            found = msgspec.msgpack.decode(caller.read(FencedValueQuery(PEN, key), WITHIN))
             result.append(found[0] if found else None)
 
     # ---- who looks ------------------------------------------------------------------------------
--- a/benchmarks/faults/oracle.py
+++ b/benchmarks/faults/oracle.py
@@ -33,7 +33,7 @@
 
 ORDERS = msgspec.msgpack.Decoder(Order)
 PROMISED = re.compile(r"OK (disabled|enabled), at index (\d+)$").match
-MAY_BE_LATE = 50_000_000  # ns from `may_act` to an act's arrival that the lease's margin covers
+MAY_BE_LATE = 50_000_000  # ns from `valid_token` to an act's arrival that the lease's margin covers
 UNAVAILABLE = 300_000_000  # ns between two acknowledged writes, from which on there was no service
 
 
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -26,7 +26,7 @@
 from loftweir.http1.request import Malformed
 from loftweir.http1.response import COME_BACK
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.net.stream import NotUp
 from loftweir.partners.merge import Merged
@@ -126,7 +126,7 @@
         self.merged: Merged | None = None
         self.claims: Mapping[str, Any] = {}
         self.claims_read: tuple[Claims | None, int] = (None, 0)
-        self.duties: Mapping[str, Duty] = {}  # by partner: who holds one claims its names
+        self.duties: Mapping[str, LeasedTask] = {}  # by partner: who holds one claims its names
         self.seen: dict[str, tuple[str, Seen]] = {}  # by global name: the partner by which it came, and since when
         self.refused: dict[str, int] = {}  # by global name, until when
         self.unsettled: set[str] = set()  # names whose claim may be another than what is seen says
@@ -356,7 +356,7 @@
             for partner, duty in list(self.duties.items()) if self.unsettled else ():
                 now = self.loop.now()
                 self.unsettled = {name for name in self.unsettled if not self._settled(name)}
-                if duty.may_act() is None:
+                if duty.valid_token() is None:
                     continue
                 seen = {
                     name: self.seen[name][1]
--- a/loftweir/lease/duty.py
+++ b/loftweir/lease/duty.py
@@ -15,7 +15,7 @@
 from loftweir.errors import LoftweirError
 from loftweir.lease.holder import Answer, Begin, Event, Holder, LetGo, Send, State, Tick, Want
 from loftweir.net.loop import MS, Coroutine, Loop, Task, Wait
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.machine import (
     Acquire,
     AnyResult,
@@ -43,9 +43,9 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Duty:
+class LeasedTask:
     """Invariants: `begin` and `end` are called in turn, `begin` first; acts are made between the two, each right behind
-    `may_act`; an act that is refused for its token is the last under it."""
+    `valid_token`; an act that is refused for its token is the last under it."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         name: str,
         duty: str,
         ttl: int,
-        callers: tuple[Caller, Caller],
+        callers: tuple[Proposer, Proposer],
         begin: Callable[[int], None],
         end: Callable[[], None],
         apart: int = 0,
@@ -64,7 +64,7 @@
         self.duty = duty
         self.ttl = ttl
         self.apart = apart
-        self.orders, self.facts = callers
+        self.lease_proposer, self.writer = callers
         self.begin, self.end = begin, end
         self.holder = Holder(duty, name, ttl, Random(secrets.randbits(64)))
         self.wanted = False
@@ -77,11 +77,11 @@
 
     # ---- wanting --------------------------------------------------------------------------------
 
-    def want(self, on: bool) -> None:
+    def set_wanted(self, on: bool) -> None:
         self.wanted = on
         self._look()
 
-    def saw(self, machine: Machine) -> None:
+    def machine_changed(self, machine: Machine) -> None:
         """The machine here has changed."""
         lease = machine.leases.get(self.duty)
         if not self.known or lease != self.lease:
@@ -128,7 +128,7 @@
     def _send(self, ask: int, act: Acquire | Renew | Release) -> Coroutine[None]:
         result: AnyResult | None = None
         with suppress(LoftweirError):  # it may come true yet: the holder asks again, or lets the lease run out
-            result = yield from self.orders.write(act, self.ttl // 2)
+            result = yield from self.lease_proposer.write(act, self.ttl // 2)
         self._feed(Answer(ask, result))
 
     def _tick(self) -> Coroutine[None]:
@@ -154,9 +154,9 @@
 
     # ---- acts -----------------------------------------------------------------------------------
 
-    def may_act(self) -> int | None:
+    def valid_token(self) -> int | None:
         """The token to act under, at this moment only."""
-        token = None if self.over else self.holder.may_act(clock())
+        token = None if self.over else self.holder.valid_token(clock())
         return token if token != self.fenced_off else None
 
     def put(self, key: str, value: bytes, within: int) -> Coroutine[AnyResult]:
@@ -170,12 +170,12 @@
 
     def _act(self, act: Callable[[int], Fenced | Named], within: int) -> Coroutine[AnyResult]:
         until = self.loop.now() + within
-        while self.facts.writes.busy and self.loop.now() < until:
+        while self.writer.writes.busy and self.loop.now() < until:
             yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
-        token = self.may_act()
+        token = self.valid_token()
         if token is None:
             raise NotActing("its lease is over", self.duty)
-        result = yield from self.facts.write(act(token), max(MS, until - self.loop.now()))
+        result = yield from self.writer.write(act(token), max(MS, until - self.loop.now()))
         if isinstance(result, Lower | NotHeld):
             self.fenced_off = token
             self.loop.after(0, self._end, token)  # not in the middle of what acts: its end may be to end that
--- a/loftweir/lease/holder.py
+++ b/loftweir/lease/holder.py
@@ -6,7 +6,7 @@
     each but IDLE --let go--> IDLE, by way of LEAVING where there is a lease to release
 
 The holder may act until `sent + ttl - margin(ttl)` on its own clock, `sent` being read before the last request that was
-answered OK left. `may_act` is asked right before each act: a process that was stopped for long finds out by its clock,
+answered OK left. `valid_token` is asked right before each act: a process that was stopped for long finds out by its clock,
 whatever it believed. The clock must go on while the process is stopped and the host sleeps (CLOCK_BOOTTIME).
 
 The margin. Let clocks go at 1 - d to 1 + d of true time, d = 5 %. A request leaves at true time s, so the leader that
@@ -15,7 +15,7 @@
 
     m >= ttl * (1 - (1 - d) / (1 + d)) = ttl * 2 d / (1 + d)
 
-and to this 50 ms are added, for the way from `may_act` to the act itself. What is later still (a process stopped
+and to this 50 ms are added, for the way from `valid_token` to the act itself. What is later still (a process stopped
 between the two, a packet under way) is what the fencing token is for: the act is refused where it arrives.
 
 Invariants:
@@ -78,7 +78,7 @@
 
 
 class Begin(NamedTuple):
-    """From now on acts under this token are allowed, each after `may_act`."""
+    """From now on acts under this token are allowed, each after `valid_token`."""
 
     token: int
 
@@ -112,7 +112,7 @@
 class Traits(NamedTuple):
     """What holds in a state."""
 
-    acts: bool  # `may_act` may say yes
+    acts: bool  # `valid_token` may say yes
     sends: type[Acquire | Renew | Release] | None  # as it is entered
     late: Step | None  # what it means that its time (`_at`) is here
     wait: tuple[int, int]  # that time, from its entry: at least and at most, in 24ths of the time to live
@@ -192,7 +192,7 @@
         self._waits = 0  # the request that this state was entered with
         self._actions: list[Action] = []
 
-    def may_act(self, now: int) -> int | None:
+    def valid_token(self, now: int) -> int | None:
         """The token to act under, at this moment only."""
         return self.token if TRAITS[self.state].acts and now < self.until else None
 
--- a/loftweir/partners/keeping.py
+++ b/loftweir/partners/keeping.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from loftweir.errors import LoftweirError
-from loftweir.lease.duty import Duty, NotActing
+from loftweir.lease.duty import LeasedTask, NotActing
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.partners import replicated_table
 from loftweir.replication.machine import Ok
@@ -37,7 +37,7 @@
     """Invariants: the head in the copies names chunks that are all there; `there` has keys that surely are, `maybe`
     besides those that a write of unknown outcome put or took away. A note is of the table that the head has."""
 
-    def __init__(self, loop: Loop, duty: Duty, prefix: str = "", notes_apart: int = 0) -> None:
+    def __init__(self, loop: Loop, duty: LeasedTask, prefix: str = "", notes_apart: int = 0) -> None:
         self.loop = loop
         self.duty = duty
         self.prefix = prefix
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -20,7 +20,7 @@
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
 from loftweir.http1.strict import Strict
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp, TookTooLong, connect, send
 from loftweir.partners.file import Neighbour
@@ -28,8 +28,8 @@
 from loftweir.partners.replicated_table import HEAD, Cutter, Head, Shelf, written
 from loftweir.partners.session import Action, Ask, Became, Refused, Session, State, Timing
 from loftweir.partners.table import Limits
-from loftweir.replication.machine import Fact
-from loftweir.replication.part import Part
+from loftweir.replication.machine import FencedValue
+from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
     PARTNERS_ASKED,
     PARTNERS_FAILED,
@@ -63,7 +63,7 @@
     return Limits(bytes=options.table_size, routes=options.routes)
 
 
-def keys_of(facts: dict[tuple[str, str], Fact], duty: str) -> list[str]:
+def keys_of(facts: dict[tuple[str, str], FencedValue], duty: str) -> list[str]:
     return [key for of, key in facts if of == duty]
 
 
@@ -71,7 +71,7 @@
     """Invariant: there is a session, and a call of it at most, from `begin` to `end`: while the duty is acted on."""
 
     def __init__(
-        self, loop: Loop, site: str, neighbour: Neighbour, options: Options, fleet: Part, shelf: Shelf
+        self, loop: Loop, site: str, neighbour: Neighbour, options: Options, fleet: ReplicationAgent, shelf: Shelf
     ) -> None:
         self.loop = loop
         self.site = site
@@ -82,7 +82,7 @@
         # Its hold time ends a little before that of the sidecars which read from the copies.
         self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
         self.cutter = Cutter()
-        self.duty: Duty | None = None
+        self.duty: LeasedTask | None = None
         self.keeping: Keeping | None = None
         self.session: Session | None = None
         self.task: Task | None = None
@@ -91,7 +91,7 @@
         self.turn = 0  # of the addresses
         self.mark: tuple[Any, ...] = ()  # of what was aimed at last
 
-    def serve(self, duty: Duty) -> None:
+    def serve(self, duty: LeasedTask) -> None:
         self.duty = duty
         self.keeping = Keeping(self.loop, duty, notes_apart=min(NOTES_APART, self.options.hold // 4))
 
@@ -120,8 +120,8 @@
 
     def _give_up(self) -> None:
         if self.duty is not None:
-            self.duty.want(False)
-            self.loop.after(5 * SECOND, self.duty.want, True)
+            self.duty.set_wanted(False)
+            self.loop.after(5 * SECOND, self.duty.set_wanted, True)
 
     def _run(self, token: int) -> Coroutine[None]:
         """What others wrote under earlier tokens is all here once the grant is: it can't be added to any more."""
@@ -129,7 +129,7 @@
             yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
         keeping, shelf, now = self.keeping, self.shelf, self.loop.now()
         assert keeping is not None
-        facts = self.fleet.machine.facts
+        facts = self.fleet.machine.fenced_values
         kept = facts.get((shelf.duty, HEAD))
         keeping.begin(keys_of(facts, shelf.duty), kept.value if kept else None)
         life = secrets.token_hex(8)
@@ -212,7 +212,7 @@
             self._do(self.session.failed(self.loop.now(), self.session.asked.number, repr(error)))
 
     def _ask(self, session: Session, ask: Ask) -> Coroutine[None]:
-        if self.duty is None or self.duty.may_act() is None:
+        if self.duty is None or self.duty.valid_token() is None:
             return  # its end comes
         try:
             data = yield from self._fetch(ask)
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -15,7 +15,7 @@
 from loftweir.config.model import Partners as PartnersOptions
 from loftweir.config.units import seats
 from loftweir.interface import MembershipUpdate, Settings
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.operations.calls import Call, No
 from loftweir.partners.file import Sites
@@ -27,9 +27,9 @@
 from loftweir.partners.shown import Shown
 from loftweir.partners.standby import Standby, counted, gates, unfit
 from loftweir.partners.terms import FOREVER
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.machine import Machine
-from loftweir.replication.part import Part
+from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
     PARTNERS_HELD,
     PARTNERS_LEAKED,
@@ -71,7 +71,7 @@
         name: str,
         options: Options,
         sites: Sites,
-        fleet: Part,
+        fleet: ReplicationAgent,
         told: Told,
         settings: Callable[[], Settings],
     ) -> None:
@@ -89,11 +89,11 @@
         self.seats = seats(options.replication.members)
         id = secrets.token_hex(8)
         self.callers = tuple(
-            Caller(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
+            Proposer(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
         )
         self.shelves: dict[str, Shelf] = {}
         self.links: dict[str, Link] = {}
-        self.duties: dict[str, Duty] = {}
+        self.duties: dict[str, LeasedTask] = {}
         self.merger = Merger(self._policy())
         self.standby = Standby()
         self.why_not = "no route"  # why a route that is used is not good enough for this sidecar
@@ -104,7 +104,7 @@
         self.leaves = False
         if options.partners.listen:
             self.listener = Listener(loop, self.shown, options.partners.callers)
-        fleet.heard.append(self._heard)
+        fleet.machine_listeners.append(self._heard)
 
     def _policy(self) -> Policy:
         neighbours = self.sites.neighbours.values()
@@ -149,7 +149,7 @@
                 duty = self.duties[name] = self._duty(shelf.duty, link.begin, link.end)
                 link.serve(duty)
             if name in self.duties:
-                self.duties[name].want(bool(neighbour.addresses) and not self.leaves)
+                self.duties[name].set_wanted(bool(neighbour.addresses) and not self.leaves)
         self.merger = Merger(self._policy(), self.loop.now(), self.merger.helds)
         if self.listener is not None:
             self.listener.know(sites.neighbours)
@@ -169,29 +169,29 @@
             del self.links[name]
             self.loop.spawn(self._clear(duty))
 
-    def _clear(self, duty: Duty) -> Coroutine[None]:
+    def _clear(self, duty: LeasedTask) -> Coroutine[None]:
         """What the copies have of one that is no neighbour any more goes, if this sidecar held its lease."""
         until = self.loop.now() + CLEARED_WITHIN
         machine = self.fleet.machine
         try:
-            if machine is not None and duty.may_act() is not None:
-                for key in sorted(keys_of(machine.facts, duty.duty), key=lambda key: key != HEAD):
+            if machine is not None and duty.valid_token() is not None:
+                for key in sorted(keys_of(machine.fenced_values, duty.duty), key=lambda key: key != HEAD):
                     yield from duty.put(key, b"", max(MS, until - self.loop.now()))
         except Exception:  # whatever is left there is of nobody's, and bounded
             pass
-        duty.want(False)
+        duty.set_wanted(False)
         yield Wait(None, 0, self.loop.now() + CLEARED_WITHIN)
         duty.close()
 
-    def _duty(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> Duty:
+    def _duty(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> LeasedTask:
         orders, facts = self.callers
         order = sorted(self.seats, key=lambda seat: blake2b(f"{seat} {name}".encode()).digest())
         apart = APART * order.index(self.name)
-        duty = Duty(self.loop, self.name, name, self.options.lease, (orders, facts), begin, end, apart)
-        duty.want(True)
+        duty = LeasedTask(self.loop, self.name, name, self.options.lease, (orders, facts), begin, end, apart)
+        duty.set_wanted(True)
         return duty
 
-    def _all_duties(self) -> list[Duty]:
+    def _all_duties(self) -> list[LeasedTask]:
         return [*self.duties.values(), *([self.shown.duty] if self.shown.duty is not None else [])]
 
     def leave(self) -> None:
@@ -199,7 +199,7 @@
         the next process. What is known here holds on."""
         self.leaves = True
         for duty in self._all_duties():
-            duty.want(False)
+            duty.set_wanted(False)
         if self.listener is not None:
             self.listener.close()
 
@@ -222,7 +222,7 @@
         now = self.loop.now()
         for name, shelf in self.shelves.items():
             try:
-                if not shelf.read(machine.facts, now):
+                if not shelf.read(machine.fenced_values, now):
                     continue
             except NotReadable as error:
                 say(PARTNERS_NOT_READ, partner=name, why=error)
@@ -232,7 +232,7 @@
         if self.listener is not None:
             self.shown.heard(machine, self.shelves)
         for duty in self._all_duties():
-            duty.saw(machine)
+            duty.machine_changed(machine)
 
     def _hold(self, name: str, now: int) -> None:
         before, shelf = self.merger.helds.get(name), self.shelves[name]
@@ -341,7 +341,7 @@
         partners = ",".join(
             f"{name}:{helds[name].standing.value if name in helds else gone.value}" for name in sorted(self.shelves)
         )
-        asks = ",".join(sorted(name for name, duty in self.duties.items() if duty.may_act() is not None)) or "-"
+        asks = ",".join(sorted(name for name, duty in self.duties.items() if duty.valid_token() is not None)) or "-"
         return (
             f"used={len(merged.used)} own={len(self.sites.routes)} left={left} shown={shown} "
             f"partners={partners or '-'} asks={asks} standby={self._state()}"
--- a/loftweir/partners/replicated_table.py
+++ b/loftweir/partners/replicated_table.py
@@ -26,14 +26,14 @@
 from loftweir.partners.session import Timing, aged
 from loftweir.partners.table import MASK, Route, Table
 from loftweir.partners.terms import FOREVER
-from loftweir.replication.machine import Fact
+from loftweir.replication.machine import FencedValue
 
 VERSION = 1  # of head and chunks
 HEAD, NOTE, CHUNK = "head", "note", "c:"
 ENDS = 31  # a mask: one name in 32 is the last of its chunk
 FULL = 256 * 1024  # bytes of a chunk, behind which it is cut wherever that is
 
-Facts = Mapping[tuple[str, str], Fact]
+Facts = Mapping[tuple[str, str], FencedValue]
 
 
 class NotReadable(LoftweirError):
@@ -123,7 +123,7 @@
 
     def __init__(self, duty: str, prefix: str = "") -> None:
         self.duty, self.prefix = duty, prefix
-        self.facts: tuple[Fact | None, Fact | None] = (None, None)  # of head and note, as read last
+        self.facts: tuple[FencedValue | None, FencedValue | None] = (None, None)  # of head and note, as read last
         self.head: Head | None = None
         self.index = 0  # in the log, of the head
         self.chunks: dict[str, list[Row]] = {}
@@ -151,7 +151,7 @@
             self.stated_at, self.confirmed_at = stated_at, min(stated_at, now)
         return True
 
-    def _take(self, fact: Fact | None, facts: Facts) -> None:
+    def _take(self, fact: FencedValue | None, facts: Facts) -> None:
         self.head, self.routes, self.sums, self.table = None, {}, {}, None
         if fact is None:
             self.index, self.chunks = 0, {}
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -19,7 +19,7 @@
 
 from loftweir.config.model import Options
 from loftweir.errors import LoftweirError
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.partners import replicated_table
 from loftweir.partners.keeping import WITHIN, Keeping, Target
@@ -28,8 +28,8 @@
 from loftweir.partners.replicated_table import Cutter, Head, NotReadable, Shelf, written
 from loftweir.partners.table import Offer, capped
 from loftweir.replication.machine import Machine
-from loftweir.replication.part import Part
-from loftweir.replication.wire import FactOf
+from loftweir.replication.part import ReplicationAgent
+from loftweir.replication.wire import FencedValueQuery
 from loftweir.telemetry.catalogue import PARTNERS_NOT_READ, PARTNERS_OFFERED, PARTNERS_OFFERS
 from loftweir.telemetry.log import say
 
@@ -43,7 +43,12 @@
     """Invariant: `offers` has a table for each neighbour of which the copies have one, under the epoch there."""
 
     def __init__(
-        self, loop: Loop, options: Options, fleet: Part, merger: Callable[[], Merger], changed: Callable[[str], None]
+        self,
+        loop: Loop,
+        options: Options,
+        fleet: ReplicationAgent,
+        merger: Callable[[], Merger],
+        changed: Callable[[str], None],
     ) -> None:
         """`changed` is told of each neighbour for whom something else may be answered than before."""
         self.loop = loop
@@ -60,7 +65,7 @@
         self.fits: dict[str, int] = {}  # until when what the copies have may be shown, as far as it was looked at
         self.sure_from: int | None = None  # the index up to which all was promised before it was asked
         self.asks: Task | None = None
-        self.duty: Duty | None = None
+        self.duty: LeasedTask | None = None
         self.keeps: dict[str, Keeping] = {}
         self.cutters: dict[str, Cutter] = {}
         self.writer: Task | None = None
@@ -68,7 +73,7 @@
     # ---- read -----------------------------------------------------------------------------------
 
     def heard(self, machine: Machine, neighbours: Iterable[str]) -> None:
-        fact = machine.facts.get((DUTY, EPOCH))
+        fact = machine.fenced_values.get((DUTY, EPOCH))
         epoch = int(fact.value) if fact is not None and fact.value.isdigit() else 0
         if epoch != self.epoch:
             self.epoch, self.shelves, self.offers = epoch, {}, {}
@@ -78,7 +83,7 @@
             if shelf is None:
                 shelf = self.shelves[to] = Shelf(DUTY, f"{to}/")
             try:
-                if not shelf.read(machine.facts, self.loop.now()):
+                if not shelf.read(machine.fenced_values, self.loop.now()):
                     continue
             except NotReadable as error:
                 say(PARTNERS_NOT_READ, partner=to, why=error)
@@ -127,7 +132,7 @@
 
     def _make_sure(self) -> Coroutine[None]:
         try:
-            held = yield from self.fleet.caller.read(FactOf(DUTY, EPOCH), SURE_WITHIN)
+            held = yield from self.fleet.proposer.read(FencedValueQuery(DUTY, EPOCH), SURE_WITHIN)
         except LoftweirError:
             held = None
         if held is None or not held.sure:
@@ -179,10 +184,10 @@
     def neighbours(self, names: Iterable[str]) -> None:
         """These are the neighbours from now on, where this sidecar writes."""
         duty, machine, names = self.duty, self.fleet.machine, set(names)
-        if duty is None or machine is None or duty.may_act() is None or not self.epoch:
+        if duty is None or machine is None or duty.valid_token() is None or not self.epoch:
             return
         keys: dict[str, list[str]] = {}
-        for key in keys_of(machine.facts, DUTY):
+        for key in keys_of(machine.fenced_values, DUTY):
             to, sign, rest = key.partition("/")
             if sign:
                 keys.setdefault(to, []).append(rest)
@@ -190,14 +195,14 @@
             self.keeps.pop(to).end()
         for to in names - self.keeps.keys():
             keeping = self.keeps[to] = Keeping(self.loop, duty, f"{to}/")
-            head = machine.facts.get((DUTY, f"{to}/{replicated_table.HEAD}"))
+            head = machine.fenced_values.get((DUTY, f"{to}/{replicated_table.HEAD}"))
             keeping.begin(keys.get(to, ()), head.value if head else None)
             self._aim(to)
         left = [f"{to}/{key}" for to in keys.keys() - names for key in keys[to]]
         if left:
             self.loop.spawn(self._clear(duty, left))
 
-    def _clear(self, duty: Duty, keys: list[str]) -> Coroutine[None]:
+    def _clear(self, duty: LeasedTask, keys: list[str]) -> Coroutine[None]:
         """Of neighbours that are none any more: heads first. What can't be taken away now is by the next holder."""
         try:
             for key in sorted(keys, key=lambda key: not key.endswith(replicated_table.HEAD)):
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -72,7 +72,7 @@
     value: Any
 
 
-class Caller:
+class Proposer:
     def __init__(
         self, loop: Loop, name: str, id: str, options: Replication, seats: dict[str, str], known: Callable[[], int]
     ) -> None:
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -295,7 +295,7 @@
     renewed: int  # the index of its grant or last renewal
 
 
-class Fact(NamedTuple):
+class FencedValue(NamedTuple):
     value: bytes
     token: int  # under which it was put
     order: int
@@ -316,7 +316,7 @@
     horizon: int
     words: list[tuple[str, Said]]  # in order of the log
     leases: list[tuple[str, Lease]]  # in order of names
-    facts: list[tuple[str, str, Fact]]  # in order of names
+    facts: list[tuple[str, str, FencedValue]]  # in order of names
     sessions: list[tuple[str, Session]]  # the longest unused first
 
 
@@ -388,8 +388,8 @@
         self.index = 0  # of the last entry applied or passed over
         self.words: dict[str, Said] = {}
         self.leases: dict[str, Lease] = {}
-        self.facts: dict[tuple[str, str], Fact] = {}  # by duty and key
-        self.facts_size = 0
+        self.fenced_values: dict[tuple[str, str], FencedValue] = {}  # by duty and key
+        self.fenced_bytes = 0
         self.sessions: dict[str, Session] = {}
         self.claims: Claims | None = None  # of names, once there was one
         self.thinned = 0  # the index at which a word went to make room
@@ -496,19 +496,19 @@
         if refused is not None:
             return refused
         where = (act.duty, act.key)
-        old = self.facts.get(where)
+        old = self.fenced_values.get(where)
         names = len(act.duty) + len(act.key)
-        size = self.facts_size - (names + len(old.value) if old else 0)
+        size = self.fenced_bytes - (names + len(old.value) if old else 0)
         if act.value:
             size += names + len(act.value)
-            if old is None and len(self.facts) >= FACTS:
+            if old is None and len(self.fenced_values) >= FACTS:
                 return Full(self.index, "fenced values", FACTS)
-            if size > max(FACTS_SIZE, self.facts_size):
+            if size > max(FACTS_SIZE, self.fenced_bytes):
                 return Full(self.index, "bytes of fenced values", FACTS_SIZE)
-            self.facts[where] = Fact(act.value, act.token, self.index)
+            self.fenced_values[where] = FencedValue(act.value, act.token, self.index)
         else:
-            self.facts.pop(where, None)
-        self.facts_size = size
+            self.fenced_values.pop(where, None)
+        self.fenced_bytes = size
         return Ok(self.index, act.token)
 
     def _named(self, act: Named) -> AnyResult:
@@ -550,7 +550,7 @@
 
     def dump(self) -> bytes:
         """The same bytes of equal machines."""
-        facts = [(duty, key, fact) for (duty, key), fact in sorted(self.facts.items())]
+        facts = [(duty, key, fact) for (duty, key), fact in sorted(self.fenced_values.items())]
         words, sessions, leases = list(self.words.items()), list(self.sessions.items()), sorted(self.leases.items())
         kept = self.index, self.thinned, self.horizon, words, leases, facts, sessions
         if self.claims is None or not self.claims.table:
@@ -576,8 +576,8 @@
         machine.index, machine.thinned, machine.horizon = kept.index, kept.thinned, kept.horizon
         machine.words, machine.leases, machine.sessions = dict(kept.words), dict(kept.leases), dict(kept.sessions)
         machine.claims = claimed
-        machine.facts = {(duty, key): fact for duty, key, fact in kept.facts}
-        machine.facts_size = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in kept.facts)
+        machine.fenced_values = {(duty, key): fact for duty, key, fact in kept.facts}
+        machine.fenced_bytes = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in kept.facts)
         return machine
 
 
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -18,7 +18,7 @@
 from loftweir.operations.record import LastCommand
 from loftweir.replication import reception, remembered
 from loftweir.replication.api import Role
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import FolderInUse, StorageFailed
 from loftweir.replication.follower import Follower
@@ -50,7 +50,7 @@
     return FOLLOWERS_OWN + (options.callers + reception.DESCRIPTORS if name in seats(options.members) else 0)
 
 
-class Part:
+class ReplicationAgent:
     """Invariants: it votes or follows, one of the two; `told` has heard `words`, which are those of the machine at
     `index` and what was promised here since; a machine behind that is told only where its members are all others: the
     copies were begun anew."""
@@ -70,7 +70,7 @@
         self.members: frozenset[str] = frozenset()  # ids of the voters that it is of
         self.words: dict[str, LastCommand] = {}
         self.machine: Machine | None = None  # the state that holds here; None: none was heard of yet
-        self.heard: list[Callable[[Machine], None]] = []  # who else is told of each change of it
+        self.machine_listeners: list[Callable[[Machine], None]] = []  # who else is told of each change of it
         self.ahead: dict[str, int] = {}  # commands answered for, and from which index on the machine has them
         self.saves = False  # a file is to be written
         self.saved_at = 0
@@ -79,7 +79,7 @@
         self.follower: Follower | None = None
         self.joining: Joining | None = None
         self.leaves = False
-        self.caller = Caller(loop, name, self.id, options, self.seats, lambda: self.index)
+        self.proposer = Proposer(loop, name, self.id, options, self.seats, lambda: self.index)
 
     # ---- begin and end --------------------------------------------------------------------------
 
@@ -189,7 +189,7 @@
             self._save()
         self._end_voting(within=0.5)
         self._end_following()
-        self.caller.close()
+        self.proposer.close()
 
     # ---- what holds -----------------------------------------------------------------------------
 
@@ -211,8 +211,8 @@
             return  # a voter that has yet to hear how much of its log holds, or one that joins
         whole, commands = machine.words_since(self.index)
         self.index, self.known_at, self.machine = machine.index, None, machine
-        for heard in self.heard:
-            heard(machine)
+        for listener in self.machine_listeners:
+            listener(machine)
         if not commands and not whole and not anew:
             return
         said = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
@@ -256,17 +256,17 @@
         until = self.loop.now() + self.options.write_within
         try:
             if call.command is Command.FLEET_REMOVE:
-                yield from self.caller.remove(call.id, self.options.write_within)
+                yield from self.proposer.remove(call.id, self.options.write_within)
                 return "removed"
             if call.command is Command.FLEET_ENABLE:
-                held = yield from self.caller.read(WordOf(call.id), self.options.write_within)
+                held = yield from self.proposer.read(WordOf(call.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
                     if held.value or call.id in self.out():
                         self._answered(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
             act = Say(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
-            result = yield from self.caller.write(act, max(SECOND // 1000, until - self.loop.now()))
+            result = yield from self.proposer.write(act, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -29,7 +29,7 @@
     Answer,
     Ask,
     BadFrame,
-    FactOf,
+    FencedValueQuery,
     Fetch,
     Follow,
     Frame,
@@ -400,8 +400,8 @@
             return machine.words.get(name)
         case LeaseOf(duty):
             return machine.leases.get(duty)
-        case FactOf(duty, key):
-            return machine.facts.get((duty, key))
+        case FencedValueQuery(duty, key):
+            return machine.fenced_values.get((duty, key))
 
 
 ANSWERS: dict[type[Frame], Callable[[Reception, Line, Any], None]] = {
--- a/loftweir/replication/wire.py
+++ b/loftweir/replication/wire.py
@@ -153,12 +153,12 @@
     duty: str
 
 
-class FactOf(Value, frozen=True, tag="fact-of"):
+class FencedValueQuery(Value, frozen=True, tag="fact-of"):
     duty: str
     key: str
 
 
-Query = WordOf | LeaseOf | FactOf
+Query = WordOf | LeaseOf | FencedValueQuery
 
 
 class Ask(Value, frozen=True, tag="ask"):
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -42,7 +42,7 @@
     from loftweir.catalog.hosts import Hosts
     from loftweir.partners.file import Sites
     from loftweir.partners.part import Partners
-    from loftweir.replication.part import Part
+    from loftweir.replication.part import ReplicationAgent
 
 OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 TICK = SECOND  # how often the log is asked for what it owes
@@ -80,12 +80,12 @@
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.listed, platform.seed)
         shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
-        self.fleet: Part | None = None
+        self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Here: a sidecar whose operator names no members has no use for it, and does not pay for it.
             from loftweir.replication import part
 
-            self.fleet = self.commands.fleet = part.Part(
+            self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.fleet_said
             )
             others += part.descriptors(platform.name, options.replication)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,8 +17,8 @@
 from loftweir.operations.record import LastCommand as Said
 from loftweir.replication.api import Append, Appended, AskVote, Vote
 from loftweir.replication.machine import Acquire, Fenced, Machine, Ok, Order, Word, written
-from loftweir.replication.part import Part
-from loftweir.replication.wire import Answer, Ask, FactOf, Follow, How, Kind, Outcome, Submit
+from loftweir.replication.part import ReplicationAgent
+from loftweir.replication.wire import Answer, Ask, FencedValueQuery, Follow, How, Kind, Outcome, Submit
 
 SLOW = {"beat": "100ms", "election": "1s"}  # where nothing may be elected for want of a turn on a busy machine
 BATCH = 200  # writes under way at a time
@@ -42,7 +42,7 @@
         return self.caller().write(Acquire(PEN, "test", HOUR), 10).value
 
     def held(self, key="k"):
-        found = msgspec.msgpack.decode(self.caller().read(FactOf(PEN, key), 10))
+        found = msgspec.msgpack.decode(self.caller().read(FencedValueQuery(PEN, key), 10))
         return found and found[0]
 
     def line(self, name, kind=Kind.CALLER, **who):
@@ -67,7 +67,7 @@
 class AheadTest(unittest.TestCase):
     def test_a_word_that_was_answered_for_is_not_undone_by_an_older_one_on_the_way_there(self):
         members = ", ".join(f"n{n}=127.0.0.1:{n + 1}" for n in range(3))
-        part = Part(Loop(), "f0", Replication(members=members), lambda words, whole: None)
+        part = ReplicationAgent(Loop(), "f0", Replication(members=members), lambda words, whole: None)
         machine, shown = Machine(), []
         part._answered("s0", Said(0, False), 3)
         part._answered("s1", Said(0, True), 4)
@@ -123,7 +123,7 @@
         self.wait(lambda: self.led_by_another(leader))
         self.assertIsInstance(self.caller().write(Fenced(PEN, token, "k", b"new"), 10), Ok)
         # All of this waits in its sockets when it goes on.
-        asks.say(Ask(1, FactOf(PEN, "k")))
+        asks.say(Ask(1, FencedValueQuery(PEN, "k")))
         writes.say(Submit(1, written(Order("old", 1, Fenced(PEN, token, "k", b"old")))))
         follows.say(Follow(1 << 40, 0))
         self.go_on(leader.name)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -92,7 +92,7 @@
             self.ticks[n] = one.next_at
             self.at(max(0, clock.true(one.next_at) - self.now), self.tick, n, one.next_at)
         if TRAITS[one.state].acts:
-            acting = [m for m in range(3) if self.holders[m].may_act(self.own[m](self.now)) is not None]
+            acting = [m for m in range(3) if self.holders[m].valid_token(self.own[m](self.now)) is not None]
             assert len(acting) < 2, f"two holders: {acting}"
 
     def tick(self, n, at):
@@ -101,7 +101,7 @@
 
     def act(self, n):
         self.at(self.random.randrange(600 * MS), self.act, n)
-        token = self.holders[n].may_act(self.own[n](self.now)) if self.now >= self.stalled[n] else None
+        token = self.holders[n].valid_token(self.own[n](self.now)) if self.now >= self.stalled[n] else None
         if token is not None:
             self.send(n, self.holders[n].name + "!", Fenced("duty", token, "k", b"%d" % self.now))
 
@@ -190,7 +190,7 @@
     assert two_holders(world.accepted) == []
     world.calm = True
     world.run(5)
-    assert any(h.may_act(c(world.now)) for h, c in zip(world.holders, world.own, strict=True)), "nobody holds"
+    assert any(h.valid_token(c(world.now)) for h, c in zip(world.holders, world.own, strict=True)), "nobody holds"
     return world
 
 
@@ -300,22 +300,24 @@
 def test_it_acts_until_its_time_counted_from_the_asking_and_renews_at_a_third():
     holder, until = held()
     assert until == 10 * SECOND - 952380953 - 50 * MS and holder.next_at == 10 * SECOND // 3
-    assert (holder.may_act(until - 1), holder.may_act(until)) == (7, None), "stopped: its clock alone tells it"
+    assert (holder.valid_token(until - 1), holder.valid_token(until)) == (7, None), "stopped: its clock alone tells it"
     (renew,) = holder.step(holder.next_at, Tick())
     assert renew == Send(2, Renew("d", holder.name, 7)) and holder.state is State.RENEWING
     assert holder.step(until - 1, Answer(2, Ok(9, 7))) == [Send(3, renew.act)], "from the asking a third has passed"
-    assert holder.may_act(until + 10 * SECOND // 3 - 1) == 7 and holder.may_act(until + 10 * SECOND // 3) is None
+    assert (
+        holder.valid_token(until + 10 * SECOND // 3 - 1) == 7 and holder.valid_token(until + 10 * SECOND // 3) is None
+    )
 
 
 def test_a_lapse_ends_a_token_for_good():
     holder, until = held()
     holder.step(10 * SECOND // 3, Tick())
     assert holder.step(until, Answer(2, Ok(9, 7))) == [Stop(7), Send(3, Release("d", holder.name, 7))]
-    assert holder.may_act(until) is None and holder.step(until + 1, Answer(3, None)) == []
+    assert holder.valid_token(until) is None and holder.step(until + 1, Answer(3, None)) == []
     (ask,) = holder.step(holder.next_at, Tick())
     assert isinstance(ask.act, Acquire), "the release may be lost: it finds its own lease, and lets it go first"
     assert holder.step(until + SECOND, Answer(ask.ask, Held(1, holder.name, 7)))[0].act == Release("d", holder.name, 7)
-    assert holder.may_act(until + SECOND) is None
+    assert holder.valid_token(until + SECOND) is None
 
 
 def test_a_lost_lease_stops_at_once_and_a_late_grant_is_let_go():
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -16,7 +16,7 @@
     Acquire,
     EndSession,
     Expire,
-    Fact,
+    FencedValue,
     Fenced,
     Foreign,
     Full,
@@ -79,12 +79,12 @@
             assert copy.apply(index, data) == result and copy.dump() == dump
             if random.random() < 0.3:
                 copy = Machine.load(dump)
-                assert copy.dump() == dump and (copy.facts_size, copy.words) == (first.facts_size, first.words)
+                assert copy.dump() == dump and (copy.fenced_bytes, copy.words) == (first.fenced_bytes, first.words)
             if random.random() < 0.3:
                 whole, words = first.words_since(seen)
                 view, seen = (words if whole else view | words), index
                 assert view == first.words and first.words_since(index + 1) == (False, {})
-            assert len(first.words) <= 3 and len(first.sessions) <= 4 and len(first.facts) <= 3
+            assert len(first.words) <= 3 and len(first.sessions) <= 4 and len(first.fenced_values) <= 3
             kinds.add(type(result))
             digest.update(dump)
     assert kinds == {Ok, Held, NotHeld, Lower, Unfit, Full, Unreadable, Stale, UnknownSession}
@@ -137,8 +137,11 @@
     for act in (Fenced("d", 1, "k", b"late"), Renew("d", "h", 1), Release("d", "h", 1), Expire("d", 1, 99)):
         assert does(machine, act) == Lower(machine.index, 1, 10)
     assert does(machine, Fenced("d", 11, "k", b"made up")) == NotHeld(15, 11)
-    assert machine.facts == {("d", "k"): Fact(b"one", 1, 7)}, "what a holder left is there for the next"
-    assert does(machine, Fenced("d", 10, "k", b"")) == Ok(16, 10) and (machine.facts, machine.facts_size) == ({}, 0)
+    assert machine.fenced_values == {("d", "k"): FencedValue(b"one", 1, 7)}, "what a holder left is there for the next"
+    assert does(machine, Fenced("d", 10, "k", b"")) == Ok(16, 10) and (machine.fenced_values, machine.fenced_bytes) == (
+        {},
+        0,
+    )
     assert does(machine, Release("d", "i", 10)) == Ok(17, 10) and machine.leases == {}
 
 
@@ -156,11 +159,11 @@
     for key in "abc":
         assert isinstance(does(machine, Fenced("d0", 1, key, b"x" * MIB)), Ok)
     assert does(machine, Fenced("d0", 1, "d", b"x")) == Full(machine.index, "fenced values", 3)
-    monkeypatch.setattr(keeping, "FACTS_SIZE", machine.facts_size - 1)
+    monkeypatch.setattr(keeping, "FACTS_SIZE", machine.fenced_bytes - 1)
     assert isinstance(does(machine, Fenced("d0", 1, "a", b"x" * MIB)), Ok), "over it already: no more, but as much"
     monkeypatch.setattr(keeping, "FACTS", 9)
     assert isinstance(does(machine, Fenced("d0", 1, "d", b"x")), Full)
-    assert machine.facts_size == 3 * (MIB + 3) == Machine.load(machine.dump()).facts_size
+    assert machine.fenced_bytes == 3 * (MIB + 3) == Machine.load(machine.dump()).fenced_bytes
 
 
 @pytest.mark.parametrize("act", [
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -13,7 +13,7 @@
 from loftweir.config import model, operator
 from loftweir.config.faults import Faulty
 from loftweir.interface import Effect, Endpoint, Lifecycle, MembershipUpdate, RequestClass, Scope, UpdateKind
-from loftweir.lease.duty import Duty, NotActing
+from loftweir.lease.duty import LeasedTask, NotActing
 from loftweir.net.loop import Loop, Wait
 from loftweir.partners import file
 from loftweir.partners import replicated_table as copies
@@ -24,7 +24,7 @@
 from loftweir.partners.session import Ask, Session, State, Timing
 from loftweir.partners.standby import Standby, gates, unfit
 from loftweir.partners.table import BadTable, Limits, OldTable, Table, fits, one_route, read
-from loftweir.replication.machine import Acquire, Fact, Fenced, Full, Lease, Lower, Machine, NotHeld, Ok, Release
+from loftweir.replication.machine import Acquire, FencedValue, Fenced, Full, Lease, Lower, Machine, NotHeld, Ok, Release
 
 DUTY = "partner:bergen"
 LIMITS = Limits(routes=3)
@@ -48,7 +48,7 @@
         self.left -= 1
         self.order += 1
         if value:
-            self.facts[DUTY, key] = Fact(value, 1, self.order)
+            self.facts[DUTY, key] = FencedValue(value, 1, self.order)
         else:
             self.facts.pop((DUTY, key), None)
         self.check()
@@ -106,7 +106,7 @@
     assert sum(shelf.routes[name] is not old[name] for name in old) < 100
     # What is not whole, or of another version, is not used in part.
     for head in (Head(chunks=("c:none",), routes=1), Head(version=9), Head(routes=4)):
-        kept.facts[DUTY, "head"] = Fact(written(head), 1, 99)
+        kept.facts[DUTY, "head"] = FencedValue(written(head), 1, 99)
         with pytest.raises(NotReadable):
             shelf.read(kept.facts, 0)
         assert (shelf.routes, shelf.table, shelf.held(0, Timing()).standing) == ({}, None, Standing.GONE)
@@ -119,10 +119,10 @@
     stands = [shelf.held(now * SECOND, timing).standing for now in (114, 115, 144, 145)]
     assert stands == [Standing.FRESH, Standing.STALE, Standing.STALE, Standing.GONE]
     assert [shelf.changes_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
-    kept.facts[DUTY, "note"] = Fact(copies.note(5000 * SECOND), 1, 9)
+    kept.facts[DUTY, "note"] = FencedValue(copies.note(5000 * SECOND), 1, 9)
     assert shelf.read(kept.facts, 120 * SECOND) and shelf.confirmed_at == 120 * SECOND
     # Damped, it stays so at whoever takes the lease over, for as long as the penalty lasts.
-    kept.facts[DUTY, "head"] = Fact(written(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
+    kept.facts[DUTY, "head"] = FencedValue(written(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
     assert shelf.read(kept.facts, 121 * SECOND) and shelf.held(121 * SECOND, timing).standing is Standing.GONE
     session = Session("bergen", "x", lambda: 0.0)
     session.start(0, shelf.held(0, timing), (5000.0, 0), True)
@@ -133,7 +133,9 @@
 
 def test_each_error_is_caused():
     loop = Loop()
-    duty = Duty(loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None)
+    duty = LeasedTask(
+        loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None
+    )
     with pytest.raises(NotActing, match="its lease is over"):
         next(duty.put("head", b"x", SECOND))
     kept = Kept()
@@ -167,19 +169,19 @@
             yield Wait(None, 0, loop.now() + 1_000_000)
         with pytest.raises(NotActing):
             yield from duty.put("head", b"x", SECOND)
-        told.append(duty.may_act())
-        duty.saw(held)
+        told.append(duty.valid_token())
+        duty.machine_changed(held)
         yield Wait(None, 0, loop.now() + SECOND // 5)
         loop.stopped = True
 
-    duty = Duty(loop, "n0", DUTY, SECOND, (Copies(), Copies()), told.append, lambda: told.append("end"))
+    duty = LeasedTask(loop, "n0", DUTY, SECOND, (Copies(), Copies()), told.append, lambda: told.append("end"))
     held = Machine()
     held.leases[DUTY] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
     loop.spawn(act())
-    duty.want(True)
-    assert duty.may_act() is None and sent == []  # nothing is known of the lease yet
-    duty.saw(Machine())
+    duty.set_wanted(True)
+    assert duty.valid_token() is None and sent == []  # nothing is known of the lease yet
+    duty.machine_changed(Machine())
     loop.run()
     assert (told, sent) == ([5, None, "end"], [Acquire, Fenced, Release])
 
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -30,14 +30,14 @@
 DIES_IN_A_TABLE = """
 import os
 from loftweir.lease import duty
-real, count = duty.Duty.put, [0]
+real, count = duty.LeasedTask.put, [0]
 def put(self, key, value, within):
     result = yield from real(self, key, value, within)
     count[0] += key.startswith("c:") and bool(value)
     if count[0] >= 3 and os.path.exists("die"):
         os.kill(os.getpid(), 9)
     return result
-duty.Duty.put = put
+duty.LeasedTask.put = put
 """
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -11,7 +11,7 @@
 from loftweir.config.model import Replication
 from loftweir.net.loop import Loop
 from loftweir.replication import remembered, wire
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.machine import Acquire, Ok
 from loftweir.replication.wire import LeaseOf
 
@@ -170,7 +170,7 @@
         self.fleet(followers=0)
         self.begin()
         loop = Loop()
-        calls = Caller(loop, "f", "id-f", Replication(), self.seats, lambda: 0)
+        calls = Proposer(loop, "f", "id-f", Replication(), self.seats, lambda: 0)
         self.addCleanup(calls.close)
 
         def acquire(holder):
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -29,7 +29,7 @@
 from loftweir.replication.line import dial
 from loftweir.replication.machine import Ok, Order, Word, written
 from loftweir.replication.member import MemberBroken, Removed
-from loftweir.replication.part import Part
+from loftweir.replication.part import ReplicationAgent
 from loftweir.replication.seats import REACH
 from loftweir.replication.wire import Am, Ask, Hello, Kind, Submit, Turned, Who, Why, WordOf
 
@@ -49,7 +49,7 @@
         seats = {"n0": self.address} | {n: toy.address for n, toy in self.toys.items()}
         members = ", ".join(f"{n}={a}" for n, a in seats.items())
         options = Replication(members=members, folder=str(folder / "copies"), callers=4, write_within=300 * MS)
-        self.part = Part(self.loop, "n0", options, lambda words, whole: self.told.append((words, whole)))
+        self.part = ReplicationAgent(self.loop, "n0", options, lambda words, whole: self.told.append((words, whole)))
 
     def hello(self, id, name, kind=Kind.MEMBER, **changes):
         return msgspec.structs.replace(Hello(wire.VERSION, "loftweir", id, name, kind), **changes)
@@ -173,7 +173,7 @@
         copies.apply(order_of(number, name, out))
     part._tell(copies.machine, ids)
     part.close()  # writes what was not written yet
-    told, fresh = [], Part(place.loop, "f0", part.options, lambda *said: told.append(said))
+    told, fresh = [], ReplicationAgent(place.loop, "f0", part.options, lambda *said: told.append(said))
     fresh.recall()
     assert [(sorted(words), whole) for words, whole in told] == [(["s0", "s1"], True)]
     assert (fresh.index, fresh.out()) == (3, ["s0"]) and fresh.age() is not None
@@ -183,7 +183,7 @@
     assert len(told) == 1 and fresh.out() == ["s0"] and fresh.index == 3
     fresh._tell(behind.machine, frozenset({"x"}))  # another cluster: begun anew
     assert told[1][1] and fresh.out() == ["s7"]
-    other = Part(place.loop, "f0", msgspec.structs.replace(part.options, cluster="other"), print)
+    other = ReplicationAgent(place.loop, "f0", msgspec.structs.replace(part.options, cluster="other"), print)
     other.recall()
     assert other.index == 0
 
@@ -203,7 +203,7 @@
     place.part.close()
     (tmp_path / "copies" / "identity").write_bytes(b"?")
     for _ in range(2):  # the next start finds files that are whole
-        place.part = Part(place.loop, "n0", place.part.options, lambda words, whole: None)
+        place.part = ReplicationAgent(place.loop, "n0", place.part.options, lambda words, whole: None)
         voter = place.vote()
         place.rest(600 * MS)
         assert voter.me != begun.me and not voter.begun and not voter.am(tuple(voter.seats)).empty
@@ -238,7 +238,9 @@
         self.parts = {n: self.part(n, folder / n) for n in seats}
 
     def part(self, name, folder):
-        part = Part(self.loop, name, msgspec.structs.replace(self.options, folder=str(folder)), lambda *_: None)
+        part = ReplicationAgent(
+            self.loop, name, msgspec.structs.replace(self.options, folder=str(folder)), lambda *_: None
+        )
         part.start()
         return part
 
@@ -337,7 +339,7 @@
     part.told = lambda words, whole: seen.append({n: w.on for n, w in words.items()})
     copies.apply(order_of(1, "s0", True))
     part._tell(copies.machine, frozenset({"a"}))
-    part.caller.write = lambda act, within: iter_of(Ok(3))
+    part.proposer.write = lambda act, within: iter_of(Ok(3))
     assert run(place.loop, part.do(Call(Say.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
     copies.apply(order_of(2, "s0", False))  # another's word, between them in the log
     part._tell(copies.machine, frozenset({"a"}))
@@ -413,12 +415,12 @@
 
 def test_a_word_is_enabled_without_a_write_only_where_it_is_sure_that_none_holds(place):
     written_, part = [], place.part
-    part.caller.write = lambda act, within: (written_.append(act), iter_of(Ok(9)))[1]
+    part.proposer.write = lambda act, within: (written_.append(act), iter_of(Ok(9)))[1]
     for sure, value in ((False, None), (False, [False, 3, 4]), (True, [True, 3, 4])):
-        part.caller.read = lambda query, within, it=(sure, value): iter_of(Reading(it[0], 5, None, it[1]))
+        part.proposer.read = lambda query, within, it=(sure, value): iter_of(Reading(it[0], 5, None, it[1]))
         assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
     assert [act.out for act in written_] == [False] * 3
-    part.caller.read = lambda query, within: iter_of(Reading(True, 5, 0, None))
+    part.proposer.read = lambda query, within: iter_of(Reading(True, 5, 0, None))
     assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 5" and len(written_) == 3
 
 
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -25,7 +25,7 @@
 from loftweir.replication import follower as follower_module
 from loftweir.replication import wire
 from loftweir.replication.api import Append, Entry, Kind, LeadNow, Member
-from loftweir.replication.caller import Caller, NoMajority, OutcomeUnknown
+from loftweir.replication.caller import Proposer, NoMajority, OutcomeUnknown
 from loftweir.replication.follower import Follower
 from loftweir.replication.line import Line
 from loftweir.replication.links import Link
@@ -277,7 +277,7 @@
 
 def caller(loop, voters):
     seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
-    return Caller(loop, "f0", "id-f", Replication(election=50 * MS, beat=10 * MS), seats, lambda: 7)
+    return Proposer(loop, "f0", "id-f", Replication(election=50 * MS, beat=10 * MS), seats, lambda: 7)
 
 
 def order_of(frame):
