--- a/benchmarks/faults/client.py
+++ b/benchmarks/faults/client.py
@@ -12,25 +12,25 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from loftweir.replication.machine import Act, AnyResult, Order, UnknownSession, read_result
-from loftweir.replication.machine import written as order_written
+from loftweir.replication.machine import AnyResult, Command, Operation, UnknownSession, decode_result
+from loftweir.replication.machine import encode as order_written
 from loftweir.replication.wire import (
     VERSION,
-    Am,
-    Answer,
-    Ask,
-    Follow,
+    CommandOutcome,
+    ConnectionKind,
+    FollowRequest,
+    FollowResponse,
     Frame,
+    FrameReader,
     Hello,
-    How,
-    Kind,
-    News,
-    Outcome,
+    OutcomeCode,
     Query,
-    Reader,
-    Submit,
-    Who,
-    written,
+    QueryRequest,
+    QueryResponse,
+    StatusRequest,
+    StatusResponse,
+    SubmitCommand,
+    encode_frame,
 )
 
 CLUSTER = "loftweir"
@@ -49,10 +49,17 @@
 class Line:
     """One greeted connection. OSError where it fails, `TimeoutError` (one of them) where nothing came in time."""
 
-    def __init__(self, address: str, kind: Kind = Kind.CALLER, name: str = "harness", id: str = "", within: float = 1):
+    def __init__(
+        self,
+        address: str,
+        kind: ConnectionKind = ConnectionKind.CALLER,
+        name: str = "harness",
+        id: str = "",
+        within: float = 1,
+    ):
         host, port = address.rsplit(":", 1)
         self.sock = socket.create_connection((host, int(port)), timeout=within)
-        self.reader = Reader()
+        self.reader = FrameReader()
         try:
             self.say(Hello(VERSION, CLUSTER, id or secrets.token_hex(8), name, kind))
             there = self.next(within)
@@ -64,7 +71,7 @@
             raise
 
     def say(self, frame: Frame) -> None:
-        self.sock.sendall(written(frame))
+        self.sock.sendall(encode_frame(frame))
 
     def next(self, within: float) -> Frame:
         until = time.monotonic() + within
@@ -96,14 +103,14 @@
             self.line.close()
             self.line = None
 
-    def write(self, act: Act, within: float) -> AnyResult:
+    def write(self, act: Operation, within: float) -> AnyResult:
         """Raises `Nothing` and `Unknown`."""
         if not self.session:
             self.session, self.number = secrets.token_hex(8), 0
         self.number += 1
-        order = order_written(Order(self.session, self.number, act))
-        outcome, uncertain = self._ask(lambda token: Submit(token, order), within)
-        result = read_result(outcome.result)
+        order = order_written(Command(self.session, self.number, act))
+        outcome, uncertain = self._ask(lambda token: SubmitCommand(token, order), within)
+        result = decode_result(outcome.result)
         if isinstance(result, UnknownSession):
             self.session = ""
             raise Unknown("unknown session") if uncertain else Nothing("unknown session")
@@ -112,7 +119,7 @@
     def read(self, query: Query, within: float) -> object:
         """What holds for sure. Raises `Nothing`."""
         try:
-            return self._ask(lambda token: Ask(token, query), within)[0].value
+            return self._ask(lambda token: QueryRequest(token, query), within)[0].value
         except Unknown as error:
             raise Nothing(str(error)) from None
 
@@ -132,20 +139,20 @@
                 uncertain, why = uncertain or sent, f"{self.at}: {error!r}"
                 self._turn("")
                 continue
-            if answer.how is How.DONE and (isinstance(answer, Outcome) or answer.sure):
+            if answer.how is OutcomeCode.DONE and (isinstance(answer, CommandOutcome) or answer.sure):
                 return answer, uncertain
-            uncertain, why = uncertain or answer.how is How.LOST, f"{self.at}: {answer.how.value}"
-            if answer.how is not How.BUSY:
+            uncertain, why = uncertain or answer.how is OutcomeCode.LOST, f"{self.at}: {answer.how.value}"
+            if answer.how is not OutcomeCode.BUSY:
                 self._turn(answer.leader)
             time.sleep(0.01 + 0.02 * self.random.random())
         raise Unknown(why) if uncertain else Nothing(why)
 
-    def _answer(self, within: float) -> Outcome | Answer:
+    def _answer(self, within: float) -> CommandOutcome | QueryResponse:
         assert self.line is not None
         until = time.monotonic() + within
         while True:
             found = self.line.next(until - time.monotonic())
-            if isinstance(found, Outcome | Answer) and found.token == self.tokens:
+            if isinstance(found, CommandOutcome | QueryResponse) and found.token == self.tokens:
                 return found
 
     def _turn(self, leader: str) -> None:
@@ -154,23 +161,23 @@
             self.at = leader if leader in self.seats else self.random.choice(sorted(self.seats))
 
 
-def members(address: str, within: float = 1) -> Am:
+def members(address: str, within: float = 1) -> StatusResponse:
     """How a voter stands. OSError."""
     line = Line(address, within=within)
     try:
-        line.say(Who(()))
+        line.say(StatusRequest(()))
         answer = line.next(within)
-        if not isinstance(answer, Am):
+        if not isinstance(answer, StatusResponse):
             raise ConnectionError(f"not an answer: {answer}")
         return answer
     finally:
         line.close()
 
 
-def news(line: Line, after: int, wait: int = 0) -> News:
+def news(line: Line, after: int, wait: int = 0) -> FollowResponse:
     """What a voter tells a follower that has all up to an index. OSError."""
-    line.say(Follow(after, wait))
+    line.say(FollowRequest(after, wait))
     answer = line.next(wait / 1e9 + 2)
-    if not isinstance(answer, News):
+    if not isinstance(answer, FollowResponse):
         raise ConnectionError(f"not news: {answer}")
     return answer
--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -23,7 +23,7 @@
 from loftweir.replication import folder, journal
 from loftweir.replication.api import Member
 from loftweir.replication.disk import open_disk
-from loftweir.replication.wire import Kind
+from loftweir.replication.wire import ConnectionKind
 from loftweir.standins.faults import Link, Links
 from loftweir.state.sealed import Damaged
 
@@ -203,8 +203,8 @@
     def mark(self, name: str) -> tuple[Path, int]:
         """The segment that the mark names, and how many bytes of it were promised."""
         copies = self.sidecars[name].copies
-        identity = journal.identity_read((copies / folder.IDENTITY).read_bytes())
-        mark = journal.mark_read((copies / folder.MARK).read_bytes(), identity)
+        identity = journal.decode_identity((copies / folder.IDENTITY).read_bytes())
+        mark = journal.decode_mark((copies / folder.MARK).read_bytes(), identity)
         return copies / folder.segment_name(mark.segment), mark.at
 
     def damage(self, name: str, how: str, place: float) -> tuple[Path, int]:
@@ -286,7 +286,7 @@
     def index(self, name: str) -> int:
         """Up to which a voter has applied the log; -1: it does not say."""
         try:
-            line = Line(self.seats[name], Kind.FOLLOWER, within=0.5)
+            line = Line(self.seats[name], ConnectionKind.FOLLOWER, within=0.5)
         except OSError:
             return -1
         try:
--- a/benchmarks/faults/holder.py
+++ b/benchmarks/faults/holder.py
@@ -15,8 +15,18 @@
 from random import Random
 
 from benchmarks.faults.client import Caller, Nothing, Unknown
-from loftweir.lease.holder import Answer, Holder, Send, Tick, Want
-from loftweir.replication.machine import Acquire, AnyResult, Fenced, Held, Lower, NotHeld, Ok, Release, Renew
+from loftweir.lease.holder import LeaseHolder, LeaseWanted, ResponseReceived, SendOperation, Tick
+from loftweir.replication.machine import (
+    AcquireLease,
+    AnyResult,
+    FencedWrite,
+    LeaseHeld,
+    LeaseNotHeld,
+    Ok,
+    ReleaseLease,
+    RenewLease,
+    StaleToken,
+)
 
 ACT_EVERY = 0.05  # s
 ANSWERED_WITHIN = 0.4  # s
@@ -30,28 +40,28 @@
     match result:
         case Ok():
             return ["ok", result.value]
-        case Held():
+        case LeaseHeld():
             return ["held", result.holder, result.token]
-        case NotHeld():
+        case LeaseNotHeld():
             return ["not-held"]
-        case Lower():
+        case StaleToken():
             return ["lower", result.highest]
     raise ValueError(result.text)
 
 
-def op_of(act: Acquire | Renew | Release | Fenced) -> list:
+def op_of(act: AcquireLease | RenewLease | ReleaseLease | FencedWrite) -> list:
     match act:
-        case Acquire():
+        case AcquireLease():
             return ["acquire", act.holder]
-        case Renew():
+        case RenewLease():
             return ["renew", act.holder, act.token]
-        case Release():
+        case ReleaseLease():
             return ["release", act.holder, act.token]
-        case Fenced():
+        case FencedWrite():
             return ["fenced", act.token]
 
 
-def said(caller: Caller, act: Acquire | Renew | Release | Fenced, invoked: int) -> AnyResult | None:
+def said(caller: Caller, act: AcquireLease | RenewLease | ReleaseLease | FencedWrite, invoked: int) -> AnyResult | None:
     try:
         result = caller.write(act, ANSWERED_WITHIN)
     except Nothing:
@@ -67,21 +77,21 @@
     wanted = json.loads(sys.argv[1])
     random = Random(wanted["seed"])
     caller = Caller(wanted["seats"], random)
-    holder = Holder(wanted["duty"], wanted["name"], int(wanted["ttl"] * 1e9), random)
-    todo = deque(holder.step(time.monotonic_ns(), Want()))
+    holder = LeaseHolder(wanted["duty"], wanted["name"], int(wanted["ttl"] * 1e9), random)
+    todo = deque(holder.step(time.monotonic_ns(), LeaseWanted()))
     count = 0
     while not select.select([sys.stdin], [], [], ACT_EVERY)[0]:
         todo.extend(holder.step(time.monotonic_ns(), Tick()))
         while todo:
             action = todo.popleft()
-            if isinstance(action, Send):
+            if isinstance(action, SendOperation):
                 result = said(caller, action.act, time.monotonic_ns())
-                todo.extend(holder.step(time.monotonic_ns(), Answer(action.ask, result)))
+                todo.extend(holder.step(time.monotonic_ns(), ResponseReceived(action.ask, result)))
         now = time.monotonic_ns()
         token = holder.valid_token(now)
         if token is not None:
             count += 1
-            said(caller, Fenced(holder.duty, token, "last", f"{holder.name} {count}".encode()), now)
+            said(caller, FencedWrite(holder.duty, token, "last", f"{holder.name} {count}".encode()), now)
 
 
 if __name__ == "__main__":
--- a/benchmarks/faults/load.py
+++ b/benchmarks/faults/load.py
@@ -24,8 +24,8 @@
 from benchmarks.faults.oracle import MAY_BE_LATE, PROMISED
 from loftweir.emulator.histories import Act as Acted
 from loftweir.emulator.histories import Call
-from loftweir.replication.machine import Acquire, Fenced, Ok, Word
-from loftweir.replication.wire import FencedValueQuery, Kind
+from loftweir.replication.machine import AcquireLease, FencedWrite, Ok, SetOverride
+from loftweir.replication.wire import ConnectionKind, FencedValueQuery
 
 PEN, DUTY = "pen", "duty"  # the lease that callers write under, and the one that holders want
 HOUR = 3_600_000_000_000
@@ -63,7 +63,7 @@
 
     def start(self) -> Load:
         pen = Caller(self.fleet.seats, self.random)
-        granted = pen.write(Acquire(PEN, f"harness {secrets.token_hex(4)}", HOUR), 20)
+        granted = pen.write(AcquireLease(PEN, f"harness {secrets.token_hex(4)}", HOUR), 20)
         assert isinstance(granted, Ok), granted
         pen.close()
         self.token = granted.value
@@ -116,7 +116,7 @@
                 self.oracle.problem(f"{where} answered {answer!r}")
                 raise Unknown(answer)
         if answer.startswith("OK"):
-            self.oracle.promise(int(answer.split()[-1]), Word(provider, out, 0), where, life)
+            self.oracle.promise(int(answer.split()[-1]), SetOverride(provider, out, 0), where, life)
         return answer
 
     # ---- callers --------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
 
     def put(self, client: str, caller: Caller, key: str, value: bytes) -> int:
         """The index of its entry; 0: not known to have any."""
-        act, index = Fenced(PEN, self.token, key, value), 0
+        act, index = FencedWrite(PEN, self.token, key, value), 0
         with self.oracle.call(self.oracle.values, client, key, ("set", value)):
             result = caller.write(act, WITHIN)
             if not isinstance(result, Ok):
@@ -164,7 +164,7 @@
                     self.oracle.problem(f"{voter} has told the log up to {index}, and not up to {self.goal}")
                     break
             try:
-                line = line or Line(self.fleet.seats[voter], Kind.FOLLOWER, "watcher", within=0.5)
+                line = line or Line(self.fleet.seats[voter], ConnectionKind.FOLLOWER, "watcher", within=0.5)
                 told = news(line, index, 200_000_000)
             except OSError:
                 line = line.close() if line else None
--- a/benchmarks/faults/oracle.py
+++ b/benchmarks/faults/oracle.py
@@ -29,9 +29,9 @@
 from benchmarks.faults.client import Nothing, Unknown
 from loftweir.emulator.histories import Act as Acted
 from loftweir.emulator.histories import Call, lease, register, two_holders, violations
-from loftweir.replication.machine import Fenced, Order, Word
+from loftweir.replication.machine import Command, FencedWrite, SetOverride
 
-ORDERS = msgspec.msgpack.Decoder(Order)
+ORDERS = msgspec.msgpack.Decoder(Command)
 PROMISED = re.compile(r"OK (disabled|enabled), at index (\d+)$").match
 MAY_BE_LATE = 50_000_000  # ns from `valid_token` to an act's arrival that the lease's margin covers
 UNAVAILABLE = 300_000_000  # ns between two acknowledged writes, from which on there was no service
@@ -39,7 +39,7 @@
 
 class Promise(NamedTuple):
     index: int
-    order: Word | Fenced
+    order: SetOverride | FencedWrite
     sidecar: str  # that gave it, and in which life; empty: a voter, to a caller
     life: int
     returned_at: int
@@ -59,7 +59,7 @@
     def __init__(self, entries: dict[int, bytes], upto: int) -> None:
         self.outs: dict[int, frozenset[str]] = {0: frozenset()}
         self.facts: dict[tuple[str, str], bytes] = {}
-        self.orders: dict[int, Order] = {}  # those in effect, by index
+        self.orders: dict[int, Command] = {}  # those in effect, by index
         sessions: dict[str, int] = {}
         for index in range(1, upto + 1):
             out = self.outs[index - 1]
@@ -75,9 +75,9 @@
             if order is not None:
                 self.orders[index] = order
                 act = order.act
-                if isinstance(act, Word):
+                if isinstance(act, SetOverride):
                     out = out | {act.name} if act.out else out - {act.name}
-                elif isinstance(act, Fenced):
+                elif isinstance(act, FencedWrite):
                     self.facts[act.duty, act.key] = act.value
             self.outs[index] = out
 
@@ -130,7 +130,7 @@
                 self._acknowledged.append(returned)
             self.counts["answered"] += returned is not None
 
-    def promise(self, index: int, order: Word | Fenced, sidecar: str = "", life: int = 0) -> None:
+    def promise(self, index: int, order: SetOverride | FencedWrite, sidecar: str = "", life: int = 0) -> None:
         with self._lock:
             self.promises.append(Promise(index, order, sidecar, life, time.monotonic_ns()))
 
@@ -196,11 +196,11 @@
             there = replay.orders.get(index)
             act = there.act if there else None
             match order:
-                case Word(name, out=False) if not isinstance(act, Word) or act.name != name:
+                case SetOverride(name, out=False) if not isinstance(act, SetOverride) or act.name != name:
                     # Answered without a write, as nobody had taken it out by then.
                     same = name not in replay.outs.get(index, {name})
-                case Word(name, out):
-                    same = isinstance(act, Word) and (act.name, act.out) == (name, out)
+                case SetOverride(name, out):
+                    same = isinstance(act, SetOverride) and (act.name, act.out) == (name, out)
                 case _:
                     same = act == order
             if not same:
@@ -213,7 +213,7 @@
         found, replay, top = [], self.replay(), self.highest()
         words: dict[str, list[tuple[int, bool]]] = {}
         for index, order in replay.orders.items():
-            if isinstance(order.act, Word):
+            if isinstance(order.act, SetOverride):
                 words.setdefault(order.act.name, []).append((index, order.act.out))
         own: dict[tuple[str, int], list[Promise]] = {}
         for promise in self.promises:
--- a/benchmarks/faults/schedule.py
+++ b/benchmarks/faults/schedule.py
@@ -18,7 +18,7 @@
 from benchmarks.faults.client import Caller, Nothing, Unknown
 from benchmarks.faults.fleet import Fleet, operator_call
 from benchmarks.faults.load import PEN, WITHIN, Load
-from loftweir.replication.machine import Fenced
+from loftweir.replication.machine import FencedWrite
 
 LEADER = "leader"  # in the place of a name: who leads then
 DAMAGES = ("flip", "tail", "lost", "version", "foreign")
@@ -296,7 +296,7 @@
     caller = Caller(fleet.seats, play.random)
     for n in range(6):
         try:
-            caller.write(Fenced(PEN, play.load.token, "filler", bytes([n]) * 128 * 1024), 1)
+            caller.write(FencedWrite(PEN, play.load.token, "filler", bytes([n]) * 128 * 1024), 1)
         except (Nothing, Unknown):
             break
     caller.close()
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -21,8 +21,8 @@
 
 from benchmarks.faults.client import Caller, Line, Nothing, Unknown
 from benchmarks.faults.fleet import Fleet, eventually
-from loftweir.replication.machine import Acquire, Fenced, Ok, Order, written
-from loftweir.replication.wire import How, Submit
+from loftweir.replication.machine import AcquireLease, Command, FencedWrite, Ok, encode
+from loftweir.replication.wire import OutcomeCode, SubmitCommand
 
 HOUR = 3_600_000_000_000
 DATA = b"x" * 100
@@ -53,12 +53,12 @@
             sidecar.fault = ""
         self.begin()
         self.caller = Caller(self.seats, Random(1))
-        granted = self.caller.write(Acquire("pen", "bench", HOUR), 10)
+        granted = self.caller.write(AcquireLease("pen", "bench", HOUR), 10)
         assert isinstance(granted, Ok)
         self.token = granted.value
 
     def put(self, within: float = 10) -> None:
-        result = self.caller.write(Fenced("pen", self.token, "k", DATA), within)
+        result = self.caller.write(FencedWrite("pen", self.token, "k", DATA), within)
         assert isinstance(result, Ok), result
 
     def alone(self, count: int) -> list[float]:
@@ -103,11 +103,11 @@
         while left:
             part = min(left, 200)
             for number in range(entries - left + 1, entries - left + part + 1):
-                order = Order("behind", number, Fenced("pen", self.token, f"k{number % 1000}", DATA))
-                line.say(Submit(number, written(order)))
+                order = Command("behind", number, FencedWrite("pen", self.token, f"k{number % 1000}", DATA))
+                line.say(SubmitCommand(number, encode(order)))
             for _ in range(part):
                 outcome = line.next(10)
-                assert outcome.how is How.DONE, outcome
+                assert outcome.how is OutcomeCode.DONE, outcome
             left -= part
         line.close()
         before = [timed(self.put) for _ in range(500)]
--- a/benchmarks/replication_disk.py
+++ b/benchmarks/replication_disk.py
@@ -19,7 +19,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from loftweir.replication.api import Entry, Keep, Kind, Snapshot, Stable
+from loftweir.replication.api import BatchSynced, Entry, EntryKind, PersistBatch, Snapshot
 from loftweir.replication.disk import Disk, open_disk
 
 DATA = b"x" * 100
@@ -55,10 +55,10 @@
         while len(asked) < in_flight and batch + 1 < start + rounds:
             batch += 1
             asked[batch] = time.perf_counter_ns()
-            disk.keep(Keep(batch, entries=(Entry(batch, 1, Kind.WRITE, DATA),)))
+            disk.keep(PersistBatch(batch, entries=(Entry(batch, 1, EntryKind.WRITE, DATA),)))
         select.select([disk], [], [])
         for report in disk.taken():
-            assert isinstance(report, Stable), report
+            assert isinstance(report, BatchSynced), report
             now = time.perf_counter_ns()
             done = [number for number in asked if number <= report.batch]
             times += [now - asked.pop(number) for number in done]
@@ -66,7 +66,7 @@
 
 
 def wait(disk: Disk, batch: int) -> None:
-    while Stable(batch) not in disk.taken():
+    while BatchSynced(batch) not in disk.taken():
         select.select([disk], [], [], 1)
 
 
@@ -99,7 +99,7 @@
     disk.close()
 
     disk, _, _ = open_disk(scratch / "n", "bench")
-    disk.keep(Keep(1, entries=tuple(Entry(i, 1, Kind.WRITE, DATA) for i in range(1, 10_001))))
+    disk.keep(PersistBatch(1, entries=tuple(Entry(i, 1, EntryKind.WRITE, DATA) for i in range(1, 10_001))))
     wait(disk, 1)
     disk.close()
     times = []
@@ -116,8 +116,8 @@
     for start in range(1, 100_001, 64):
         ends = start + 64
         snapshot = Snapshot(start - 1, 1, (), bytes(64 * 1024)) if start % 4096 == 1 and start > 1 else None
-        entries = tuple(Entry(i, 1, Kind.WRITE, DATA) for i in range(start, ends))
-        disk.keep(Keep(ends, entries=entries, snapshot=snapshot))
+        entries = tuple(Entry(i, 1, EntryKind.WRITE, DATA) for i in range(start, ends))
+        disk.keep(PersistBatch(ends, entries=entries, snapshot=snapshot))
         wait(disk, ends)
         most = max(most, used(scratch / "o")) if snapshot else most
     disk.close()
--- a/benchmarks/replication_news.py
+++ b/benchmarks/replication_news.py
@@ -32,16 +32,18 @@
 
     def measure(self, voter, which):
         host, port = self.seats[voter].split(":")
-        socks = {socket.create_connection((host, int(port))): wire.Reader() for _ in range(FOLLOWERS)}
+        socks = {socket.create_connection((host, int(port))): wire.FrameReader() for _ in range(FOLLOWERS)}
         for sock in socks:
-            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "x", "x", wire.Kind.FOLLOWER)))
+            sock.sendall(
+                wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "x", "x", wire.ConnectionKind.FOLLOWER))
+            )
         for sock in socks:
             sock.recv(4096)
         firsts, lasts, calls = [], [], []
         for n in range(WORDS):
             index = int(self.sidecars[voter].stands()["index"])
             for sock in socks:
-                sock.sendall(wire.written(wire.Follow(index, 30 * 10**9)))
+                sock.sendall(wire.encode_frame(wire.FollowRequest(index, 30 * 10**9)))
             time.sleep(0.1)
             called_at = time.monotonic()
             assert self.sidecars["n0"].call(f"FLEET-DISABLE x{n}").startswith("OK")
@@ -50,7 +52,7 @@
             while left:
                 for sock in select.select(list(left), [], [], 5)[0]:
                     socks[sock].feed(sock.recv(65536))
-                    if isinstance(socks[sock].next(), wire.News):
+                    if isinstance(socks[sock].next(), wire.FollowResponse):
                         told.append(time.monotonic() - ok_at)
                         left.remove(sock)
             calls.append(ok_at - called_at)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -24,7 +24,7 @@
 from loftweir.http1.discovery import Discovery
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.net.loop import READABLE, Coroutine, Loop, Wait
-from loftweir.replication.follower import Follower
+from loftweir.replication.follower import Observer
 from loftweir.settings import Nested, settings_and_faults
 from loftweir.telemetry import log
 
@@ -96,7 +96,7 @@
         self.index, self.version, self.failures = 0, 0, 0
         self.ask_within = settings.safety.ask_within
         replication = plan.options.replication
-        self.follower = Follower(
+        self.follower = Observer(
             loop, name, secrets.token_hex(8), replication, seats(replication.members), self._applied
         )
         self.discovery = Discovery(loop, plan.discovery, plan.options, self._listed)
--- a/loftweir/emulator/replication_clients.py
+++ b/loftweir/emulator/replication_clients.py
@@ -7,7 +7,7 @@
 from loftweir.emulator.replication_members import Make, Members
 from loftweir.emulator.replication_plan import MS, Plan
 from loftweir.emulator.replication_seat import Seat
-from loftweir.replication.api import Change, Event, Member, Read, Role, Write
+from loftweir.replication.api import Event, Member, MembershipChange, ReadRequest, Role, WriteRequest
 from loftweir.replication.core import Core
 
 
@@ -22,17 +22,17 @@
         """An event with a token, from a caller at this seat; it may never be answered."""
         self._token += 1
         made = event(self._token)
-        if isinstance(made, Change) and self.at < seat.stalled_until:
+        if isinstance(made, MembershipChange) and self.at < seat.stalled_until:
             return self._token  # who calls can't wait: what is lost meanwhile might make it a wrong one
         self.tokens[self._token] = (made, self.oracle.done, max(self.oracle.terms, default=0))
         self.event(seat, None, made)
         return self._token
 
     def write(self, seat: Seat) -> int:
-        return self.ask(seat, lambda token: Write(token, b"w%d" % token))
+        return self.ask(seat, lambda token: WriteRequest(token, b"w%d" % token))
 
     def read(self, seat: Seat) -> int:
-        return self.ask(seat, Read)
+        return self.ask(seat, ReadRequest)
 
     def _calls(self) -> None:
         """Writes and reads, at those who say that they lead and sometimes at others."""
@@ -59,7 +59,7 @@
             self.quiet_term = core.term
         members = self._next_members(core)
         if members is not None:
-            self.ask(seat, lambda token: Change(token, members))
+            self.ask(seat, lambda token: MembershipChange(token, members))
 
     def _next_members(self, core: Core) -> tuple[Member, ...] | None:
         members = core.members
--- a/loftweir/emulator/replication_disk.py
+++ b/loftweir/emulator/replication_disk.py
@@ -5,25 +5,25 @@
 from collections import deque
 from random import Random
 
-from loftweir.replication.api import Entry, Keep, Kept
+from loftweir.replication.api import Entry, PersistBatch, PersistentState
 from loftweir.replication.core import NEVER
 
 
 class Disk:
     """What is on it, and what is asked for and not synced yet. Batches of one sync go together."""
 
-    def __init__(self, kept: Kept) -> None:
+    def __init__(self, kept: PersistentState) -> None:
         self.hard, self.snapshot = kept.hard, kept.snapshot
         self.entries = list(kept.entries)
-        self.asked: deque[Keep] = deque()
+        self.asked: deque[PersistBatch] = deque()
         self.syncing = 0  # the last batch of the sync under way; 0: none
 
     @property
     def last_index(self) -> int:
         return self.entries[-1].index if self.entries else self.snapshot.index if self.snapshot else 0
 
-    def kept(self) -> Kept:
-        return Kept(self.hard, self.snapshot, tuple(self.entries))
+    def kept(self) -> PersistentState:
+        return PersistentState(self.hard, self.snapshot, tuple(self.entries))
 
     def synced(self, batch: int) -> None:
         while self.asked and self.asked[0].batch <= batch:
@@ -38,7 +38,7 @@
         self.asked.clear()
         self.syncing = 0
 
-    def _write(self, keep: Keep, parts: int) -> None:
+    def _write(self, keep: PersistBatch, parts: int) -> None:
         """In order: term and vote, cut, each entry, snapshot; only the first `parts` of them."""
         if keep.hard is not None:
             if parts <= 0:
--- a/loftweir/emulator/replication_faults.py
+++ b/loftweir/emulator/replication_faults.py
@@ -7,19 +7,19 @@
 from loftweir.emulator.replication_plan import MS
 from loftweir.emulator.replication_seat import Seat
 from loftweir.replication.api import (
-    Apply,
-    Broken,
-    Change,
-    Done,
-    HandOver,
-    Heard,
-    Keep,
-    Kept,
-    Refused,
+    ApplyEntries,
+    MembershipChange,
+    MessageReceived,
+    PersistBatch,
+    PersistentState,
+    RequestCompleted,
+    RequestRejected,
     Role,
-    Say,
-    Stands,
+    SendMessage,
+    StatusChanged,
+    StorageBroken,
     Tick,
+    TransferLeadership,
 )
 from loftweir.replication.core import Core
 
@@ -45,7 +45,7 @@
 
     # ---- processes and clocks -------------------------------------------------------------------
 
-    def _stands(self, seat: Seat, core: Core, action: Stands) -> None:
+    def _stands(self, seat: Seat, core: Core, action: StatusChanged) -> None:
         super()._stands(seat, core, action)
         if action.role is Role.LEADER and self.troubled and self.random.random() < self.plan.doomed:
             self.faults["doomed"] += 1
@@ -84,7 +84,7 @@
     def _hand_trouble(self, seat: Seat, lasts: int) -> None:
         for each in self.seats.values():
             if each.core is not None and each.core.role is Role.LEADER:
-                self.event(each, each.core, HandOver())
+                self.event(each, each.core, TransferLeadership())
 
     def _compact_trouble(self, seat: Seat, lasts: int) -> None:
         if seat.core is not None:
@@ -137,7 +137,7 @@
         if not self.may_lose(seat):
             return False
         self.lost[seat.id] = seat.disk
-        seat.renew(Kept(), self.same_id)
+        seat.renew(PersistentState(), self.same_id)
         self.later(lasts, self.start, seat)
         return True
 
@@ -147,15 +147,18 @@
             return False
         core = seat.core
         seat.held.clear()
-        said = core.step(seat.clock(self.at), Broken("no space"))
-        said += core.step(seat.clock(self.at), Heard(self.old[0])) if self.old else []
-        if any(isinstance(action, (Say, Keep, Apply, Done)) for action in said) or core.role is not Role.OUT:
+        said = core.step(seat.clock(self.at), StorageBroken("no space"))
+        said += core.step(seat.clock(self.at), MessageReceived(self.old[0])) if self.old else []
+        if (
+            any(isinstance(action, (SendMessage, PersistBatch, ApplyEntries, RequestCompleted)) for action in said)
+            or core.role is not Role.OUT
+        ):
             raise Breach("something was said or promised by a broken disk")
         for action in said:
-            if isinstance(action, Refused):
+            if isinstance(action, RequestRejected):
                 self._act(seat, core, action)
         self.lost[seat.id] = seat.disk
-        seat.renew(Kept(), self.same_id)
+        seat.renew(PersistentState(), self.same_id)
         self.later(lasts, self.start, seat)
         return True
 
@@ -175,7 +178,7 @@
         if leader is None or seat.id not in leader.voters or not self.may_lose(seat):
             return False
         members = tuple(seat.member(votes=False) if m.id == seat.id else m for m in leader.members)
-        self.ask(self.seats[leader.me.split(".")[0]], lambda token: Change(token, members))
+        self.ask(self.seats[leader.me.split(".")[0]], lambda token: MembershipChange(token, members))
         return True
 
     def _two_trouble(self, seat: Seat, lasts: int) -> bool:
@@ -184,8 +187,8 @@
         if leader is None or len(leader.voters) < 4:
             return False
         at = self.seats[leader.me.split(".")[0]]
-        self.ask(at, lambda token: Change(token, leader.members[2:]))
+        self.ask(at, lambda token: MembershipChange(token, leader.members[2:]))
         if self.may_lose(seat):
             for members in (leader.members[1:], leader.members[2:]):
-                self.ask(at, lambda token, members=members: Change(token, members))  # type: ignore[misc]
+                self.ask(at, lambda token, members=members: MembershipChange(token, members))  # type: ignore[misc]
         return True
--- a/loftweir/emulator/replication_members.py
+++ b/loftweir/emulator/replication_members.py
@@ -13,28 +13,28 @@
 from loftweir.emulator.replication_transport import Transport
 from loftweir.replication.api import (
     Action,
-    Apply,
-    Change,
-    Compact,
-    Done,
+    ApplyEntries,
+    CompactLog,
     Event,
-    Keep,
-    Kept,
-    Read,
-    Refusal,
-    Refused,
-    Restore,
+    MembershipChange,
+    PersistBatch,
+    PersistentState,
+    ReadRequest,
+    RejectionReason,
+    RequestCompleted,
+    RequestRejected,
+    RestoreSnapshot,
     Role,
-    Say,
-    Stands,
+    SendMessage,
+    StatusChanged,
+    TakeSnapshot,
     Tick,
     Timing,
-    WantSnapshot,
-    Write,
+    WriteRequest,
 )
-from loftweir.replication.core import NEVER, Core, begun
+from loftweir.replication.core import NEVER, Core, founding_state
 
-Make = Callable[[str, Kept, Timing, Random, int], Core]
+Make = Callable[[str, PersistentState, Timing, Random, int], Core]
 
 
 class Members(Transport):
@@ -50,7 +50,7 @@
         self.reads = 0  # reads answered
         self.lost: dict[str, Disk] = {}  # by id, as they were: each may be what an answer still on its way rests on
         self.tokens: dict[int, tuple[Event, int, int]] = {}  # the event, and what was promised and committed then
-        self.outcomes: dict[int, Done | Refused] = {}
+        self.outcomes: dict[int, RequestCompleted | RequestRejected] = {}
         self.seats = {f"n{i}": Seat(f"n{i}", self.random) for i in range(self.plan.seats)}
         self.wanted = set(self.seats)  # seats that are to be members
         self.quiet_term = 0  # of a quiet run: the term in which all has to stay
@@ -60,7 +60,7 @@
         """The first seat's disk founds the cluster; then all start."""
         founding = [seat.member() for seat in self.seats.values()]
         first = next(iter(self.seats.values()))
-        first.disk = Disk(begun(founding))
+        first.disk = Disk(founding_state(founding))
         for seat in self.seats.values():
             self.start(seat)
 
@@ -99,7 +99,7 @@
         self.steps += 1
         if led and stalled:
             self._says_nothing(core, led, actions)
-        if self.steps % self.plan.check == 0 or isinstance(event, (Change, Compact)):
+        if self.steps % self.plan.check == 0 or isinstance(event, (MembershipChange, CompactLog)):
             core.check()
         for action in actions:
             self._act(seat, core, action)
@@ -109,58 +109,58 @@
 
     def _says_nothing(self, core: Core, term: int, actions: list[Action]) -> None:
         """A leader that was stalled so long is none before anything else."""
-        if core.role is Role.LEADER and core.term == term or any(isinstance(a, Done) for a in actions):
+        if core.role is Role.LEADER and core.term == term or any(isinstance(a, RequestCompleted) for a in actions):
             raise Breach("a leader that was stalled went on")
 
     # ---- what a core asks for -------------------------------------------------------------------
 
     def _act(self, seat: Seat, core: Core, action: Action) -> None:
-        if isinstance(action, Say):
+        if isinstance(action, SendMessage):
             seat.held.append((action.after, action.message))
             if len(seat.held) == 1 or action.after == 0:
                 self._leave(seat)
-        elif isinstance(action, Keep):
+        elif isinstance(action, PersistBatch):
             self.oracle.kept(core, action)
             seat.disk.asked.append(action)
             self._sync(seat)
-        elif isinstance(action, Apply):
+        elif isinstance(action, ApplyEntries):
             for entry in action.entries:
                 self.oracle.applied(core, seat.machine, entry)
-        elif isinstance(action, Restore):
+        elif isinstance(action, RestoreSnapshot):
             self.oracle.restored(seat.machine, action.snapshot)
-        elif isinstance(action, Stands):
+        elif isinstance(action, StatusChanged):
             self._stands(seat, core, action)
-        elif isinstance(action, Done):
+        elif isinstance(action, RequestCompleted):
             self._done(seat, core, action)
-        elif isinstance(action, Refused):
+        elif isinstance(action, RequestRejected):
             self.outcomes[action.token] = action
             event, *_ = self.tokens.pop(action.token)
-            if action.why is not Refusal.LOST and isinstance(event, Write):
+            if action.why is not RejectionReason.LOST and isinstance(event, WriteRequest):
                 self.oracle.nothing.add(event.data)
-        elif isinstance(action, WantSnapshot):
+        elif isinstance(action, TakeSnapshot):
             self.later(self.random.randrange(4 * MS), self._snapshot, seat, core)
 
     def _snapshot(self, seat: Seat, core: Core) -> None:
-        self.event(seat, core, Compact(seat.machine.applied, seat.machine.snapshot(seat.name)))
+        self.event(seat, core, CompactLog(seat.machine.applied, seat.machine.snapshot(seat.name)))
 
-    def _stands(self, seat: Seat, core: Core, action: Stands) -> None:
+    def _stands(self, seat: Seat, core: Core, action: StatusChanged) -> None:
         if action.role is Role.LEADER:
             self.oracle.leads(core)
         if self.plan.quiet and self.troubled and self.quiet_term and action.term > self.quiet_term:
             raise Breach(f"a leader that was well was deposed: {seat.name} in term {action.term}")
 
-    def _done(self, seat: Seat, core: Core, done: Done) -> None:
+    def _done(self, seat: Seat, core: Core, done: RequestCompleted) -> None:
         self.outcomes[done.token] = done
         event, promised, terms = self.tokens.pop(done.token)
         if seat.machine.applied < done.index:
             raise Breach("answered before it was applied")
-        if isinstance(event, Read):
+        if isinstance(event, ReadRequest):
             self.reads += 1
             if seat.machine.applied < promised or core.term < terms:
                 raise Breach(f"a stale read: {seat.name} at {seat.machine.applied} of {promised}, term {core.term}")
             return
         entry = self.oracle.committed[done.index - 1]
-        if isinstance(event, Write) and entry.data != event.data:
+        if isinstance(event, WriteRequest) and entry.data != event.data:
             raise Breach(f"answered for another: {entry}")
         disks = self.lost | {s.id: s.disk for s in self.seats.values()}
         holders = sum(disks[id].holds(entry) for id in core.voters)
--- a/loftweir/emulator/replication_oracle.py
+++ b/loftweir/emulator/replication_oracle.py
@@ -6,7 +6,7 @@
 
 from loftweir.emulator.replication_breach import Breach
 from loftweir.emulator.replication_machine import Machine
-from loftweir.replication.api import Entry, Keep, Kind, Member, Snapshot
+from loftweir.replication.api import Entry, EntryKind, Member, PersistBatch, Snapshot
 from loftweir.replication.core import Core
 
 
@@ -23,7 +23,7 @@
         self.terms: list[int] = []  # of who committed each
         self.voters: frozenset[str] = frozenset()
 
-    def kept(self, core: Core, keep: Keep) -> None:
+    def kept(self, core: Core, keep: PersistBatch) -> None:
         """Log matching (paper, 5.3): an index and term name one entry, behind one entry; so on by induction."""
         for entry in keep.entries:
             before = core.term_at(entry.index - 1) if entry.index >= core.first_index else -1
@@ -44,7 +44,7 @@
         self.committed.append(entry)
         self.sums.append(machine.sum)
         self.terms.append(core.term)
-        if entry.kind is Kind.MEMBERS:
+        if entry.kind is EntryKind.MEMBERS:
             members = msgspec.msgpack.decode(entry.data, type=tuple[Member, ...])
             voters = frozenset(m.id for m in members if m.votes)
             if self.voters and len(voters ^ self.voters) > 1:
--- a/loftweir/emulator/replication_seat.py
+++ b/loftweir/emulator/replication_seat.py
@@ -8,7 +8,7 @@
 from loftweir.emulator.replication_disk import Disk
 from loftweir.emulator.replication_machine import Machine
 from loftweir.emulator.replication_plan import MS
-from loftweir.replication.api import AnyMessage, Kept, Member
+from loftweir.replication.api import AnyMessage, Member, PersistentState
 from loftweir.replication.core import NEVER, Core
 
 
@@ -22,9 +22,9 @@
         self._since, self._then = 0, random.randrange(1000 * MS)  # a moment of the world and of this clock
         self.core: Core | None = None
         self.stalled_until = 0
-        self.renew(Kept())
+        self.renew(PersistentState())
 
-    def renew(self, kept: Kept, same_id: bool = False) -> None:
+    def renew(self, kept: PersistentState, same_id: bool = False) -> None:
         self.disks += 1
         self.id = f"{self.name}.{1 if same_id else self.disks}"
         self.disk = Disk(kept)
--- a/loftweir/emulator/replication_transport.py
+++ b/loftweir/emulator/replication_transport.py
@@ -9,7 +9,15 @@
 from loftweir.emulator.replication_plan import MS, Plan
 from loftweir.emulator.replication_schedule import Schedule
 from loftweir.emulator.replication_seat import Seat
-from loftweir.replication.api import AnyMessage, Appended, Event, Heard, Stable, Taken, Vote
+from loftweir.replication.api import (
+    AnyMessage,
+    AppendEntriesResponse,
+    BatchSynced,
+    Event,
+    InstallSnapshotResponse,
+    MessageReceived,
+    RequestVoteResponse,
+)
 from loftweir.replication.core import Core
 
 
@@ -61,7 +69,7 @@
             return
         seat.held = deque((0 if after <= batch else after, message) for after, message in seat.held)
         self._leave(seat)
-        self.step(seat, Stable(batch))
+        self.step(seat, BatchSynced(batch))
 
     # ---- network --------------------------------------------------------------------------------
 
@@ -77,15 +85,18 @@
 
     def _honest(self, seat: Seat, m: AnyMessage) -> None:
         """What leaves is on the disk: the term, the vote, the entries that it answers for."""
-        disk, asked_only = seat.disk, isinstance(m, Vote) and m.pre or getattr(m, "pre", False)
+        disk, asked_only = seat.disk, isinstance(m, RequestVoteResponse) and m.pre or getattr(m, "pre", False)
         if not asked_only and disk.hard.term < m.term:
             raise Breach(f"said before its term was stable: {m}")
         if disk.hard.term != m.term:
             return
-        if isinstance(m, Vote) and m.granted and not m.pre and disk.hard.vote != m.to:
+        if isinstance(m, RequestVoteResponse) and m.granted and not m.pre and disk.hard.vote != m.to:
             raise Breach(f"a vote that isn't stable: {m}")
-        if (isinstance(m, Appended) and m.ok and m.match > disk.last_index) or (
-            isinstance(m, Taken) and m.index > disk.last_index and seat.core and seat.core.commit >= m.index == m.upto
+        if (isinstance(m, AppendEntriesResponse) and m.ok and m.match > disk.last_index) or (
+            isinstance(m, InstallSnapshotResponse)
+            and m.index > disk.last_index
+            and seat.core
+            and seat.core.commit >= m.index == m.upto
         ):
             raise Breach(f"said before it was stable: {m}")
 
@@ -112,4 +123,4 @@
 
     def _arrive(self, source: str, target: str, m: AnyMessage) -> None:
         if not self.cuts[source, target]:
-            self.event(self.seats[target], None, Heard(m))
+            self.event(self.seats[target], None, MessageReceived(m))
--- a/loftweir/emulator/walk.py
+++ b/loftweir/emulator/walk.py
@@ -19,27 +19,27 @@
 from loftweir.emulator.replication_disk import Disk
 from loftweir.replication.api import (
     AnyMessage,
-    Appended,
-    Apply,
-    AskVote,
-    Change,
-    Done,
+    AppendEntriesResponse,
+    ApplyEntries,
+    BatchSynced,
     Entry,
     Event,
-    Hard,
-    Heard,
-    Keep,
-    Kept,
+    HardState,
     Member,
+    MembershipChange,
+    MessageReceived,
+    PersistBatch,
+    PersistentState,
+    RequestCompleted,
+    RequestVote,
+    RequestVoteResponse,
     Role,
-    Say,
-    Stable,
+    SendMessage,
     Tick,
     Timing,
-    Vote,
-    Write,
+    WriteRequest,
 )
-from loftweir.replication.core import NEVER, Core, begun
+from loftweir.replication.core import NEVER, Core, founding_state
 
 ALWAYS_SAME = Timing(1, 1)
 NO_RANDOM = Random(0)  # nothing comes of it without clocks
@@ -64,7 +64,7 @@
         self._round = 1
         return 1
 
-    def _appended(self, m: Appended) -> None:
+    def _appended(self, m: AppendEntriesResponse) -> None:
         if m.sender in self._peers:
             self._peers[m.sender].reset = 0
         super()._appended(m)
@@ -98,9 +98,9 @@
     """A seat: its process, what is on its disk, what is asked for, and what waits for that."""
 
     core: Timeless
-    hard: Hard
+    hard: HardState
     entries: tuple[Entry, ...]
-    asked: tuple[Keep, ...] = ()
+    asked: tuple[PersistBatch, ...] = ()
     held: tuple[tuple[int, int], ...] = ()  # batch, number of a message
     mark: int = 0  # equal ones go on alike
 
@@ -167,19 +167,21 @@
         self.members = tuple(Member(id, id, id) for id in "abcde"[:seats])
         self._messages: list[AnyMessage] = []
         self._numbers: dict[AnyMessage, int] = {}
-        self._begun: dict[tuple[str, Kept], Place] = {}
+        self._begun: dict[tuple[str, PersistentState], Place] = {}
         self._went: dict[tuple[int, object, bool], Went] = {}
-        kept = begun(self.members)
+        kept = founding_state(self.members)
         places = tuple(self._made(m.id, kept) for m in self.members)
         # The first leads in term 2, by the votes of as few as can be; the others have heard nothing.
         state = self._step(State(places, frozenset(), left), 0, Tick())
         for _ in range(seats // 2):
-            state = self._heard(state, min(n for n in state.net if isinstance(self._messages[n], AskVote)))
-            state = self._heard(state, next(n for n in state.net if isinstance(self._messages[n], Vote)))
+            state = self._heard(state, min(n for n in state.net if isinstance(self._messages[n], RequestVote)))
+            state = self._heard(state, next(n for n in state.net if isinstance(self._messages[n], RequestVoteResponse)))
         assert state.places[0].core.role is Role.LEADER
-        self.first = state._replace(net=frozenset(n for n in state.net if not isinstance(self._messages[n], AskVote)))
+        self.first = state._replace(
+            net=frozenset(n for n in state.net if not isinstance(self._messages[n], RequestVote))
+        )
 
-    def _made(self, id: str, kept: Kept) -> Place:
+    def _made(self, id: str, kept: PersistentState) -> Place:
         """A process begins with that disk."""
         made = self._begun.get((id, kept))
         if made is None:
@@ -221,13 +223,13 @@
             if core.role is Role.LEADER:
                 if left.writes:
                     spent = state._replace(left=left._replace(writes=left.writes - 1))
-                    write = Write(left.writes, b"%d by %s" % (left.writes, core.me.encode()))
+                    write = WriteRequest(left.writes, b"%d by %s" % (left.writes, core.me.encode()))
                     for slow in slows:
                         yield self._step(spent, at, write, slow)
                 if left.changes:
                     spent = state._replace(left=left._replace(changes=left.changes - 1))
                     for members in self._changes(core.members):
-                        yield self._step(spent, at, Change(100 + left.changes, members))
+                        yield self._step(spent, at, MembershipChange(100 + left.changes, members))
             elif left.stands and core._standing:
                 yield self._step(state._replace(left=left._replace(stands=left.stands - 1)), at, Tick())
             if place.asked:
@@ -249,7 +251,7 @@
     def _again(self, state: State, at: int) -> State:
         """A crash, and the start from what was synced."""
         place = state.places[at]
-        made = self._made(place.core.me, Kept(place.hard, None, place.entries))
+        made = self._made(place.core.me, PersistentState(place.hard, None, place.entries))
         return self._put(state, at, made)._replace(left=state.left._replace(crashes=state.left.crashes - 1))
 
     def _wiped(self, state: State, at: int) -> State:
@@ -258,7 +260,7 @@
         id = place.core.me if self.same_id else place.core.me + "'"
         gone = frozenset(n for n in state.net if self._messages[n].to == place.core.me != id)
         state = state._replace(lost=(*state.lost, place), net=state.net - gone)
-        return self._put(state, at, self._made(id, Kept()))._replace(left=state.left._replace(wipes=0))
+        return self._put(state, at, self._made(id, PersistentState()))._replace(left=state.left._replace(wipes=0))
 
     def _put(self, state: State, at: int, place: Place) -> State:
         return state._replace(places=(*state.places[:at], place, *state.places[at + 1 :]))
@@ -284,7 +286,7 @@
             if event is None:
                 went = self._synced(Went(place, True))
             else:
-                went = self._stepped(place, Heard(self._messages[event]) if isinstance(event, int) else event)
+                went = self._stepped(place, MessageReceived(self._messages[event]) if isinstance(event, int) else event)
                 if went.slow and not (slow or place.asked):
                     went = self._synced(went)
             self._went[key] = went = went._replace(place=went.place.marked())
@@ -294,13 +296,13 @@
         core = place.core.copied()
         led = core.role is Role.LEADER
         actions = core.step(0, event)
-        asked = tuple(a for a in actions if isinstance(a, Keep))
-        said = [(a.after, self._number(a.message)) for a in actions if isinstance(a, Say)]
-        applied = tuple(e for a in actions if isinstance(a, Apply) for e in a.entries)
+        asked = tuple(a for a in actions if isinstance(a, PersistBatch))
+        said = [(a.after, self._number(a.message)) for a in actions if isinstance(a, SendMessage)]
+        applied = tuple(e for a in actions if isinstance(a, ApplyEntries) for e in a.entries)
         promises = tuple(
             Promise(a.index, core.voters, place.holds(core.entries(a.index, a.index)[0]))
             for a in actions
-            if isinstance(a, Done)
+            if isinstance(a, RequestCompleted)
         )
         held = place.held + tuple(h for h in said if h[0])
         now = Place(core, place.hard, place.entries, place.asked + asked, held)
@@ -309,11 +311,11 @@
 
     def _synced(self, went: Went) -> Went:
         place = went.place
-        disk, batch = Disk(Kept(place.hard, None, place.entries)), place.asked[-1].batch
+        disk, batch = Disk(PersistentState(place.hard, None, place.entries)), place.asked[-1].batch
         disk.asked.extend(place.asked)
         disk.synced(batch)
         leave = went.sent | {number for _, number in place.held}
-        then = self._stepped(Place(place.core, disk.hard, tuple(disk.entries)), Stable(batch))
+        then = self._stepped(Place(place.core, disk.hard, tuple(disk.entries)), BatchSynced(batch))
         return Went(
             then.place,
             then.slow,
--- a/loftweir/lease/duty.py
+++ b/loftweir/lease/duty.py
@@ -13,24 +13,34 @@
 from random import Random
 
 from loftweir.errors import LoftweirError
-from loftweir.lease.holder import Answer, Begin, Event, Holder, LetGo, Send, State, Tick, Want
+from loftweir.lease.holder import (
+    Event,
+    HolderState,
+    LeaseHolder,
+    LeaseUnwanted,
+    LeaseWanted,
+    ResponseReceived,
+    SendOperation,
+    TaskStarted,
+    Tick,
+)
 from loftweir.net.loop import MS, Coroutine, Loop, Task, Wait
 from loftweir.replication.caller import Proposer
 from loftweir.replication.machine import (
-    Acquire,
+    AcquireLease,
     AnyResult,
-    Fenced,
+    ClaimName,
+    FencedWrite,
     Lease,
-    Lower,
+    LeaseNotHeld,
     Machine,
-    Named,
-    NotHeld,
-    Release,
-    Renew,
+    ReleaseLease,
+    RenewLease,
+    StaleToken,
 )
 
-LOOK_EVERY = 2 * MS  # for the turn of a fenced write behind another one
-AGAIN = 1000 * MS  # after a fault of the program's own
+BUSY_POLL_INTERVAL = 2 * MS  # for the turn of a fenced write behind another one
+RESTART_DELAY = 1000 * MS  # after a fault of the program's own
 
 
 class NotActing(LoftweirError):
@@ -66,7 +76,7 @@
         self.apart = apart
         self.lease_proposer, self.writer = callers
         self.begin, self.end = begin, end
-        self.holder = Holder(duty, name, ttl, Random(secrets.randbits(64)))
+        self.holder = LeaseHolder(duty, name, ttl, Random(secrets.randbits(64)))
         self.wanted = False
         self.known = False  # what the copies hold was seen
         self.lease: Lease | None = None  # as the machine here has it
@@ -98,17 +108,17 @@
 
     def _look(self) -> None:
         state = self.holder.state
-        if state is State.IDLE:
+        if state is HolderState.IDLE:
             if self.wanted and self.known and not self._others() and not self.asks and not self.over:
                 self.asks = True
                 self.loop.after(self.apart, self._ask)
-        elif state is not State.LEAVING and (not self.wanted or (state is State.FREE and self._others())):
-            self._feed(LetGo())
+        elif state is not HolderState.LEAVING and (not self.wanted or (state is HolderState.FREE and self._others())):
+            self._feed(LeaseUnwanted())
 
     def _ask(self) -> None:
         self.asks = False
-        if self.wanted and not self._others() and not self.over and self.holder.state is State.IDLE:
-            self._feed(Want())
+        if self.wanted and not self._others() and not self.over and self.holder.state is HolderState.IDLE:
+            self._feed(LeaseWanted())
 
     # ---- the lease ------------------------------------------------------------------------------
 
@@ -116,20 +126,20 @@
         if self.over:
             return
         for action in self.holder.step(clock(), event):
-            if isinstance(action, Send):
+            if isinstance(action, SendOperation):
                 self.loop.spawn(self._send(action.ask, action.act), urgent=True)
-            elif isinstance(action, Begin):
+            elif isinstance(action, TaskStarted):
                 self.begin(action.token)
             else:
                 self.end()
         self._look()
         self.ticker.wake()
 
-    def _send(self, ask: int, act: Acquire | Renew | Release) -> Coroutine[None]:
+    def _send(self, ask: int, act: AcquireLease | RenewLease | ReleaseLease) -> Coroutine[None]:
         result: AnyResult | None = None
         with suppress(LoftweirError):  # it may come true yet: the holder asks again, or lets the lease run out
             result = yield from self.lease_proposer.write(act, self.ttl // 2)
-        self._feed(Answer(ask, result))
+        self._feed(ResponseReceived(ask, result))
 
     def _tick(self) -> Coroutine[None]:
         while True:
@@ -142,7 +152,7 @@
             yield Wait(None, 0, self.loop.now())  # one turn of the loop for the others
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(AGAIN, self._tick_again)
+        self.loop.after(RESTART_DELAY, self._tick_again)
 
     def _tick_again(self) -> None:
         if not self.over:
@@ -150,7 +160,7 @@
 
     def _end(self, token: int) -> None:
         if self.holder.token == token:
-            self._feed(LetGo())
+            self._feed(LeaseUnwanted())
 
     # ---- acts -----------------------------------------------------------------------------------
 
@@ -162,21 +172,21 @@
     def put(self, key: str, value: bytes, within: int) -> Coroutine[AnyResult]:
         """Writes under the token; the empty value takes the key away. What the copies made of it. Raises `NotActing`
         where the duty is not held, and what the caller raises where it is not known within that time (ns)."""
-        return (yield from self._act(lambda token: Fenced(self.duty, token, key, value), within))
+        return (yield from self._act(lambda token: FencedWrite(self.duty, token, key, value), within))
 
     def claim(self, act: bytes, within: int) -> Coroutine[AnyResult]:
         """Says a word on a claim of a name (`catalog.claims.written`) under the token; else as `put`."""
-        return (yield from self._act(lambda token: Named(self.duty, token, act), within))
+        return (yield from self._act(lambda token: ClaimName(self.duty, token, act), within))
 
-    def _act(self, act: Callable[[int], Fenced | Named], within: int) -> Coroutine[AnyResult]:
+    def _act(self, act: Callable[[int], FencedWrite | ClaimName], within: int) -> Coroutine[AnyResult]:
         until = self.loop.now() + within
         while self.writer.writes.busy and self.loop.now() < until:
-            yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
+            yield Wait(None, 0, self.loop.now() + BUSY_POLL_INTERVAL)
         token = self.valid_token()
         if token is None:
             raise NotActing("its lease is over", self.duty)
         result = yield from self.writer.write(act(token), max(MS, until - self.loop.now()))
-        if isinstance(result, Lower | NotHeld):
+        if isinstance(result, StaleToken | LeaseNotHeld):
             self.fenced_off = token
             self.loop.after(0, self._end, token)  # not in the middle of what acts: its end may be to end that
             raise NotActing(result.text, self.duty)
--- a/loftweir/lease/keeper.py
+++ b/loftweir/lease/keeper.py
@@ -17,23 +17,23 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from loftweir.replication.machine import SECOND, Expire, Lease
+from loftweir.replication.machine import SECOND, ExpireLease, Lease
 
-AGAIN = SECOND  # a proposal may be lost: it is made again
+REPROPOSE_DELAY = SECOND  # a proposal may be lost: it is made again
 
 
-class Counted(NamedTuple):
+class LeaseCountdown(NamedTuple):
     until: int
     token: int
     renewed: int
 
 
-class Keeper:
+class LeaseExpirer:
     """One member's. `led` and `lost` follow its leadership; `saw` follows each entry that it applies meanwhile."""
 
     def __init__(self) -> None:
         self.leads = False
-        self.counts: dict[str, Counted] = {}  # by duty
+        self.counts: dict[str, LeaseCountdown] = {}  # by duty
         self.next_at: int | None = None  # when `due` is to be asked; it may be early, never late
 
     def led(self, now: int, leases: Mapping[str, Lease]) -> None:
@@ -52,19 +52,19 @@
             return
         self.counts.pop(duty, None)
         if lease is not None:
-            self._count(duty, Counted(now + lease.ttl, lease.token, lease.renewed))
+            self._count(duty, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
 
-    def due(self, now: int) -> list[Expire]:
+    def due(self, now: int) -> list[ExpireLease]:
         """What the leader is to propose now, each as `Order("", 0, act)`."""
         if self.next_at is None or now < self.next_at:
             return []
         over = [(duty, counted) for duty, counted in self.counts.items() if counted.until <= now]
         self.next_at = None
         for duty, counted in self.counts.items():
-            again = now + AGAIN if counted.until <= now else counted.until
+            again = now + REPROPOSE_DELAY if counted.until <= now else counted.until
             self._count(duty, counted._replace(until=again))
-        return [Expire(duty, counted.token, counted.renewed) for duty, counted in over]
+        return [ExpireLease(duty, counted.token, counted.renewed) for duty, counted in over]
 
-    def _count(self, duty: str, counted: Counted) -> None:
+    def _count(self, duty: str, counted: LeaseCountdown) -> None:
         self.counts[duty] = counted
         self.next_at = counted.until if self.next_at is None else min(self.next_at, counted.until)
--- a/loftweir/replication/api.py
+++ b/loftweir/replication/api.py
@@ -14,41 +14,41 @@
 import msgspec
 
 
-class Value(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StrictStruct(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is kept or sent as msgpack; unknown fields and other types are turned away when it is read."""
 
 
 # ---- what is kept -------------------------------------------------------------------------------
 
 
-class Member(Value, frozen=True):
+class Member(StrictStruct, frozen=True):
     id: str
     name: str  # the seat
     address: str  # where it listens for members, callers and followers, host:port
     votes: bool = True  # False: it gets the log and is not counted (dissertation, 4.2.1)
 
 
-class Kind(Enum):
+class EntryKind(Enum):
     NOOP = "noop"  # a leader's first of its term: all before it are committed with it
     MEMBERS = "members"  # all the members from here on, in msgpack; in force once it is in the log, not once committed
     WRITE = "write"  # a command for the machine
 
 
-class Entry(Value, frozen=True):
+class Entry(StrictStruct, frozen=True):
     index: int  # from 1 on, without gap
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes = b""
 
 
-class Hard(Value, frozen=True):
+class HardState(StrictStruct, frozen=True):
     """Kept over a crash, before anything said in the term leaves."""
 
     term: int = 0
     vote: str = ""  # the id voted for in that term; empty: none
 
 
-class Snapshot(Value, frozen=True):
+class Snapshot(StrictStruct, frozen=True):
     """The machine as of an index, in place of all entries up to it."""
 
     index: int
@@ -57,10 +57,10 @@
     data: bytes
 
 
-class Kept(Value, frozen=True):
+class PersistentState(StrictStruct, frozen=True):
     """What a disk holds at the start."""
 
-    hard: Hard = Hard()
+    hard: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()  # behind the snapshot, without gap
 
@@ -68,25 +68,25 @@
 # ---- messages from member to member -------------------------------------------------------------
 
 
-class Message(Value, frozen=True, kw_only=True):
+class Message(StrictStruct, frozen=True, kw_only=True):
     sender: str  # ids
     to: str
     term: int
 
 
-class AskVote(Message, frozen=True, kw_only=True, tag="ask-vote"):
+class RequestVote(Message, frozen=True, kw_only=True, tag="ask-vote"):
     last_index: int
     last_term: int
     pre: bool  # a question only, for the term after the asker's: it is not entered, no vote given (dissertation, 9.6)
     handed: bool = False  # the leader itself said `LeadNow`: heard though a leader is well (dissertation, 4.2.3)
 
 
-class Vote(Message, frozen=True, kw_only=True, tag="vote"):
+class RequestVoteResponse(Message, frozen=True, kw_only=True, tag="vote"):
     granted: bool
     pre: bool
 
 
-class Append(Message, frozen=True, kw_only=True, tag="append"):
+class AppendEntries(Message, frozen=True, kw_only=True, tag="append"):
     """Entries, or none: a sign of life."""
 
     prev_index: int
@@ -96,13 +96,13 @@
     round: int  # grows with each: an answer to a later round proves the leadership of an earlier read
 
 
-class Appended(Message, frozen=True, kw_only=True, tag="appended"):
+class AppendEntriesResponse(Message, frozen=True, kw_only=True, tag="appended"):
     ok: bool
     match: int  # ok: stable up to there; else: the leader should try from behind there
     round: int
 
 
-class Piece(Message, frozen=True, kw_only=True, tag="piece"):
+class InstallSnapshot(Message, frozen=True, kw_only=True, tag="piece"):
     """A piece of a snapshot, for a member too far behind the log (paper, 7)."""
 
     index: int
@@ -114,108 +114,126 @@
     round: int
 
 
-class Taken(Message, frozen=True, kw_only=True, tag="taken"):
+class InstallSnapshotResponse(Message, frozen=True, kw_only=True, tag="taken"):
     index: int
     upto: int  # bytes held of it; the whole size: it is stable and in force
     round: int
 
 
-class LeadNow(Message, frozen=True, kw_only=True, tag="lead-now"):
+class TimeoutNow(Message, frozen=True, kw_only=True, tag="lead-now"):
     """From a leader that is about to end: stand for election at once (dissertation, 3.10)."""
 
 
-AnyMessage = AskVote | Vote | Append | Appended | Piece | Taken | LeadNow
+AnyMessage = (
+    RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | InstallSnapshotResponse
+    | TimeoutNow
+)
 
 
 # ---- events -------------------------------------------------------------------------------------
 
 
-class Tick(Value, frozen=True):
+class Tick(StrictStruct, frozen=True):
     """The time that `Core.next_at` named has come, or any other: it does no harm."""
 
 
-class Heard(Value, frozen=True):
+class MessageReceived(StrictStruct, frozen=True):
     message: AnyMessage
 
 
-class Stable(Value, frozen=True):
+class BatchSynced(StrictStruct, frozen=True):
     """All batches up to this one are on stable storage."""
 
     batch: int
 
 
-class Broken(Value, frozen=True):
+class StorageBroken(StrictStruct, frozen=True):
     """The storage failed; nothing after the last `Stable` may be trusted, nor tried again. The core ends."""
 
     why: str
 
 
-class Write(Value, frozen=True):
+class WriteRequest(StrictStruct, frozen=True):
     token: int
     data: bytes
 
 
-class Read(Value, frozen=True):
+class ReadRequest(StrictStruct, frozen=True):
     """A read that sees all that was promised before it was asked (dissertation, 6.4)."""
 
     token: int
 
 
-class Change(Value, frozen=True):
+class MembershipChange(StrictStruct, frozen=True):
     """Other members from now on; at most one voter more or less than those in force (dissertation, 4.1)."""
 
     token: int
     members: tuple[Member, ...]
 
 
-class Compact(Value, frozen=True):
+class CompactLog(StrictStruct, frozen=True):
     """The machine as of an applied index: the entries up to it may go."""
 
     index: int
     data: bytes
 
 
-class HandOver(Value, frozen=True):
+class TransferLeadership(StrictStruct, frozen=True):
     """This process is about to end: let another lead."""
 
 
-Event = Tick | Heard | Stable | Broken | Write | Read | Change | Compact | HandOver
+Event = (
+    Tick
+    | MessageReceived
+    | BatchSynced
+    | StorageBroken
+    | WriteRequest
+    | ReadRequest
+    | MembershipChange
+    | CompactLog
+    | TransferLeadership
+)
 
 
 # ---- actions, in order --------------------------------------------------------------------------
 
 
-class Keep(Value, frozen=True):
+class PersistBatch(StrictStruct, frozen=True):
     """To stable storage, in order of batches; `Stable` follows. `cut`: first drop entries from this index on."""
 
     batch: int
-    hard: Hard | None = None
+    hard: HardState | None = None
     cut: int | None = None
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None  # in place of every entry up to its index
     all_gone: bool = False  # ... and of every entry behind it too
 
 
-class Say(Value, frozen=True):
+class SendMessage(StrictStruct, frozen=True):
     """A message that leaves once batch `after` is stable; 0: at once. Lost ones are sent anew by the core."""
 
     message: AnyMessage
     after: int = 0
 
 
-class Apply(Value, frozen=True):
+class ApplyEntries(StrictStruct, frozen=True):
     """Committed entries for the machine, in order, each exactly once in the life of a process."""
 
     entries: tuple[Entry, ...]
 
 
-class Restore(Value, frozen=True):
+class RestoreSnapshot(StrictStruct, frozen=True):
     """The machine is this snapshot now; what was applied before is in it."""
 
     snapshot: Snapshot
 
 
-class Done(Value, frozen=True):
+class RequestCompleted(StrictStruct, frozen=True):
     """A write or change is committed, at this index; its `Apply` came before. Or a read may be answered from the
     machine as it is now (all up to `index` was applied before)."""
 
@@ -223,16 +241,16 @@
     index: int
 
 
-class Refusal(Enum):
+class RejectionReason(Enum):
     NOT_LEADER = "not_leader"  # never in the log: nothing happened
     LOST = "lost"  # it was in this leader's log, and it may be committed yet: the outcome is not known
     BUSY = "busy"  # too much is under way, or another change of members is: nothing happened
     UNFIT = "unfit"  # a change of members that is not one step, or of too many
 
 
-class Refused(Value, frozen=True):
+class RequestRejected(StrictStruct, frozen=True):
     token: int
-    why: Refusal
+    why: RejectionReason
 
 
 class Role(Enum):
@@ -243,7 +261,7 @@
     OUT = "out"  # not a member (not yet, or no more), or ended by its storage
 
 
-class Stands(Value, frozen=True):
+class StatusChanged(StrictStruct, frozen=True):
     """Role, term, leader or members are others now."""
 
     role: Role
@@ -252,14 +270,23 @@
     members: tuple[Member, ...]
 
 
-class WantSnapshot(Value, frozen=True):
+class TakeSnapshot(StrictStruct, frozen=True):
     """The log is long: `Compact` is wanted, of what is applied now."""
 
 
-Action = Keep | Say | Apply | Restore | Done | Refused | Stands | WantSnapshot
+Action = (
+    PersistBatch
+    | SendMessage
+    | ApplyEntries
+    | RestoreSnapshot
+    | RequestCompleted
+    | RequestRejected
+    | StatusChanged
+    | TakeSnapshot
+)
 
 
-class Timing(Value, frozen=True):
+class Timing(StrictStruct, frozen=True):
     """What the core's waits are, ns."""
 
     beat: int = 100_000_000  # of a leader, at least
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -18,27 +18,27 @@
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.net.stream import NotUp
-from loftweir.replication.api import Value
-from loftweir.replication.line import Broken, Line, dial
-from loftweir.replication.machine import Act, AnyResult, Order, UnknownSession, read_result, written
+from loftweir.replication.api import StrictStruct
+from loftweir.replication.line import CONNECTION_ERRORS, FrameConnection, dial
+from loftweir.replication.machine import AnyResult, Command, Operation, UnknownSession, decode_result, encode
 from loftweir.replication.wire import (
     VERSION,
-    Answer,
-    Ask,
+    CommandOutcome,
+    ConnectionKind,
     Frame,
     Hello,
-    How,
-    Kind,
-    Outcome,
+    OutcomeCode,
     Query,
-    Remove,
-    Submit,
+    QueryRequest,
+    QueryResponse,
+    RemoveMember,
+    SubmitCommand,
     TurnedAway,
 )
 
-LOOK_EVERY = 5 * MS  # for the turn of a write behind another one
-LAST_TRY = 100 * MS  # before the end, after which none is begun: one that is cut short would leave its outcome open
-APART = 20 * MS  # after a try that brought nothing; up to as long again at random
+BUSY_POLL_INTERVAL = 5 * MS  # for the turn of a write behind another one
+FINAL_MARGIN = 100 * MS  # before the end, after which none is begun: one that is cut short would leave its outcome open
+RETRY_DELAY = 20 * MS  # after a try that brought nothing; up to as long again at random
 
 
 class NoMajority(LoftweirError):
@@ -62,7 +62,7 @@
     remedy = "As the text says."
 
 
-class Reading(Value, frozen=True):
+class ReadResult(StrictStruct, frozen=True):
     """`sure`: all that was promised before it was asked is in it. Else it is as old as `age` says (ns, None: unknown),
     since nobody with a majority could be asked."""
 
@@ -79,15 +79,17 @@
         """`known`: an index that this sidecar has heard of."""
         self.loop = loop
         self.known = known
-        hello = Hello(VERSION, options.cluster, id, name, Kind.CALLER)
-        self.writes, self.reads = (Way(loop, hello, options, seats, Random(f"{name} {id} {n}")) for n in range(2))
+        hello = Hello(VERSION, options.cluster, id, name, ConnectionKind.CALLER)
+        self.writes, self.reads = (
+            LeaderConnection(loop, hello, options, seats, Random(f"{name} {id} {n}")) for n in range(2)
+        )
         self.session, self.number, self.since = "", 0, 0
 
     def close(self) -> None:
         self.writes.close()
         self.reads.close()
 
-    def write(self, act: Act, within: int) -> Coroutine[AnyResult]:
+    def write(self, act: Operation, within: int) -> Coroutine[AnyResult]:
         """What the copies made of it. Raises `NoMajority` and `OutcomeUnknown`, both within the time (ns)."""
         until = self.loop.now() + within
         yield from self.writes.take(until)
@@ -96,11 +98,11 @@
                 if not self.session:
                     self.session, self.number, self.since = secrets.token_hex(8), 0, max(self.since, self.known())
                 self.number += 1
-                order = written(Order(self.session, self.number, act, self.since))
+                order = encode(Command(self.session, self.number, act, self.since))
                 outcome, uncertain = yield from self.writes.ask(_submit(order), until)
-                assert isinstance(outcome, Outcome)
+                assert isinstance(outcome, CommandOutcome)
                 try:
-                    result = read_result(outcome.result)
+                    result = decode_result(outcome.result)
                 except msgspec.MsgspecError:
                     raise OutcomeUnknown("an outcome that can't be read", self.writes.at) from None
                 if not isinstance(result, UnknownSession):
@@ -118,36 +120,36 @@
         until = self.loop.now() + within
         yield from self.writes.take(until)
         try:
-            outcome, uncertain = yield from self.writes.ask(lambda token: Remove(token, name), until)
+            outcome, uncertain = yield from self.writes.ask(lambda token: RemoveMember(token, name), until)
         finally:
             self.writes.busy = False
-        assert isinstance(outcome, Outcome)
-        if outcome.how is How.UNFIT and not uncertain:
+        assert isinstance(outcome, CommandOutcome)
+        if outcome.how is OutcomeCode.UNFIT and not uncertain:
             raise NotTaken(outcome.result.decode("utf-8", "replace") or "not a change that can be made now")
 
-    def read(self, query: Query, within: int) -> Coroutine[Reading]:
+    def read(self, query: Query, within: int) -> Coroutine[ReadResult]:
         """What holds, for sure where a leader with a majority is found in time; else the best of what was answered.
         Raises `NoMajority` where nobody answered at all."""
         until = self.loop.now() + within
-        best: list[Answer] = []
+        best: list[QueryResponse] = []
         yield from self.reads.take(until)
         try:
-            answer, _ = yield from self.reads.ask(lambda token: Ask(token, query), until, best)
+            answer, _ = yield from self.reads.ask(lambda token: QueryRequest(token, query), until, best)
         except (NoMajority, OutcomeUnknown) as error:
             if not best:
                 raise NoMajority(error.what) from None
             answer = max(best, key=lambda a: a.index)
         finally:
             self.reads.busy = False
-        assert isinstance(answer, Answer)
-        return Reading(answer.sure, answer.index, answer.age, msgspec.msgpack.decode(answer.value))
+        assert isinstance(answer, QueryResponse)
+        return ReadResult(answer.sure, answer.index, answer.age, msgspec.msgpack.decode(answer.value))
 
 
 def _submit(order: bytes) -> Callable[[int], Frame]:
-    return lambda token: Submit(token, order)
+    return lambda token: SubmitCommand(token, order)
 
 
-class Way:
+class LeaderConnection:
     """To whoever leads, by way of any voter; one at a time goes it.
 
     Invariant: `line` is to `at`, by `address`, and only who took the way (`busy`) speaks on it."""
@@ -162,7 +164,7 @@
         random.shuffle(self.order)
         self.at = self.order[0]
         self.address = seats[self.at]
-        self.line: Line | None = None
+        self.line: FrameConnection | None = None
         self.tokens = 0
         self.busy = False
 
@@ -175,15 +177,15 @@
         while self.busy:
             if self.loop.now() >= until:
                 raise NoMajority("what came before it took all the time")
-            yield Wait(None, 0, min(until, self.loop.now() + LOOK_EVERY))
+            yield Wait(None, 0, min(until, self.loop.now() + BUSY_POLL_INTERVAL))
         self.busy = True
 
     def ask(
-        self, frame: Callable[[int], Frame], until: int, unsure: list[Answer] | None = None
-    ) -> Coroutine[tuple[Outcome | Answer, bool]]:
+        self, frame: Callable[[int], Frame], until: int, unsure: list[QueryResponse] | None = None
+    ) -> Coroutine[tuple[CommandOutcome | QueryResponse, bool]]:
         """The final answer, and whether an earlier try may have come true as well. `unsure` gets the others."""
         uncertain, why = False, "none of the members could be reached"
-        last = max(self.loop.now() + 1, until - LAST_TRY)
+        last = max(self.loop.now() + 1, until - FINAL_MARGIN)
         while (now := self.loop.now()) < last:
             try:
                 line = yield from self._connected(min(until, now + SECOND))
@@ -197,32 +199,32 @@
             try:
                 line.put(frame(self.tokens))
                 answer = yield from self._answer(line, self.tokens, min(until, self.loop.now() + self.a_try))
-            except Broken as error:
+            except CONNECTION_ERRORS as error:
                 uncertain, why = True, f"{self.at}: {str(error) or 'no answer'}"
                 self._turn()
                 yield from self._pause(until)
                 continue
-            if answer.how in (How.DONE, How.UNFIT):
+            if answer.how in (OutcomeCode.DONE, OutcomeCode.UNFIT):
                 return answer, uncertain
-            if isinstance(answer, Answer) and unsure is not None:
+            if isinstance(answer, QueryResponse) and unsure is not None:
                 unsure.append(answer)
-            uncertain = uncertain or answer.how is How.LOST
+            uncertain = uncertain or answer.how is OutcomeCode.LOST
             why = f"{self.at}: {answer.how.value}"
-            if answer.how is not How.BUSY:
+            if answer.how is not OutcomeCode.BUSY:
                 self._turn(answer.leader, answer.address)
-            if answer.leader == "" or answer.how is How.BUSY:
+            if answer.leader == "" or answer.how is OutcomeCode.BUSY:
                 yield from self._pause(until)
         if uncertain:
             raise OutcomeUnknown(f"no outcome in time, last: {why}")
         raise NoMajority(f"not taken in time, last: {why}")
 
-    def _answer(self, line: Line, token: int, until: int) -> Coroutine[Outcome | Answer]:
+    def _answer(self, line: FrameConnection, token: int, until: int) -> Coroutine[CommandOutcome | QueryResponse]:
         while True:
             found = yield from line.next(until)
-            if isinstance(found, Outcome | Answer) and found.token == token:
+            if isinstance(found, CommandOutcome | QueryResponse) and found.token == token:
                 return found
 
-    def _connected(self, until: int) -> Coroutine[Line]:
+    def _connected(self, until: int) -> Coroutine[FrameConnection]:
         line = self.line
         if line is None or not line.alive():
             self.close()
@@ -241,5 +243,5 @@
         self.address = self.seats[self.at]
 
     def _pause(self, until: int) -> Coroutine[None]:
-        pause = APART + self.random.randrange(APART)
+        pause = RETRY_DELAY + self.random.randrange(RETRY_DELAY)
         yield Wait(None, 0, min(until, self.loop.now() + pause))
--- a/loftweir/replication/core.py
+++ b/loftweir/replication/core.py
@@ -33,47 +33,47 @@
 
 from loftweir.replication.api import (
     Action,
-    Append,
-    Appended,
-    AskVote,
-    Broken,
-    Change,
-    Compact,
+    AppendEntries,
+    AppendEntriesResponse,
+    BatchSynced,
+    CompactLog,
     Entry,
+    EntryKind,
     Event,
-    HandOver,
-    Hard,
-    Heard,
-    Kept,
-    Kind,
-    LeadNow,
+    HardState,
+    InstallSnapshot,
+    InstallSnapshotResponse,
     Member,
-    Piece,
-    Read,
-    Refusal,
-    Refused,
-    Restore,
+    MembershipChange,
+    MessageReceived,
+    PersistentState,
+    ReadRequest,
+    RejectionReason,
+    RequestRejected,
+    RequestVote,
+    RequestVoteResponse,
+    RestoreSnapshot,
     Role,
-    Say,
-    Stable,
-    Taken,
+    SendMessage,
+    StorageBroken,
     Tick,
+    TimeoutNow,
     Timing,
-    Vote,
-    Write,
+    TransferLeadership,
+    WriteRequest,
 )
 from loftweir.replication.raft.election import Election
 from loftweir.replication.raft.follower import Follower
 from loftweir.replication.raft.invariants import Invariants
 from loftweir.replication.raft.state import NEVER
 
-__all__ = ["NEVER", "Core", "begun"]
+__all__ = ["NEVER", "Core", "founding_state"]
 
 
-def begun(members: Iterable[Member]) -> Kept:
+def founding_state(members: Iterable[Member]) -> PersistentState:
     """The disk that founds a cluster: for one member only, which leads first; the others begin with empty disks."""
     data = msgspec.msgpack.encode(tuple(members))
-    return Kept(Hard(1), None, (Entry(1, 1, Kind.MEMBERS, data),))
+    return PersistentState(HardState(1), None, (Entry(1, 1, EntryKind.MEMBERS, data),))
 
 
 class Core(Election, Follower, Invariants):
@@ -81,24 +81,24 @@
     taken in yet. The machine is rebuilt from the first actions on: a `Restore` where there is a snapshot, then what is
     committed behind it."""
 
-    def __init__(self, me: str, kept: Kept, timing: Timing, random: Random, now: int) -> None:
+    def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
         super().__init__(me, kept, timing, random, now)
         self._configured()
         self._restart_wait()
         if kept.snapshot is not None:
-            self._out.append(Restore(kept.snapshot))
+            self._out.append(RestoreSnapshot(kept.snapshot))
 
     def step(self, now: int, event: Event) -> list[Action]:
         """Times that go back are taken as the latest seen. Raises nothing on what others send."""
         if now > self._now:
             self._now = now
         if self.broken:
-            if isinstance(event, (Write, Read, Change)):
-                return [Refused(event.token, Refusal.NOT_LEADER)]
+            if isinstance(event, (WriteRequest, ReadRequest, MembershipChange)):
+                return [RequestRejected(event.token, RejectionReason.NOT_LEADER)]
             return []
         if self.role is Role.LEADER and self._now >= self._quorum_until:
             self._check_quorum()
-        getattr(self, _STEPS[type(event)])(event)
+        getattr(self, _EVENT_HANDLERS[type(event)])(event)
         if self._now >= self.next_at:
             self._time_passed()
         return self._flushed()
@@ -130,7 +130,7 @@
         else:
             self._ask_votes()
 
-    def _stable(self, event: Stable) -> None:
+    def _stable(self, event: BatchSynced) -> None:
         while self._pending and self._pending[0][0] <= event.batch:
             self._stable_batch, self.stable_index = self._pending.popleft()
         if self.role is Role.CANDIDATE:
@@ -138,59 +138,59 @@
         elif self.role is Role.LEADER:
             self._count()
 
-    def _ended(self, event: Broken) -> None:
+    def _ended(self, event: StorageBroken) -> None:
         self.broken = event.why or "broken"
-        self._give_back(Refusal.LOST)
+        self._give_back(RejectionReason.LOST)
         self._peers, self._voting = {}, []
         self.role, self.leader, self._incoming = Role.OUT, "", None
-        self._out = [action for action in self._out if not isinstance(action, Say)]
+        self._out = [action for action in self._out if not isinstance(action, SendMessage)]
 
     # ---- messages -------------------------------------------------------------------------------
 
-    def _heard(self, event: Heard) -> None:
+    def _heard(self, event: MessageReceived) -> None:
         m = event.message
         if m.to == self.me:
-            getattr(self, _HEARD[type(m)])(m)
+            getattr(self, _MESSAGE_HANDLERS[type(m)])(m)
 
     # ---- what the host asks ---------------------------------------------------------------------
 
-    def _write(self, event: Write) -> None:
+    def _write(self, event: WriteRequest) -> None:
         if not self._may_take(event.token):
             return
         if self._hand_to:
-            self._out.append(Refused(event.token, Refusal.BUSY))
+            self._out.append(RequestRejected(event.token, RejectionReason.BUSY))
             return
         self._owed.append((self.last_index + 1, event.token))
-        self._propose(Kind.WRITE, event.data)
+        self._propose(EntryKind.WRITE, event.data)
 
-    def _change(self, event: Change) -> None:
+    def _change(self, event: MembershipChange) -> None:
         if not self._may_take(event.token):
             return
         refused = self._unfit(event.members)
         if refused is not None:
-            self._out.append(Refused(event.token, refused))
+            self._out.append(RequestRejected(event.token, refused))
             return
         self._owed.append((self.last_index + 1, event.token))
-        self._propose(Kind.MEMBERS, msgspec.msgpack.encode(event.members))
+        self._propose(EntryKind.MEMBERS, msgspec.msgpack.encode(event.members))
 
 
-_STEPS = {
+_EVENT_HANDLERS = {
     Tick: "_ticked",
-    Heard: "_heard",
-    Stable: "_stable",
-    Broken: "_ended",
-    Write: "_write",
-    Read: "_read",
-    Change: "_change",
-    Compact: "_compact",
-    HandOver: "_hand_over",
+    MessageReceived: "_heard",
+    BatchSynced: "_stable",
+    StorageBroken: "_ended",
+    WriteRequest: "_write",
+    ReadRequest: "_read",
+    MembershipChange: "_change",
+    CompactLog: "_compact",
+    TransferLeadership: "_hand_over",
 }
-_HEARD = {
-    AskVote: "_ask_vote",
-    Vote: "_vote",
-    Append: "_append_heard",
-    Appended: "_appended",
-    Piece: "_piece_heard",
-    Taken: "_taken",
-    LeadNow: "_lead_now",
+_MESSAGE_HANDLERS = {
+    RequestVote: "_ask_vote",
+    RequestVoteResponse: "_vote",
+    AppendEntries: "_append_heard",
+    AppendEntriesResponse: "_appended",
+    InstallSnapshot: "_piece_heard",
+    InstallSnapshotResponse: "_taken",
+    TimeoutNow: "_lead_now",
 }
--- a/loftweir/replication/disk.py
+++ b/loftweir/replication/disk.py
@@ -27,62 +27,62 @@
 from queue import Empty, SimpleQueue
 
 from loftweir.replication import journal
-from loftweir.replication.api import Broken, Keep, Kept, Snapshot, Stable
+from loftweir.replication.api import BatchSynced, PersistBatch, PersistentState, Snapshot, StorageBroken
 from loftweir.replication.folder import (
     MARK,
     Folder,
-    Report,
+    OpenReport,
     StorageDamaged,
     StorageFailed,
-    copy_name,
-    failing,
+    as_storage_failed,
     segment_name,
+    snapshot_name,
     write_whole,
 )
-from loftweir.replication.journal import Copy, Mark, Named, Unfit
-from loftweir.replication.reading import Found, read, tidy
+from loftweir.replication.journal import InvalidRecord, Mark, SnapshotContent, SnapshotFile
+from loftweir.replication.reading import RecoveredFolder, read_folder, remove_obsolete_files
 
 SEGMENT_BYTES = 4 * 1024 * 1024
 GROUP_BYTES = 1024 * 1024
 
 
-def open_disk(path: Path, cluster: str, segment_bytes: int = SEGMENT_BYTES) -> tuple[Disk, Kept, Report]:
+def open_disk(path: Path, cluster: str, segment_bytes: int = SEGMENT_BYTES) -> tuple[Disk, PersistentState, OpenReport]:
     """The disk of the member whose folder this is, what it holds, and what there is to log. Where the files can't be
     trusted they are set aside and a new disk is begun, with a new id (`Report.damage`). The folder is made where it
     isn't there; what it is in must be. `FolderInUse`; `StorageFailed`: reading or writing failed, nothing is lost."""
     damage, before, aside = None, "", None
-    with failing(path, "the folder can't be used"):
+    with as_storage_failed(path, "the folder can't be used"):
         folder = Folder(path)
     try:
-        with failing(path, "the folder can't be read or begun"):
+        with as_storage_failed(path, "the folder can't be read or begun"):
             begun = folder.begins()
             if not begun:
                 try:
-                    found = read(folder, cluster)
+                    found = read_folder(folder, cluster)
                 except StorageDamaged as error:
                     damage, before, aside, begun = error, folder.last_id(), folder.set_aside(), True
             if begun:
                 folder.begin(cluster)
-                found = read(folder, cluster)
+                found = read_folder(folder, cluster)
             disk = Disk(folder, found, segment_bytes)
     except BaseException:
         folder.close()
         raise
-    return disk, found.kept, Report(disk.member, begun, found.torn, damage, before, aside)
+    return disk, found.kept, OpenReport(disk.member, begun, found.torn, damage, before, aside)
 
 
 class Disk:
     """Called from the loop's thread only."""
 
-    def __init__(self, folder: Folder, found: Found, segment_bytes: int) -> None:
+    def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
         self.member = found.tape.identity.member
         self.lost = folder.lost()
         self.failure: StorageFailed | None = None  # set before its `Broken` is told
         self._folder = folder
         self._writer = _Writer(folder, found, segment_bytes)
         self._ends = False
-        self._asked: SimpleQueue[Keep | None] = SimpleQueue()
-        self._told: deque[Stable | Broken] = deque()
+        self._asked: SimpleQueue[PersistBatch | None] = SimpleQueue()
+        self._told: deque[BatchSynced | StorageBroken] = deque()
         self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._thread = threading.Thread(target=self._run, name="replication-disk", daemon=True)
         self._thread.start()
@@ -91,12 +91,12 @@
         """Readable when `taken` has something."""
         return self._wake
 
-    def keep(self, keep: Keep) -> None:
+    def keep(self, keep: PersistBatch) -> None:
         """Batches in their order; nothing comes of one asked for after a failure."""
         if self.failure is None:
             self._asked.put(keep)
 
-    def taken(self) -> list[Stable | Broken]:
+    def taken(self) -> list[BatchSynced | StorageBroken]:
         with suppress(BlockingIOError):
             os.eventfd_read(self._wake)
         told = []
@@ -105,7 +105,7 @@
                 told.append(self._told.popleft())
         return told
 
-    def close(self, within: float = 5.0) -> list[Stable | Broken]:
+    def close(self, within: float = 5.0) -> list[BatchSynced | StorageBroken]:
         """Keeps what was asked for, gives what was not taken yet, and lets the folder go, which the thread does: waited
         for `within` seconds. A disk that never answers keeps its files and the lock until the process ends."""
         self._asked.put(None)
@@ -129,18 +129,18 @@
                     batch = keep.batch
                 if batch is not None:
                     writer.sync()
-                    self._tell(Stable(batch))
-                    writer.tidy()
+                    self._tell(BatchSynced(batch))
+                    writer.remove_obsolete()
         except Exception as error:  # whatever it was, nothing more may be promised
             self.failure = writer.failed(error)
-            self._tell(Broken(str(self.failure)))
+            self._tell(StorageBroken(str(self.failure)))
             while self._asked.get() is not None:  # the folder is this one's until its owner has heard
                 pass
         finally:
             writer.close()
             self._folder.close()
 
-    def _waiting(self) -> Iterator[Keep]:
+    def _waiting(self) -> Iterator[PersistBatch]:
         """One group: all that is asked for by now, and at least one batch, unless it is the end."""
         keep = self._asked.get()
         while keep is not None:
@@ -153,7 +153,7 @@
                 return
         self._ends = True
 
-    def _tell(self, report: Stable | Broken) -> None:
+    def _tell(self, report: BatchSynced | StorageBroken) -> None:
         self._told.append(report)
         os.eventfd_write(self._wake, 1)
 
@@ -161,7 +161,7 @@
 class _Writer:
     """The files, as the thread writes them."""
 
-    def __init__(self, folder: Folder, found: Found, segment_bytes: int) -> None:
+    def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
         self._folder, self._tape, self._size, self._limit = folder, found.tape, found.size, segment_bytes
         self._data = bytearray()  # to be written in one go
         self._fresh = False  # the segment is new
@@ -176,7 +176,7 @@
         """Bytes of the group so far."""
         return len(self._data)
 
-    def add(self, keep: Keep) -> None:
+    def add(self, keep: PersistBatch) -> None:
         """A batch to the group; a snapshot is written at once, for the log may only name one that is stable."""
         if not self._data and self._size >= self._limit:
             self._data += self._tape.begin()
@@ -205,20 +205,20 @@
 
     def _write_mark(self) -> None:
         tape = self._tape
-        data = journal.mark_written(Mark(tape.segment, self._size, tape.next - 1, tape.crc), tape.identity)
+        data = journal.encode_mark(Mark(tape.segment, self._size, tape.next - 1, tape.crc), tape.identity)
         if os.pwrite(self._mark, data, 0) != len(data):
             raise OSError("the mark was written in part only")
 
-    def tidy(self) -> None:
+    def remove_obsolete(self) -> None:
         """Once a snapshot stands in the place of entries, what it replaced goes."""
         if self._copied:
             self._copied = False
-            tidy(self._folder, self._tape)
+            remove_obsolete_files(self._folder, self._tape)
 
-    def _copy(self, snapshot: Snapshot) -> Named:
+    def _copy(self, snapshot: Snapshot) -> SnapshotFile:
         self._number += 1
-        data, named = journal.copy_written(Copy(self._tape.identity, self._number, snapshot))
-        self._folder.put(copy_name(self._number), data)
+        data, named = journal.encode_snapshot(SnapshotContent(self._tape.identity, self._number, snapshot))
+        self._folder.put(snapshot_name(self._number), data)
         self._copied = True
         return named
 
@@ -231,7 +231,7 @@
         match error:
             case OSError():
                 return StorageFailed(error.strerror or str(error), error.filename or where)
-            case Unfit():
+            case InvalidRecord():
                 return StorageFailed(f"asked to keep what can't follow: {error}", where)
         return StorageFailed(f"unforeseen: {error!r}", where)
 
--- a/loftweir/replication/folder.py
+++ b/loftweir/replication/folder.py
@@ -27,13 +27,13 @@
 
 from loftweir.errors import LoftweirError
 from loftweir.replication import journal
-from loftweir.replication.journal import Identity, Mark, Tape
+from loftweir.replication.journal import Identity, LogState, Mark
 from loftweir.state.sealed import Damaged
 
-IDENTITY, MARK, NEW = "identity", "mark", ".new"
-SEGMENT, COPY, ASIDE = "segment-", "snapshot-", "damaged-"
-ASIDE_KEPT = 3
-BEGINNING = {IDENTITY + NEW, MARK, MARK + NEW, f"{SEGMENT}{1:010d}", f"{SEGMENT}{1:010d}{NEW}"}
+IDENTITY, MARK, NEW_SUFFIX = "identity", "mark", ".new"
+SEGMENT, SNAPSHOT, DAMAGED = "segment-", "snapshot-", "damaged-"
+MAX_DAMAGED_FOLDERS = 3
+INITIAL_FILES = {IDENTITY + NEW_SUFFIX, MARK, MARK + NEW_SUFFIX, f"{SEGMENT}{1:010d}", f"{SEGMENT}{1:010d}{NEW_SUFFIX}"}
 
 
 class StorageFailed(LoftweirError):
@@ -64,7 +64,7 @@
     remedy = "Give each member a folder of its own, or end the other process first."
 
 
-class Report(NamedTuple):
+class OpenReport(NamedTuple):
     """What a start met, for the log."""
 
     member: str
@@ -79,12 +79,12 @@
     return f"{SEGMENT}{number:010d}"
 
 
-def copy_name(number: int) -> str:
-    return f"{COPY}{number:010d}"
+def snapshot_name(number: int) -> str:
+    return f"{SNAPSHOT}{number:010d}"
 
 
 @contextmanager
-def failing(where: Path, what: str) -> Iterator[None]:
+def as_storage_failed(where: Path, what: str) -> Iterator[None]:
     """OSError as `StorageFailed`."""
     try:
         yield
@@ -134,7 +134,7 @@
 
     def put_beside(self, name: str, data: bytes) -> None:
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-        descriptor = os.open(self.path / (name + NEW), flags, 0o600)
+        descriptor = os.open(self.path / (name + NEW_SUFFIX), flags, 0o600)
         try:
             write_whole(descriptor, data)
             os.fsync(descriptor)
@@ -142,7 +142,7 @@
             os.close(descriptor)
 
     def settle(self, name: str) -> None:
-        os.rename(self.path / (name + NEW), self.path / name)
+        os.rename(self.path / (name + NEW_SUFFIX), self.path / name)
         self.sync()
 
     def remove(self, name: str) -> None:
@@ -152,8 +152,8 @@
 
     def own(self) -> list[str]:
         """The names of all the files here that are of a voter."""
-        named, numbered = (IDENTITY, MARK), (SEGMENT, COPY)
-        return [n for n in os.listdir(self.path) if n.removesuffix(NEW) in named or n.startswith(numbered)]
+        named, numbered = (IDENTITY, MARK), (SEGMENT, SNAPSHOT)
+        return [n for n in os.listdir(self.path) if n.removesuffix(NEW_SUFFIX) in named or n.startswith(numbered)]
 
     def numbers(self, kind: str) -> list[int]:
         """Of the segments or snapshots, in order."""
@@ -166,37 +166,37 @@
         """A new disk. The identity comes last: until then nobody has heard the id, and a crash leaves nothing to keep
         (`begins`)."""
         identity = Identity(cluster, secrets.token_hex(16))
-        tape = Tape(identity)
-        self.put_beside(IDENTITY, journal.identity_written(identity))
+        tape = LogState(identity)
+        self.put_beside(IDENTITY, journal.encode_identity(identity))
         first = tape.begin()
         self.put(segment_name(tape.segment), first)
-        self.put(MARK, journal.mark_written(Mark(tape.segment, len(first), 0, tape.crc), identity))
+        self.put(MARK, journal.encode_mark(Mark(tape.segment, len(first), 0, tape.crc), identity))
         self.settle(IDENTITY)
         return identity
 
     def begins(self) -> bool:
         """Whether there is nothing to read: no file of a voter, or only those of a beginning that a crash ended."""
         names = set(self.own())
-        return not names or (IDENTITY + NEW in names and names <= BEGINNING)
+        return not names or (IDENTITY + NEW_SUFFIX in names and names <= INITIAL_FILES)
 
     def lost(self) -> bool:
         """Whether files were set aside here, by any process: something may have been promised by them."""
-        return any(name.startswith(ASIDE) for name in os.listdir(self.path))
+        return any(name.startswith(DAMAGED) for name in os.listdir(self.path))
 
     def set_aside(self) -> Path:
         """All files into a folder beside them. Where a crash ends that midway, the rest is set aside at the next start,
         for each of the files is missed when it is gone."""
-        ends = (name.removeprefix(ASIDE) for name in os.listdir(self.path) if name.startswith(ASIDE))
+        ends = (name.removeprefix(DAMAGED) for name in os.listdir(self.path) if name.startswith(DAMAGED))
         old = sorted(int(end) for end in ends if end.isdecimal())
-        aside = self.path / f"{ASIDE}{old[-1] + 1 if old else 1}"
+        aside = self.path / f"{DAMAGED}{old[-1] + 1 if old else 1}"
         os.mkdir(aside, 0o700)
         for name in os.listdir(self.path):
             if not (self.path / name).is_dir():
                 os.rename(self.path / name, aside / name)
         self._sync_path(aside)
         self.sync()
-        for number in old[: -(ASIDE_KEPT - 1)]:
-            shutil.rmtree(self.path / f"{ASIDE}{number}", ignore_errors=True)
+        for number in old[: -(MAX_DAMAGED_FOLDERS - 1)]:
+            shutil.rmtree(self.path / f"{DAMAGED}{number}", ignore_errors=True)
         return aside
 
     def bytes_of(self, name: str) -> bytes:
@@ -205,9 +205,9 @@
     def last_id(self) -> str:
         """The id in files that can't be trusted, for the log; empty: it can't be read."""
         with suppress(Damaged, OSError):
-            return journal.identity_read(self.bytes_of(IDENTITY)).member
+            return journal.decode_identity(self.bytes_of(IDENTITY)).member
         for number in self.numbers(SEGMENT):
             with suppress(Damaged, OSError):
-                for _, head, _, _ in journal.scanned(self.bytes_of(segment_name(number))):
-                    return head.identity.member if isinstance(head, journal.Head) else ""
+                for _, head, _, _ in journal.scan_records(self.bytes_of(segment_name(number))):
+                    return head.identity.member if isinstance(head, journal.SegmentHeader) else ""
         return ""
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -17,18 +17,30 @@
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp, TookTooLong
-from loftweir.replication.line import Line, dial
+from loftweir.replication.line import FrameConnection, dial
 from loftweir.replication.machine import Machine
-from loftweir.replication.wire import VERSION, Fetch, Follow, Frame, Hello, Kind, News, Whole
+from loftweir.replication.wire import (
+    VERSION,
+    ConnectionKind,
+    FetchSnapshot,
+    FollowRequest,
+    FollowResponse,
+    Frame,
+    Hello,
+    SnapshotChunk,
+)
 from loftweir.telemetry.catalogue import REPLICATION_FOLLOWS, REPLICATION_LOST
 from loftweir.telemetry.log import say
 
-SILENT_AFTER = SECOND  # past its wait, until a call for news is given up
-ANSWER_WITHIN = 2 * SECOND  # for a piece of the whole
-NEXT_WITHIN = 60 * MS  # at random, until the next voter is asked after one that failed
-APART, MOST_APART = 100 * MS, SECOND  # after a round over all voters that brought nothing; twice as long each time
-OLD = 3  # election timeouts that a voter may be without a leader, until another one is tried
-LARGEST = 512 * 1024 * 1024  # bytes of a machine as a whole
+RESPONSE_GRACE = SECOND  # past its wait, until a call for news is given up
+CHUNK_TIMEOUT = 2 * SECOND  # for a piece of the whole
+MAX_SWITCH_DELAY = 60 * MS  # at random, until the next voter is asked after one that failed
+MIN_ROUND_DELAY, MAX_ROUND_DELAY = (
+    100 * MS,
+    SECOND,
+)  # after a round over all voters that brought nothing; twice as long each time
+MAX_LEADERLESS_ELECTIONS = 3  # election timeouts that a voter may be without a leader, until another one is tried
+MAX_SNAPSHOT_SIZE = 512 * 1024 * 1024  # bytes of a machine as a whole
 
 
 class NotFollowed(LoftweirError):
@@ -51,7 +63,7 @@
     """A member that has less than this sidecar, or has been without a leader for long."""
 
 
-class Follower:
+class Observer:
     """`applied` is called after each change of the machine."""
 
     def __init__(
@@ -65,7 +77,7 @@
     ) -> None:
         self.loop = loop
         self.options = options
-        self.hello = Hello(VERSION, options.cluster, id, name, Kind.FOLLOWER)
+        self.hello = Hello(VERSION, options.cluster, id, name, ConnectionKind.FOLLOWER)
         voters = [(other, address) for other, address in seats.items() if other != name]
         first = crc32(name.encode()) % len(voters)
         self.voters = voters[first:] + voters[:first]
@@ -81,7 +93,7 @@
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(MOST_APART, self._again)
+        self.loop.after(MAX_ROUND_DELAY, self._again)
 
     def _again(self) -> None:
         if not self.over:
@@ -95,7 +107,7 @@
         self.task.cancel()
 
     def _run(self) -> Coroutine[None]:
-        turn, failed, apart = 0, 0, APART
+        turn, failed, apart = 0, 0, MIN_ROUND_DELAY
         while True:
             self.member, address = self.voters[turn % len(self.voters)]
             begun_at, why = self.loop.now(), ""
@@ -114,26 +126,26 @@
             self.follows = ""
             say(REPLICATION_LOST, member=self.member, why=why)
             turn += 1
-            if self.loop.now() - begun_at > self.options.follow_wait + SILENT_AFTER:
-                failed, apart = 0, APART  # it worked for a while
+            if self.loop.now() - begun_at > self.options.follow_wait + RESPONSE_GRACE:
+                failed, apart = 0, MIN_ROUND_DELAY  # it worked for a while
             failed += 1
             if failed % len(self.voters):
-                pause = self.random.randrange(NEXT_WITHIN)
+                pause = self.random.randrange(MAX_SWITCH_DELAY)
             else:
                 pause = apart // 2 + self.random.randrange(apart)
-                apart = min(2 * apart, MOST_APART)
+                apart = min(2 * apart, MAX_ROUND_DELAY)
             yield Wait(None, 0, self.loop.now() + pause)
 
-    def _follow(self, line: Line) -> Coroutine[None]:
+    def _follow(self, line: FrameConnection) -> Coroutine[None]:
         """Call after call, until one fails."""
         first = True
         while True:
             # The first does not wait: it is soon known whether this one is of use.
             wait = 0 if first else self.options.follow_wait
             after = self.machine.index
-            line.put(Follow(after, wait))
-            news = yield from self._next(line, wait + SILENT_AFTER)
-            if not isinstance(news, News):
+            line.put(FollowRequest(after, wait))
+            news = yield from self._next(line, wait + RESPONSE_GRACE)
+            if not isinstance(news, FollowResponse):
                 raise Gap(f"not news: {type(news).__name__}", self.member)
             yield from self._take(line, news, after)
             if first:
@@ -141,10 +153,10 @@
                 say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
             first = False
 
-    def _next(self, line: Line, within: int) -> Coroutine[Frame]:
+    def _next(self, line: FrameConnection, within: int) -> Coroutine[Frame]:
         return (yield from line.next(self.loop.now() + within))
 
-    def _take(self, line: Line, news: News, after: int) -> Coroutine[None]:
+    def _take(self, line: FrameConnection, news: FollowResponse, after: int) -> Coroutine[None]:
         members = frozenset(news.members)
         if news.after != after:
             raise Gap(f"news from behind {news.after}, where {after} was asked", self.member)
@@ -162,7 +174,7 @@
         if news.whole:
             yield from self._fetch(line, anew=False)
             return
-        if not news.entries and (news.age is None or news.age > OLD * self.options.election):
+        if not news.entries and (news.age is None or news.age > MAX_LEADERLESS_ELECTIONS * self.options.election):
             raise Behind("without a leader", self.member)
         for entry in news.entries:
             if entry.index != self.machine.index + 1:
@@ -177,18 +189,18 @@
         if news.entries:
             self.applied()
 
-    def _knows(self, news: News | Whole, members: frozenset[str]) -> None:
+    def _knows(self, news: FollowResponse | SnapshotChunk, members: frozenset[str]) -> None:
         self.leader, self.members = news.leader, members or self.members
         if news.age is not None:
             self.known_at = max(self.known_at or 0, self.loop.now() - news.age)
 
-    def _fetch(self, line: Line, anew: bool) -> Coroutine[None]:
+    def _fetch(self, line: FrameConnection, anew: bool) -> Coroutine[None]:
         """The machine as a whole, piece by piece. `anew`: it need not be a later state of the one held."""
         index, data = 0, bytearray()
         while True:
-            line.put(Fetch(index, len(data)))
-            piece = yield from self._next(line, ANSWER_WITHIN)
-            if not isinstance(piece, Whole) or piece.size > LARGEST:
+            line.put(FetchSnapshot(index, len(data)))
+            piece = yield from self._next(line, CHUNK_TIMEOUT)
+            if not isinstance(piece, SnapshotChunk) or piece.size > MAX_SNAPSHOT_SIZE:
                 raise Gap(f"not a piece of the whole: {type(piece).__name__}", self.member)
             if piece.index != index or piece.at == 0:
                 index, data = piece.index, bytearray()  # a newer one
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -8,34 +8,44 @@
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp
 from loftweir.replication.api import Member
-from loftweir.replication.line import Broken, dial
+from loftweir.replication.line import CONNECTION_ERRORS, dial
 from loftweir.replication.member import Removed, Voter
-from loftweir.replication.seats import founders, waits_for
-from loftweir.replication.wire import VERSION, Am, Frame, Hello, Join, Joined, Kind, TurnedAway, Who
+from loftweir.replication.seats import founding_members, waiting_reason
+from loftweir.replication.wire import (
+    VERSION,
+    ConnectionKind,
+    Frame,
+    Hello,
+    JoinRequest,
+    JoinResponse,
+    StatusRequest,
+    StatusResponse,
+    TurnedAway,
+)
 from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
 from loftweir.telemetry.log import say
 
-ASK_EVERY = 200 * MS  # while it is no member; half as long again at random
-STEP_APART = 30 * MS  # from one step of joining to the next
-LOOK_EVERY = SECOND  # once it is a member
-ANSWER_WITHIN = SECOND
-LONG = 4  # election timeouts without a leader, after which a member asks whether it still is one
-SILENT_FOR = 3 * SECOND  # from the start, before waiting is worth a line
+STATUS_INTERVAL = 200 * MS  # while it is no member; half as long again at random
+STEP_INTERVAL = 30 * MS  # from one step of joining to the next
+MEMBER_CHECK_INTERVAL = SECOND  # once it is a member
+RESPONSE_TIMEOUT = SECOND
+LEADERLESS_ELECTIONS = 4  # election timeouts without a leader, after which a member asks whether it still is one
+WAIT_LOG_DELAY = 3 * SECOND  # from the start, before waiting is worth a line
 
-LOST = (
+SET_ASIDE_WAIT = (
     "files were set aside here, and no leader is known: it begins nothing, as more may have been promised; look at the "
     "other members, and only where the copies are gone empty all folders, this one too"
 )
 
 
-class Joining:
+class JoinProcess:
     def __init__(self, loop: Loop, voter: Voter, still: Callable[[], bool]) -> None:
         """`still`: whether the voter takes part."""
         self.loop = loop
         self.voter = voter
         self.still = still
         self.own = Member(voter.me, voter.name, voter.seats[voter.name])
-        self.hello = Hello(VERSION, voter.options.cluster, voter.me, voter.name, Kind.CALLER)
+        self.hello = Hello(VERSION, voter.options.cluster, voter.me, voter.name, ConnectionKind.CALLER)
         self.random = Random(f"{voter.me} joining")
         self.begun_at = loop.now()
         self.joins = False
@@ -44,7 +54,7 @@
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(LOOK_EVERY, self._again)
+        self.loop.after(MEMBER_CHECK_INTERVAL, self._again)
 
     def _again(self) -> None:
         if self.still():
@@ -53,11 +63,11 @@
     def _run(self) -> Coroutine[None]:
         while self.still():
             if self._settled():
-                pause = LOOK_EVERY
+                pause = MEMBER_CHECK_INTERVAL
             elif (yield from self._step()):
-                pause = STEP_APART
+                pause = STEP_INTERVAL
             else:
-                pause = ASK_EVERY + self.random.randrange(ASK_EVERY // 2)
+                pause = STATUS_INTERVAL + self.random.randrange(STATUS_INTERVAL // 2)
             yield Wait(None, 0, self.loop.now() + pause)
 
     def _settled(self) -> bool:
@@ -71,7 +81,7 @@
             say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
         self.voted = self.voted or age is not None
         away = age if age is not None else self.loop.now() - self.begun_at
-        return away < LONG * voter.options.election
+        return away < LEADERLESS_ELECTIONS * voter.options.election
 
     def _step(self) -> Coroutine[bool]:
         """Whether something moved, so that the next step is worth a try at once."""
@@ -80,7 +90,7 @@
         if not self.still():
             return False
         if not voter.begun and not voter.lost:
-            members = tuple(founders(self.own, min(voter.seats), voter.seats, answers))
+            members = tuple(founding_members(self.own, min(voter.seats), voter.seats, answers))
             if members:
                 say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
@@ -95,30 +105,30 @@
         leaders = {am.leader: am.address for _, am in answers.values() if am.leader not in ("", voter.name)}
         for name, address in leaders.items():
             joined = yield from self._call(voter.seats.get(name, address), name, self._join())
-            if isinstance(joined, Joined):
+            if isinstance(joined, JoinResponse):
                 if joined.on:
                     self.joins = True
                     return True
                 say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
-        if not leaders and self.loop.now() > self.begun_at + SILENT_FOR:
-            why = waits_for(voter.name, min(voter.seats), voter.seats, answers)
-            say(REPLICATION_WAITS, why=LOST if voter.lost else why)
+        if not leaders and self.loop.now() > self.begun_at + WAIT_LOG_DELAY:
+            why = waiting_reason(voter.name, min(voter.seats), voter.seats, answers)
+            say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.lost else why)
         return False
 
-    def _join(self) -> Join:
-        return Join(self.own.id, self.own.name, self.own.address)
+    def _join(self) -> JoinRequest:
+        return JoinRequest(self.own.id, self.own.name, self.own.address)
 
-    def _ask_all(self) -> Coroutine[dict[str, tuple[str, Am]]]:
+    def _ask_all(self) -> Coroutine[dict[str, tuple[str, StatusResponse]]]:
         """How the other listed members stand, all asked at once."""
-        answers: dict[str, tuple[str, Am]] = {}
+        answers: dict[str, tuple[str, StatusResponse]] = {}
         others = {name: address for name, address in self.voter.seats.items() if name != self.voter.name}
         left = len(others)
 
         def one(name: str, address: str) -> Coroutine[None]:
             nonlocal left
             try:
-                frame = yield from self._call(address, name, Who(tuple(self.voter.seats)), answers)
-                if not isinstance(frame, Am):
+                frame = yield from self._call(address, name, StatusRequest(tuple(self.voter.seats)), answers)
+                if not isinstance(frame, StatusResponse):
                     answers.pop(name, None)
             finally:
                 left -= 1
@@ -127,7 +137,7 @@
 
         for name, address in others.items():
             self.loop.spawn(one(name, address))
-        until = self.loop.now() + 2 * ANSWER_WITHIN
+        until = self.loop.now() + 2 * RESPONSE_TIMEOUT
         self.gathers = True
         while left and self.loop.now() < until:
             yield Wait(None, 0, until)
@@ -135,10 +145,10 @@
         return dict(answers)
 
     def _call(
-        self, address: str, name: str, frame: Frame, answers: dict[str, tuple[str, Am]] | None = None
+        self, address: str, name: str, frame: Frame, answers: dict[str, tuple[str, StatusResponse]] | None = None
     ) -> Coroutine[Frame | None]:
         """One question to a member, and its answer; None where none came."""
-        until = self.loop.now() + ANSWER_WITHIN
+        until = self.loop.now() + RESPONSE_TIMEOUT
         try:
             line, there = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
@@ -152,10 +162,10 @@
                 return None
             line.put(frame)
             answer = yield from line.next(until)
-            if answers is not None and isinstance(answer, Am):
+            if answers is not None and isinstance(answer, StatusResponse):
                 answers[name] = there.id, answer
             return answer
-        except Broken:
+        except CONNECTION_ERRORS:
             return None
         finally:
             line.close()
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -12,26 +12,26 @@
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, SECOND, WOKEN, WRITABLE, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import READ_SIZE, NotUp, TookTooLong, connect
-from loftweir.replication.wire import BadFrame, Frame, Hello, Reader, Turned, TurnedAway, written
+from loftweir.replication.wire import BadFrame, ConnectionRejected, Frame, FrameReader, Hello, TurnedAway, encode_frame
 
-GREETED_WITHIN = SECOND  # from a connection's opening until both have said who they are
-DEAD_AFTER = 5_000  # ms without the other side's kernel taking what was sent, until the connection is given up
-GATHERED = 64  # frames in one write
-MOST = 8 * 1024 * 1024  # bytes held for one that does not read
+GREETING_TIMEOUT = SECOND  # from a connection's opening until both have said who they are
+TCP_USER_TIMEOUT_MS = 5_000  # ms without the other side's kernel taking what was sent, until the connection is given up
+MAX_FRAMES_PER_WRITE = 64  # frames in one write
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes held for one that does not read
 
-Broken = (TookTooLong, OSError, BadFrame)  # what ends a line
+CONNECTION_ERRORS = (TookTooLong, OSError, BadFrame)  # what ends a line
 
 
-class Line:
+class FrameConnection:
     """Invariant: `held` is the length of all in `out`; `out` is not empty only where the socket took no more when it
     was last tried, and then whoever runs the line waits for it to be writable."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, most: int = MOST) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, most: int = MAX_UNSENT_BYTES) -> None:
         self.loop = loop
         self.sock = sock
         self.most = most
         self.task: Task | None = None  # who runs it
-        self.reader = Reader()
+        self.reader = FrameReader()
         self.out: deque[tuple[memoryview, bool]] = deque()  # what is left of each frame, and whether it may be dropped
         self.held = 0
         self.told_to_write = False  # whoever runs it waits for it to be writable
@@ -40,7 +40,7 @@
     # ---- out ----
 
     def put(self, frame: Frame, may_drop: bool = False) -> None:
-        self.write(written(frame), may_drop)
+        self.write(encode_frame(frame), may_drop)
 
     def write(self, data: bytes, may_drop: bool = False) -> None:
         """A frame as it goes out. Over the bound the oldest that may be dropped go; where that does not help, the line
@@ -70,7 +70,7 @@
     def _flush(self) -> None:
         try:
             while self.out:
-                sent = self.sock.sendmsg([data for data, _ in list(self.out)[:GATHERED]])
+                sent = self.sock.sendmsg([data for data, _ in list(self.out)[:MAX_FRAMES_PER_WRITE]])
                 self.held -= sent
                 while sent:
                     data, may_drop = self.out[0]
@@ -148,22 +148,22 @@
     def greeting(self, until: int) -> Coroutine[Hello]:
         """The other side's first frame; `TurnedAway` where that says no, or says something else."""
         frame = yield from self.next(until)
-        if isinstance(frame, Turned):
+        if isinstance(frame, ConnectionRejected):
             raise TurnedAway(f"{frame.why.value} {frame.about}".strip())
         if not isinstance(frame, Hello):
             raise TurnedAway("it did not say who it is")
         return frame
 
 
-def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[Line, Hello]]:
+def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[FrameConnection, Hello]]:
     """A line to an address, greeted. Raises `NotUp` where nobody answers there in time, and `TurnedAway`."""
-    sock = yield from connect(loop, address, GREETED_WITHIN, until)
-    line = Line(loop, sock)
+    sock = yield from connect(loop, address, GREETING_TIMEOUT, until)
+    line = FrameConnection(loop, sock)
     try:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_AFTER)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         line.put(hello)
-        there = yield from line.greeting(min(until, loop.now() + GREETED_WITHIN))
-    except Broken:
+        there = yield from line.greeting(min(until, loop.now() + GREETING_TIMEOUT))
+    except CONNECTION_ERRORS:
         line.close()
         raise NotUp(Outcome.CONNECT_FAILED) from None
     except BaseException:
--- a/loftweir/replication/links.py
+++ b/loftweir/replication/links.py
@@ -8,17 +8,22 @@
 
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp
-from loftweir.replication.api import AnyMessage, Append, Piece
-from loftweir.replication.line import Broken, Line, dial
-from loftweir.replication.wire import Hello, Turned, TurnedAway, Why
+from loftweir.replication.api import AnyMessage, AppendEntries, InstallSnapshot
+from loftweir.replication.line import CONNECTION_ERRORS, FrameConnection, dial
+from loftweir.replication.wire import ConnectionRejected, Hello, RejectReason, TurnedAway
 
-LEAST_APART, MOST_APART = 20 * MS, 250 * MS  # from one attempt to connect to the next; twice as long after each failure
-UP_WITHIN = SECOND
-WAITING = 8  # messages held while there is no connection: what is older is said anew by the core
-HELD = 4 * 1024 * 1024  # bytes held of a connection that does not take them; then the oldest entries are dropped
+MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY = (
+    20 * MS,
+    250 * MS,
+)  # from one attempt to connect to the next; twice as long after each failure
+CONNECT_TIMEOUT = SECOND
+MAX_QUEUED_MESSAGES = 8  # messages held while there is no connection: what is older is said anew by the core
+MAX_UNSENT_BYTES = (
+    4 * 1024 * 1024
+)  # bytes held of a connection that does not take them; then the oldest entries are dropped
 
 
-class Link:
+class MemberLink:
     """Invariant: messages leave in the order in which they were said, and none twice."""
 
     def __init__(
@@ -30,8 +35,8 @@
         self.hello = hello
         self.address = address
         self.turned = turned
-        self.waiting: deque[AnyMessage] = deque(maxlen=WAITING)
-        self.line: Line | None = None
+        self.waiting: deque[AnyMessage] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self.line: FrameConnection | None = None
         self.said_at = loop.now()
         self.rests = False  # it waits for something to say; woken in any other wait, it would take that for its end
         self.random = Random(f"{hello.id} {id}")
@@ -44,45 +49,45 @@
             if self.rests:
                 self.task.wake()
         else:
-            self.line.put(message, isinstance(message, Append | Piece))
+            self.line.put(message, isinstance(message, AppendEntries | InstallSnapshot))
 
     def close(self) -> None:
         self.task.cancel()
 
     def _run(self) -> Coroutine[None]:
-        apart = LEAST_APART
+        apart = MIN_RECONNECT_DELAY
         while True:
             self.rests = True
             while not self.waiting:
                 yield Wait(None, 0, None)
             self.rests = False
             try:
-                line, there = yield from dial(self.loop, self.address(), self.hello, self.loop.now() + UP_WITHIN)
+                line, there = yield from dial(self.loop, self.address(), self.hello, self.loop.now() + CONNECT_TIMEOUT)
             except (NotUp, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
                     self.turned(self.id, str(error))
             else:
                 try:
                     if there.id != self.id:
-                        self.turned(self.id, f"{Why.ANOTHER_ID.value} {there.id}")
+                        self.turned(self.id, f"{RejectReason.ANOTHER_ID.value} {there.id}")
                     else:
-                        apart = LEAST_APART
+                        apart = MIN_RECONNECT_DELAY
                         yield from self._talk(line)
-                except Broken:
+                except CONNECTION_ERRORS:
                     pass
                 finally:
                     self.line = None
                     line.close()
             self.waiting.clear()
             yield Wait(None, 0, self.loop.now() + apart // 2 + self.random.randrange(apart))
-            apart = min(2 * apart, MOST_APART)
+            apart = min(2 * apart, MAX_RECONNECT_DELAY)
 
-    def _talk(self, line: Line) -> Coroutine[None]:
-        line.most, line.task, self.line = HELD, self.task, line
+    def _talk(self, line: FrameConnection) -> Coroutine[None]:
+        line.most, line.task, self.line = MAX_UNSENT_BYTES, self.task, line
         while self.waiting:
             self.put(self.waiting.popleft())
         while True:
             frame = yield from line.next(None)
-            if isinstance(frame, Turned):
+            if isinstance(frame, ConnectionRejected):
                 self.turned(self.id, f"{frame.why.value} {frame.about}".strip())
                 return
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -24,28 +24,28 @@
 import msgspec
 
 from loftweir.errors import LoftweirError
-from loftweir.replication.api import Value
+from loftweir.replication.api import StrictStruct
 
 if TYPE_CHECKING:
     from loftweir.catalog.claims import Claims
 
 VERSION = 1  # of a snapshot
-WITH_CLAIMS = 2  # ... of one that has claims of names; without any it is written as before
+VERSION_WITH_CLAIMS = 2  # ... of one that has claims of names; without any it is written as before
 SECOND = 1_000_000_000
 MIB = 1024 * 1024
 
-WORDS = 10_000
-LEASES = 1_000
-FACTS = 10_000
-FACTS_SIZE = 64 * MIB  # of all fenced values with their keys
-VALUE_SIZE = MIB  # of one
-SESSIONS = 4_096
-TTL_LEAST = SECOND
-TTL_MOST = 3_600 * SECOND
-CLAIM_SIZE = 64 * 1024  # of what is said of one name
-ORDER_SIZE = VALUE_SIZE + 16 * 1024  # of one order, in bytes of msgpack
-LARGEST = 2**63 - 1
-CLAIMS_FOR = "partner:"  # duties under which names are claimed begin so
+MAX_OVERRIDES = 10_000
+MAX_LEASES = 1_000
+MAX_FENCED_VALUES = 10_000
+MAX_FENCED_BYTES = 64 * MIB  # of all fenced values with their keys
+MAX_VALUE_SIZE = MIB  # of one
+MAX_SESSIONS = 4_096
+MIN_TTL = SECOND
+MAX_TTL = 3_600 * SECOND
+MAX_CLAIM_SIZE = 64 * 1024  # of what is said of one name
+MAX_COMMAND_SIZE = MAX_VALUE_SIZE + 16 * 1024  # of one order, in bytes of msgpack
+MAX_INT64 = 2**63 - 1
+CLAIM_LEASE_PREFIX = "partner:"  # duties under which names are claimed begin so
 
 
 class Foreign(LoftweirError):
@@ -57,7 +57,7 @@
 # ---- orders -------------------------------------------------------------------------------------
 
 
-class Word(Value, frozen=True, tag="word"):
+class SetOverride(StrictStruct, frozen=True, tag="word"):
     """A provider is taken out, or called back, for the whole fleet."""
 
     name: str
@@ -65,7 +65,7 @@
     at: int  # Unix time by the clock of who says it, ns; shown, and the start of a provider called back
 
 
-class Acquire(Value, frozen=True, tag="acquire"):
+class AcquireLease(StrictStruct, frozen=True, tag="acquire"):
     """The lease of a duty, if none is in force. The holder's name is of one life of one process, never used again."""
 
     duty: str
@@ -73,7 +73,7 @@
     ttl: int  # ns
 
 
-class Renew(Value, frozen=True, tag="renew"):
+class RenewLease(StrictStruct, frozen=True, tag="renew"):
     """The leader counts the lease anew from here."""
 
     duty: str
@@ -81,13 +81,13 @@
     token: int
 
 
-class Release(Value, frozen=True, tag="release"):
+class ReleaseLease(StrictStruct, frozen=True, tag="release"):
     duty: str
     holder: str
     token: int
 
 
-class Expire(Value, frozen=True, tag="expire"):
+class ExpireLease(StrictStruct, frozen=True, tag="expire"):
     """The leader's clock says that the lease's time is up, and it saw no renewal behind `renewed`. One that is in the
     log before this one, and that the leader had not seen, so saves the lease: its holder was told OK."""
 
@@ -96,7 +96,7 @@
     renewed: int
 
 
-class Fenced(Value, frozen=True, tag="fenced"):
+class FencedWrite(StrictStruct, frozen=True, tag="fenced"):
     """Put a value for a duty, under the token of its lease; the empty value takes the key away."""
 
     duty: str
@@ -105,7 +105,7 @@
     value: bytes
 
 
-class Named(Value, frozen=True, tag="named"):
+class ClaimName(StrictStruct, frozen=True, tag="named"):
     """A word on a claim of a service's name, under the token of a lease on a partner's session. That the name is one
     that the partner may claim is for who says it to see: which mesh a site is of stands in the operators' file."""
 
@@ -114,16 +114,16 @@
     act: bytes  # as `catalog.claims` writes it: who has no catalog does not load what reads it
 
 
-class EndSession(Value, frozen=True, tag="end-session"):
+class EndSession(StrictStruct, frozen=True, tag="end-session"):
     """No more orders of it are taken. What it held stays: leases are of holders, not of sessions."""
 
     session: str
 
 
-Act = Word | Acquire | Renew | Release | Expire | Fenced | Named | EndSession
+Operation = SetOverride | AcquireLease | RenewLease | ReleaseLease | ExpireLease | FencedWrite | ClaimName | EndSession
 
 
-class Order(Value, frozen=True):
+class Command(StrictStruct, frozen=True):
     """One write. An `Expire` is of no session, the empty one, and has number 0: its token makes it harmless when it
     comes twice; every other act is of one. A member takes no order without a session from its callers (`checked`).
 
@@ -136,14 +136,14 @@
 
     session: str
     number: int  # from 1 on
-    act: Act
+    act: Operation
     since: int | None = None
 
 
 # ---- results ------------------------------------------------------------------------------------
 
 
-class Result(Value, frozen=True):
+class Result(StrictStruct, frozen=True):
     """Of an order, as of the index at which it was applied or refused. `text`: what happened, and what to do."""
 
     index: int
@@ -157,7 +157,7 @@
         return f"done, at index {self.index}"
 
 
-class Held(Result, frozen=True, tag="held"):
+class LeaseHeld(Result, frozen=True, tag="held"):
     """Not granted: a lease is in force."""
 
     holder: str
@@ -171,7 +171,7 @@
         )
 
 
-class NotHeld(Result, frozen=True, tag="not-held"):
+class LeaseNotHeld(Result, frozen=True, tag="not-held"):
     """No lease is in force under this token."""
 
     token: int
@@ -181,7 +181,7 @@
         return f"token {self.token} holds no lease: stop acting under it and acquire the duty again"
 
 
-class Lower(Result, frozen=True, tag="lower"):
+class StaleToken(Result, frozen=True, tag="lower"):
     """A newer token was granted for the duty."""
 
     token: int
@@ -195,7 +195,7 @@
         )
 
 
-class Unfit(Result, frozen=True, tag="unfit"):
+class InvalidCommand(Result, frozen=True, tag="unfit"):
     """A name, a size or a time that is never taken."""
 
     what: str
@@ -205,7 +205,7 @@
         return f"not taken: {self.what}; correct it, as the same order is refused again"
 
 
-class Full(Result, frozen=True, tag="full"):
+class CapacityExceeded(Result, frozen=True, tag="full"):
     what: str
     limit: int
 
@@ -214,7 +214,7 @@
         return f"no room: at most {self.limit} {self.what} are kept; take some away first"
 
 
-class Unreadable(Result, frozen=True, tag="unreadable"):
+class UnreadableCommand(Result, frozen=True, tag="unreadable"):
     """The entry is no order that this version knows. It changed nothing."""
 
     @property
@@ -222,7 +222,7 @@
         return "not an order of this version: run the same version on all members and callers"
 
 
-class Stale(Result, frozen=True, tag="stale"):
+class StaleNumber(Result, frozen=True, tag="stale"):
     """A later order of the session was applied; whether this one was is not kept."""
 
     last: int
@@ -240,45 +240,55 @@
         return f"the session is not known: read what holds now, and begin another with number 1 and since {self.index}"
 
 
-AnyResult = Ok | Held | NotHeld | Lower | Unfit | Full | Unreadable | Stale | UnknownSession
+AnyResult = (
+    Ok
+    | LeaseHeld
+    | LeaseNotHeld
+    | StaleToken
+    | InvalidCommand
+    | CapacityExceeded
+    | UnreadableCommand
+    | StaleNumber
+    | UnknownSession
+)
 
-_orders = msgspec.msgpack.Decoder(Order)
-_results = msgspec.msgpack.Decoder(AnyResult)
-_encode = msgspec.msgpack.Encoder().encode
+_command_decoder = msgspec.msgpack.Decoder(Command)
+_result_decoder = msgspec.msgpack.Decoder(AnyResult)
+_msgpack_encode = msgspec.msgpack.Encoder().encode
 
 
-def written(value: Order | AnyResult) -> bytes:
-    return _encode(value)
+def encode(value: Command | AnyResult) -> bytes:
+    return _msgpack_encode(value)
 
 
-def read_result(data: bytes) -> AnyResult:
+def decode_result(data: bytes) -> AnyResult:
     """Raises `msgspec.MsgspecError`."""
-    result: AnyResult = _results.decode(data)
+    result: AnyResult = _result_decoder.decode(data)
     return result
 
 
-def _read(data: bytes) -> Order | None:
-    if len(data) > ORDER_SIZE:
+def _decode_command(data: bytes) -> Command | None:
+    if len(data) > MAX_COMMAND_SIZE:
         return None
     try:
-        return _orders.decode(data)
+        return _command_decoder.decode(data)
     except (ValueError, RecursionError):  # of which msgspec's errors are kinds
         return None
 
 
-def checked(data: bytes) -> AnyResult | None:
+def validate(data: bytes) -> AnyResult | None:
     """What a member says at once to a caller's order that the machine would refuse whatever it holds (index 0); None:
     into the log with it. Only a leader's own orders have no session."""
-    order = _read(data)
+    order = _decode_command(data)
     if order is None:
-        return Unreadable(0)
-    return _unfit(0, order) if order.session else Unfit(0, "an order without a session")
+        return UnreadableCommand(0)
+    return _validation_error(0, order) if order.session else InvalidCommand(0, "an order without a session")
 
 
 # ---- what is kept -------------------------------------------------------------------------------
 
 
-class Said(NamedTuple):
+class Override(NamedTuple):
     """A word that holds."""
 
     out: bool
@@ -309,12 +319,12 @@
     ended: bool
 
 
-class _Dump(Value, frozen=True):
+class _Dump(StrictStruct, frozen=True):
     version: int
     index: int
     thinned: int
     horizon: int
-    words: list[tuple[str, Said]]  # in order of the log
+    words: list[tuple[str, Override]]  # in order of the log
     leases: list[tuple[str, Lease]]  # in order of names
     facts: list[tuple[str, str, FencedValue]]  # in order of names
     sessions: list[tuple[str, Session]]  # the longest unused first
@@ -328,50 +338,54 @@
     version: int
 
 
-_dumps: dict[int, msgspec.msgpack.Decoder[_Dump] | msgspec.msgpack.Decoder[_DumpWithClaims]] = {
+_dump_decoders: dict[int, msgspec.msgpack.Decoder[_Dump] | msgspec.msgpack.Decoder[_DumpWithClaims]] = {
     VERSION: msgspec.msgpack.Decoder(_Dump),
-    WITH_CLAIMS: msgspec.msgpack.Decoder(_DumpWithClaims),
+    VERSION_WITH_CLAIMS: msgspec.msgpack.Decoder(_DumpWithClaims),
 }
-_versions = msgspec.msgpack.Decoder(_Version)
+_version_decoder = msgspec.msgpack.Decoder(_Version)
 
 # Neither control characters nor breaks of lines. `str.isprintable` knows more, and other things in each version.
-_name = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]+").fullmatch
+_is_printable = re.compile("[^\x00-\x1f\x7f-\x9f\u2028\u2029]+").fullmatch
 
 
-def fit(name: str, most: int) -> bool:
-    return 0 < len(name) <= most and _name(name) is not None
+def valid_name(name: str, most: int) -> bool:
+    return 0 < len(name) <= most and _is_printable(name) is not None
 
 
-def _of_session(order: Order) -> bool:
-    return fit(order.session, 64) and 0 < order.number <= LARGEST
+def _has_valid_session(order: Command) -> bool:
+    return valid_name(order.session, 64) and 0 < order.number <= MAX_INT64
 
 
-def _unfit(index: int, order: Order) -> Unfit | None:
+def _validation_error(index: int, order: Command) -> InvalidCommand | None:
     """What makes an order one that is never taken, if anything does."""
     act = order.act
-    if isinstance(act, Expire) and (order.session or order.number):
-        return Unfit(index, "an end of a lease that is not the leader's own")
-    if not isinstance(act, Expire) and not _of_session(order):
-        return Unfit(index, "a session's name of 1 to 64 printable characters and a number from 1 on are needed")
-    if isinstance(act, Word):
-        if not fit(act.name, 64) or not 0 <= act.at <= LARGEST:
-            return Unfit(index, "a provider's id has 1 to 64 printable characters, and a time is not negative")
+    if isinstance(act, ExpireLease) and (order.session or order.number):
+        return InvalidCommand(index, "an end of a lease that is not the leader's own")
+    if not isinstance(act, ExpireLease) and not _has_valid_session(order):
+        return InvalidCommand(
+            index, "a session's name of 1 to 64 printable characters and a number from 1 on are needed"
+        )
+    if isinstance(act, SetOverride):
+        if not valid_name(act.name, 64) or not 0 <= act.at <= MAX_INT64:
+            return InvalidCommand(index, "a provider's id has 1 to 64 printable characters, and a time is not negative")
         return None
     if isinstance(act, EndSession):
         return None
-    if not fit(act.duty, 128):
-        return Unfit(index, "a duty's name has 1 to 128 printable characters")
-    if not isinstance(act, Expire | Fenced | Named) and not fit(act.holder, 128):
-        return Unfit(index, "a holder's name has 1 to 128 printable characters")
-    if isinstance(act, Acquire) and not TTL_LEAST <= act.ttl <= TTL_MOST:
-        return Unfit(index, f"a lease's time is {TTL_LEAST // SECOND} to {TTL_MOST // SECOND} s")
-    if isinstance(act, Named) and (not act.duty.startswith(CLAIMS_FOR) or len(act.act) > CLAIM_SIZE):
-        return Unfit(index, f"a claim is of a duty {CLAIMS_FOR}NAME, and has at most {CLAIM_SIZE} bytes")
-    if isinstance(act, Fenced):
-        if not fit(act.key, 256):
-            return Unfit(index, "a key has 1 to 256 printable characters")
-        if len(act.value) > VALUE_SIZE:
-            return Unfit(index, f"a value has at most {VALUE_SIZE} bytes")
+    if not valid_name(act.duty, 128):
+        return InvalidCommand(index, "a duty's name has 1 to 128 printable characters")
+    if not isinstance(act, ExpireLease | FencedWrite | ClaimName) and not valid_name(act.holder, 128):
+        return InvalidCommand(index, "a holder's name has 1 to 128 printable characters")
+    if isinstance(act, AcquireLease) and not MIN_TTL <= act.ttl <= MAX_TTL:
+        return InvalidCommand(index, f"a lease's time is {MIN_TTL // SECOND} to {MAX_TTL // SECOND} s")
+    if isinstance(act, ClaimName) and (not act.duty.startswith(CLAIM_LEASE_PREFIX) or len(act.act) > MAX_CLAIM_SIZE):
+        return InvalidCommand(
+            index, f"a claim is of a duty {CLAIM_LEASE_PREFIX}NAME, and has at most {MAX_CLAIM_SIZE} bytes"
+        )
+    if isinstance(act, FencedWrite):
+        if not valid_name(act.key, 256):
+            return InvalidCommand(index, "a key has 1 to 256 printable characters")
+        if len(act.value) > MAX_VALUE_SIZE:
+            return InvalidCommand(index, f"a value has at most {MAX_VALUE_SIZE} bytes")
     return None
 
 
@@ -386,7 +400,7 @@
 
     def __init__(self) -> None:
         self.index = 0  # of the last entry applied or passed over
-        self.words: dict[str, Said] = {}
+        self.words: dict[str, Override] = {}
         self.leases: dict[str, Lease] = {}
         self.fenced_values: dict[tuple[str, str], FencedValue] = {}  # by duty and key
         self.fenced_bytes = 0
@@ -407,23 +421,23 @@
     def apply(self, index: int, data: bytes) -> AnyResult:
         """A committed write. Raises ValueError only where the log does not go forward, whatever the data."""
         self.passed(index)
-        order = _read(data)
+        order = _decode_command(data)
         if order is None:
-            return Unreadable(index)
-        unfit = _unfit(index, order)
-        if not _of_session(order):  # a leader's own, or unfit
+            return UnreadableCommand(index)
+        unfit = _validation_error(index, order)
+        if not _has_valid_session(order):  # a leader's own, or unfit
             return unfit or self._do(order.act)
         known = self.sessions.pop(order.session, None)
         if known is None:
             if order.number != 1 or (order.since is not None and order.since < self.horizon):
                 return UnknownSession(index)
-            if len(self.sessions) >= SESSIONS:
+            if len(self.sessions) >= MAX_SESSIONS:
                 gone = self.sessions.pop(next(iter(self.sessions)))
                 self.horizon = max(self.horizon, gone.began)
             known = Session(index, index, 0, Ok(0), False)
         self.sessions[order.session] = known = known._replace(used=index)  # at the end now
         if order.number < known.last:
-            return Stale(index, known.last)
+            return StaleNumber(index, known.last)
         if order.number == known.last:
             return known.result
         if known.ended:
@@ -433,27 +447,27 @@
         self.sessions[order.session] = known._replace(last=order.number, result=result)
         return result
 
-    def _do(self, act: Act) -> AnyResult:
-        return STEPS[type(act)](self, act)
+    def _do(self, act: Operation) -> AnyResult:
+        return OPERATION_HANDLERS[type(act)](self, act)
 
-    def _word(self, act: Word) -> AnyResult:
-        if act.name not in self.words and len(self.words) >= WORDS:
+    def _word(self, act: SetOverride) -> AnyResult:
+        if act.name not in self.words and len(self.words) >= MAX_OVERRIDES:
             # A provider called back is as one of whom nothing was said, but for its start.
             back = next((name for name, said in self.words.items() if not said.out), None)
             if back is None:
-                return Full(self.index, "providers taken out", WORDS)
+                return CapacityExceeded(self.index, "providers taken out", MAX_OVERRIDES)
             del self.words[back]
             self.thinned = self.index
         self.words.pop(act.name, None)
-        self.words[act.name] = Said(act.out, self.index, act.at)
+        self.words[act.name] = Override(act.out, self.index, act.at)
         return Ok(self.index)
 
-    def _acquire(self, act: Acquire) -> AnyResult:
+    def _acquire(self, act: AcquireLease) -> AnyResult:
         lease = self.leases.get(act.duty)
         if lease is not None:  # its own holder's too: the answer may have been lost, and the old token must end first
-            return Held(self.index, lease.holder, lease.token)
-        if len(self.leases) >= LEASES:
-            return Full(self.index, "leases", LEASES)
+            return LeaseHeld(self.index, lease.holder, lease.token)
+        if len(self.leases) >= MAX_LEASES:
+            return CapacityExceeded(self.index, "leases", MAX_LEASES)
         self.leases[act.duty] = Lease(act.holder, self.index, act.ttl, self.index)
         self.moved = act.duty
         return Ok(self.index, self.index)
@@ -461,37 +475,37 @@
     def _refused(self, duty: str, token: int, holder: str | None = None) -> AnyResult | None:
         lease = self.leases.get(duty)
         if lease is not None and token < lease.token:
-            return Lower(self.index, token, lease.token)
+            return StaleToken(self.index, token, lease.token)
         if lease is None or token != lease.token or holder not in (None, lease.holder):
-            return NotHeld(self.index, token)
+            return LeaseNotHeld(self.index, token)
         return None
 
-    def _renew(self, act: Renew) -> AnyResult:
+    def _renew(self, act: RenewLease) -> AnyResult:
         refused = self._refused(act.duty, act.token, act.holder)
         if refused is None:
             self.leases[act.duty] = self.leases[act.duty]._replace(renewed=self.index)
             self.moved = act.duty
         return refused or Ok(self.index, act.token)
 
-    def _release(self, act: Release) -> AnyResult:
+    def _release(self, act: ReleaseLease) -> AnyResult:
         refused = self._refused(act.duty, act.token, act.holder)
         if refused is None:
             del self.leases[act.duty]
             self.moved = act.duty
         return refused or Ok(self.index, act.token)
 
-    def _expire(self, act: Expire) -> AnyResult:
+    def _expire(self, act: ExpireLease) -> AnyResult:
         refused = self._refused(act.duty, act.token)
         if refused is not None:
             return refused
         lease = self.leases[act.duty]
         if lease.renewed > act.renewed:
-            return Held(self.index, lease.holder, lease.token)
+            return LeaseHeld(self.index, lease.holder, lease.token)
         del self.leases[act.duty]
         self.moved = act.duty
         return Ok(self.index, act.token)
 
-    def _fenced(self, act: Fenced) -> AnyResult:
+    def _fenced(self, act: FencedWrite) -> AnyResult:
         refused = self._refused(act.duty, act.token)
         if refused is not None:
             return refused
@@ -501,17 +515,17 @@
         size = self.fenced_bytes - (names + len(old.value) if old else 0)
         if act.value:
             size += names + len(act.value)
-            if old is None and len(self.fenced_values) >= FACTS:
-                return Full(self.index, "fenced values", FACTS)
-            if size > max(FACTS_SIZE, self.fenced_bytes):
-                return Full(self.index, "bytes of fenced values", FACTS_SIZE)
+            if old is None and len(self.fenced_values) >= MAX_FENCED_VALUES:
+                return CapacityExceeded(self.index, "fenced values", MAX_FENCED_VALUES)
+            if size > max(MAX_FENCED_BYTES, self.fenced_bytes):
+                return CapacityExceeded(self.index, "bytes of fenced values", MAX_FENCED_BYTES)
             self.fenced_values[where] = FencedValue(act.value, act.token, self.index)
         else:
             self.fenced_values.pop(where, None)
         self.fenced_bytes = size
         return Ok(self.index, act.token)
 
-    def _named(self, act: Named) -> AnyResult:
+    def _named(self, act: ClaimName) -> AnyResult:
         from loftweir.catalog import claims  # here: copies that hold no names do without
 
         refused = self._refused(act.duty, act.token)
@@ -520,11 +534,11 @@
         try:
             said = claims.read(act.act)
         except (ValueError, RecursionError):
-            return Unfit(self.index, "not a claim in its form")
+            return InvalidCommand(self.index, "not a claim in its form")
         if self.claims is None:
             self.claims = claims.Claims()
         found = self.claims.apply(self.index, said)
-        return Unfit(self.index, found.text) if isinstance(found, claims.Not) else Ok(self.index, found.index)
+        return InvalidCommand(self.index, found.text) if isinstance(found, claims.Not) else Ok(self.index, found.index)
 
     def _end_session(self, act: EndSession) -> AnyResult:
         """It stays as one that takes no more, until there is no room: a late copy of its orders finds it."""
@@ -535,11 +549,11 @@
 
     # ---- views ----
 
-    def words_since(self, index: int) -> tuple[bool, dict[str, Said]]:
+    def words_since(self, index: int) -> tuple[bool, dict[str, Override]]:
         """What was said behind an index. With True they are all words, in place of what was known before: one that the
         reader may know of has gone. Nothing, for a reader who is ahead of this machine."""
         whole = index < self.thinned
-        words: dict[str, Said] = {}
+        words: dict[str, Override] = {}
         for name, said in reversed(self.words.items()):
             if said.order <= index and not whole:
                 break
@@ -554,17 +568,19 @@
         words, sessions, leases = list(self.words.items()), list(self.sessions.items()), sorted(self.leases.items())
         kept = self.index, self.thinned, self.horizon, words, leases, facts, sessions
         if self.claims is None or not self.claims.table:
-            return _encode(_Dump(VERSION, *kept))
-        return _encode(_DumpWithClaims(WITH_CLAIMS, *kept, msgspec.Raw(_encode(self.claims.dump()))))
+            return _msgpack_encode(_Dump(VERSION, *kept))
+        return _msgpack_encode(
+            _DumpWithClaims(VERSION_WITH_CLAIMS, *kept, msgspec.Raw(_msgpack_encode(self.claims.dump())))
+        )
 
     @classmethod
     def load(cls, data: bytes) -> Machine:
         """Raises `Foreign`."""
         try:
-            version = _versions.decode(data).version
-            if version not in _dumps:
-                raise Foreign(f"a snapshot of version {version}; this build reads {VERSION} and {WITH_CLAIMS}")
-            kept = _dumps[version].decode(data)
+            version = _version_decoder.decode(data).version
+            if version not in _dump_decoders:
+                raise Foreign(f"a snapshot of version {version}; this build reads {VERSION} and {VERSION_WITH_CLAIMS}")
+            kept = _dump_decoders[version].decode(data)
             claimed = None
             if isinstance(kept, _DumpWithClaims):
                 from loftweir.catalog import claims
@@ -581,13 +597,13 @@
         return machine
 
 
-STEPS: dict[type, Callable[[Machine, Any], AnyResult]] = {
-    Word: Machine._word,
-    Acquire: Machine._acquire,
-    Renew: Machine._renew,
-    Release: Machine._release,
-    Expire: Machine._expire,
-    Fenced: Machine._fenced,
-    Named: Machine._named,
+OPERATION_HANDLERS: dict[type, Callable[[Machine, Any], AnyResult]] = {
+    SetOverride: Machine._word,
+    AcquireLease: Machine._acquire,
+    RenewLease: Machine._renew,
+    ReleaseLease: Machine._release,
+    ExpireLease: Machine._expire,
+    FencedWrite: Machine._fenced,
+    ClaimName: Machine._named,
     EndSession: Machine._end_session,
 }
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -13,56 +13,56 @@
 
 from loftweir.config.model import Replication
 from loftweir.errors import LoftweirError
-from loftweir.lease.keeper import Keeper
+from loftweir.lease.keeper import LeaseExpirer
 from loftweir.net.loop import READABLE, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.replication.api import (
-    Append,
-    Apply,
-    Broken,
-    Change,
-    Compact,
-    Done,
+    AppendEntries,
+    ApplyEntries,
+    BatchSynced,
+    CompactLog,
+    EntryKind,
     Event,
-    HandOver,
-    Heard,
-    Keep,
-    Kept,
-    Kind,
     Member,
-    Read,
-    Refusal,
-    Refused,
-    Restore,
+    MembershipChange,
+    MessageReceived,
+    PersistBatch,
+    PersistentState,
+    ReadRequest,
+    RejectionReason,
+    RequestCompleted,
+    RequestRejected,
+    RestoreSnapshot,
     Role,
-    Say,
-    Stable,
-    Stands,
+    SendMessage,
+    StatusChanged,
+    StorageBroken,
+    TakeSnapshot,
     Tick,
     Timing,
-    WantSnapshot,
-    Write,
+    TransferLeadership,
+    WriteRequest,
 )
-from loftweir.replication.core import Core, begun
+from loftweir.replication.core import Core, founding_state
 from loftweir.replication.disk import Disk
-from loftweir.replication.links import Link
-from loftweir.replication.machine import AnyResult, Machine, Order, written
-from loftweir.replication.wire import VERSION, Am, Hello, How, News, Told
-from loftweir.replication.wire import Kind as Who
+from loftweir.replication.links import MemberLink
+from loftweir.replication.machine import AnyResult, Command, Machine, encode
+from loftweir.replication.wire import VERSION, CommittedEntry, FollowResponse, Hello, OutcomeCode, StatusResponse
+from loftweir.replication.wire import ConnectionKind as Who
 from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED
 from loftweir.telemetry.log import say, where
 
-FOUNDS = 0  # the batch that founds; the core counts its own from 1 on
-NEWS_ENTRIES, NEWS_BYTES = 256, 256 * 1024  # of one answer to a follower; the rest comes with the next
-LINK_UNUSED = 10 * SECOND  # of a link to one that is no member
-LINKS = 32  # at most; twice the members that there may be
-NEVER_MET = 1 << 62
-
-Answered = Callable[[How, int, AnyResult | None], None]
-HOWS = {
-    Refusal.NOT_LEADER: How.NOT_LEADER,
-    Refusal.LOST: How.LOST,
-    Refusal.BUSY: How.BUSY,
-    Refusal.UNFIT: How.UNFIT,
+FOUNDING_BATCH = 0  # the batch that founds; the core counts its own from 1 on
+MAX_FOLLOW_ENTRIES, MAX_FOLLOW_BYTES = 256, 256 * 1024  # of one answer to a follower; the rest comes with the next
+LINK_IDLE_TIMEOUT = 10 * SECOND  # of a link to one that is no member
+MAX_LINKS = 32  # at most; twice the members that there may be
+UNKNOWN_LAG = 1 << 62
+
+ResultCallback = Callable[[OutcomeCode, int, AnyResult | None], None]
+OUTCOME_CODES = {
+    RejectionReason.NOT_LEADER: OutcomeCode.NOT_LEADER,
+    RejectionReason.LOST: OutcomeCode.LOST,
+    RejectionReason.BUSY: OutcomeCode.BUSY,
+    RejectionReason.UNFIT: OutcomeCode.UNFIT,
 }
 
 
@@ -75,7 +75,7 @@
         name: str,
         options: Replication,
         seats: dict[str, str],
-        opened: tuple[Disk, Kept],
+        opened: tuple[Disk, PersistentState],
         applied: Callable[[], None],
         ended: Callable[[LoftweirError], None],
     ) -> None:
@@ -91,19 +91,19 @@
         self.random = Random(f"{self.me} {loop.now()}")
         self.core = Core(self.me, kept, self.timing, self.random, loop.now())
         self.machine = Machine()
-        self.keeper = Keeper()
-        self.begun = kept != Kept()  # something was kept, or is asked to be, ever
+        self.keeper = LeaseExpirer()
+        self.begun = kept != PersistentState()  # something was kept, or is asked to be, ever
         self.lost = self.disk.lost  # ... or may have been, by files that were set aside
-        self.founding: Kept | None = None  # asked to be kept, and not yet stable
+        self.founding: PersistentState | None = None  # asked to be kept, and not yet stable
         self.over = False
         self.stable = 0  # the last batch that is
-        self.held: deque[Say] = deque()  # until their batch is; in order of batches
-        self.links: dict[str, Link] = {}
+        self.held: deque[SendMessage] = deque()  # until their batch is; in order of batches
+        self.links: dict[str, MemberLink] = {}
         self.names: dict[str, str] = {}  # by id, of others that have connected
         self.pending: deque[Event] = deque()
         self.steps = False
         self.tokens = 0
-        self.waiting: dict[int, Answered] = {}
+        self.waiting: dict[int, ResultCallback] = {}
         self.results: dict[int, AnyResult] = {}  # of writes applied in this step, by index
         self.told_index = 0
         self.known_at = 0  # when it last knew a leader with a majority, itself or another; 0: never
@@ -127,10 +127,10 @@
         self.steps = True
         try:
             while self.pending and not self.over:
-                if self.founding is None or isinstance(self.pending[0], Broken):
+                if self.founding is None or isinstance(self.pending[0], StorageBroken):
                     taken = self.pending.popleft()
                     for action in self.core.step(self.loop.now(), taken):
-                        ACTIONS[type(action)](self, action)
+                        ACTION_HANDLERS[type(action)](self, action)
                     self.voted = self.voted or self._votes_now(taken)
                 else:  # nothing is heard, and nothing promised, until it is known what this member is
                     self._turn_away(self.pending.popleft())
@@ -143,7 +143,7 @@
         if self.machine.index != self.told_index and not self.over:
             self.told_index = self.machine.index
             self.applied()
-        if not self.over and self._next_at() < (self.ticker.until or NEVER_MET):
+        if not self.over and self._next_at() < (self.ticker.until or UNKNOWN_LAG):
             self.ticker.wake()
 
     def _votes_now(self, event: Event) -> bool:
@@ -151,25 +151,25 @@
         core = self.core
         if self.me not in core.voters:
             return False
-        if isinstance(event, Heard) and isinstance(event.message, Append):
+        if isinstance(event, MessageReceived) and isinstance(event.message, AppendEntries):
             return event.message.sender == core.leader and event.message.commit <= core.commit
         return self.leads()
 
     def _turn_away(self, event: Event) -> None:
-        if isinstance(event, Write | Read | Change):
-            self._answer(event.token, How.NOT_LEADER, 0, None)
+        if isinstance(event, WriteRequest | ReadRequest | MembershipChange):
+            self._answer(event.token, OutcomeCode.NOT_LEADER, 0, None)
 
     def _next_at(self) -> int:
-        return min(self.core.next_at, self.keeper.next_at or NEVER_MET)
+        return min(self.core.next_at, self.keeper.next_at or UNKNOWN_LAG)
 
     def _tick(self) -> Coroutine[None]:
         while not self.over:
             at = self._next_at()
             if at > self.loop.now():
-                yield Wait(None, 0, at if at < NEVER_MET else None)
+                yield Wait(None, 0, at if at < UNKNOWN_LAG else None)
                 continue
             for act in self.keeper.due(self.loop.now()):
-                self.write(written(Order("", 0, act)), lambda *_: None)
+                self.write(encode(Command("", 0, act)), lambda *_: None)
             self.feed(Tick())
             yield Wait(None, 0, self.loop.now())  # one turn of the loop for the others
 
@@ -177,7 +177,7 @@
         while not self.over:
             yield Wait(self.disk, READABLE, None)
             for report in self.disk.taken():
-                if isinstance(report, Stable):
+                if isinstance(report, BatchSynced):
                     self._is_stable(report)
                 else:
                     self.feed(report)
@@ -186,7 +186,7 @@
                     self.end(failure)
                     return
 
-    def _is_stable(self, report: Stable) -> None:
+    def _is_stable(self, report: BatchSynced) -> None:
         if self.founding is not None:
             self.core = Core(self.me, self.founding, self.timing, self.random, self.loop.now())
             self.founding = None
@@ -215,71 +215,71 @@
             link.close()
         self.links = {}
         for token in list(self.waiting):
-            self._answer(token, How.LOST, 0, None)
+            self._answer(token, OutcomeCode.LOST, 0, None)
         for task in (self.ticker, self.reader):
             task.cancel()
         self.loop.forget(self.disk.fileno())
         self.disk.close(within)
 
-    def _keep(self, action: Keep) -> None:
+    def _keep(self, action: PersistBatch) -> None:
         self.begun = True
         self.disk.keep(action)
 
-    def _say(self, action: Say) -> None:
+    def _say(self, action: SendMessage) -> None:
         if action.after <= self.stable:
             self._send(action)
         else:
             self.held.append(action)
 
-    def _send(self, action: Say) -> None:
+    def _send(self, action: SendMessage) -> None:
         id = action.message.to
         link = self.links.get(id)
         if link is None:
-            if len(self.links) >= LINKS:
+            if len(self.links) >= MAX_LINKS:
                 self._drop_link(min(self.links, key=lambda id: (self.member(id) is not None, self.links[id].said_at)))
-            link = Link(self.loop, id, self.hello, lambda: self.address_of(id), self._turned)
+            link = MemberLink(self.loop, id, self.hello, lambda: self.address_of(id), self._turned)
             self.links[id] = link
         link.put(action.message)
 
     def _drop_link(self, id: str) -> None:
         self.links.pop(id).close()
 
-    def _apply(self, action: Apply) -> None:
+    def _apply(self, action: ApplyEntries) -> None:
         machine = self.machine
         for entry in action.entries:
-            if entry.kind is Kind.WRITE:
+            if entry.kind is EntryKind.WRITE:
                 self.results[entry.index] = machine.apply(entry.index, entry.data)
                 if machine.moved:
                     self.keeper.saw(self.loop.now(), machine.moved, machine.leases.get(machine.moved))
                 continue
             machine.passed(entry.index)
-            if entry.kind is Kind.NOOP and self.core.role is Role.LEADER and entry.term == self.core.term:
+            if entry.kind is EntryKind.NOOP and self.core.role is Role.LEADER and entry.term == self.core.term:
                 self.keeper.led(self.loop.now(), machine.leases)
 
         core = self.core
         if core.role is Role.LEADER and core.commit == core.last_index and self.results:
             # The others learn what is committed by the next message, and their followers wait for it: a read sends one
             # to all at once.
-            self.pending.append(Read(self._token(lambda *_: None)))
+            self.pending.append(ReadRequest(self._token(lambda *_: None)))
 
-    def _restore(self, action: Restore) -> None:
+    def _restore(self, action: RestoreSnapshot) -> None:
         try:
             self.machine = Machine.load(action.snapshot.data)
         except LoftweirError as error:
             self.end(error)
 
-    def _done(self, action: Done) -> None:
-        self._answer(action.token, How.DONE, action.index, self.results.get(action.index))
+    def _done(self, action: RequestCompleted) -> None:
+        self._answer(action.token, OutcomeCode.DONE, action.index, self.results.get(action.index))
 
-    def _refused(self, action: Refused) -> None:
-        self._answer(action.token, HOWS[action.why], 0, None)
+    def _refused(self, action: RequestRejected) -> None:
+        self._answer(action.token, OUTCOME_CODES[action.why], 0, None)
 
-    def _answer(self, token: int, how: How, index: int, result: AnyResult | None) -> None:
+    def _answer(self, token: int, how: OutcomeCode, index: int, result: AnyResult | None) -> None:
         answered = self.waiting.pop(token, None)
         if answered is not None:
             answered(how, index, result)
 
-    def _stands(self, action: Stands) -> None:
+    def _stands(self, action: StatusChanged) -> None:
         if action.role is not Role.LEADER:
             self.keeper.lost()
         elif self.led[0] != action.term:
@@ -294,39 +294,39 @@
         )
         known, now = {m.id for m in action.members}, self.loop.now()
         for id, link in list(self.links.items()):
-            if id not in known and link.said_at < now - LINK_UNUSED:
+            if id not in known and link.said_at < now - LINK_IDLE_TIMEOUT:
                 self._drop_link(id)
 
-    def _want_snapshot(self, action: WantSnapshot) -> None:
-        self.pending.append(Compact(self.machine.index, self.machine.dump()))
+    def _want_snapshot(self, action: TakeSnapshot) -> None:
+        self.pending.append(CompactLog(self.machine.index, self.machine.dump()))
 
     def _turned(self, id: str, why: str) -> None:
         say(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
 
     # ---- what others ask of it ------------------------------------------------------------------
 
-    def _token(self, answered: Answered) -> int:
+    def _token(self, answered: ResultCallback) -> int:
         self.tokens += 1
         self.waiting[self.tokens] = answered
         return self.tokens
 
-    def write(self, order: bytes, answered: Answered) -> None:
-        self.feed(Write(self._token(answered), order))
+    def write(self, order: bytes, answered: ResultCallback) -> None:
+        self.feed(WriteRequest(self._token(answered), order))
 
-    def read(self, answered: Answered) -> None:
-        self.feed(Read(self._token(answered)))
+    def read(self, answered: ResultCallback) -> None:
+        self.feed(ReadRequest(self._token(answered)))
 
-    def change(self, members: tuple[Member, ...], answered: Answered) -> None:
-        self.feed(Change(self._token(answered), members))
+    def change(self, members: tuple[Member, ...], answered: ResultCallback) -> None:
+        self.feed(MembershipChange(self._token(answered), members))
 
     def hand_over(self) -> None:
-        self.feed(HandOver())
+        self.feed(TransferLeadership())
 
     def found(self, members: tuple[Member, ...]) -> None:
         """Begins the cluster, where nothing was kept here yet: stable first, then in force."""
         if not self.begun and not self.lost:
-            self.founding = begun(members)
-            self._keep(Keep(FOUNDS, self.founding.hard, None, self.founding.entries))
+            self.founding = founding_state(members)
+            self._keep(PersistBatch(FOUNDING_BATCH, self.founding.hard, None, self.founding.entries))
 
     # ---- what it knows --------------------------------------------------------------------------
 
@@ -374,28 +374,30 @@
     def behind(self, id: str) -> int:
         """How many committed entries a member is not known to have."""
         match = self.core.match(id)
-        return self.core.commit - match if match else NEVER_MET
+        return self.core.commit - match if match else UNKNOWN_LAG
 
-    def am(self, names: tuple[str, ...]) -> Am:
+    def am(self, names: tuple[str, ...]) -> StatusResponse:
         agrees = sorted(names) == sorted(self.seats)
         empty = agrees and not (self.begun or self.lost or self.over)
-        return Am(empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.settled)
+        return StatusResponse(
+            empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.settled
+        )
 
-    def news(self, after: int, leads: bool = False) -> News:
+    def news(self, after: int, leads: bool = False) -> FollowResponse:
         """What a follower that has all up to `after` lacks. `leads`: a majority has just said so."""
         core, index = self.core, self.machine.index
         whole = after < core.first_index - 1
-        entries: list[Told] = []
+        entries: list[CommittedEntry] = []
         if not whole and after < index:
             size = 0
-            for entry in core.entries(after + 1, min(index, after + NEWS_ENTRIES)):
-                entries.append(Told(entry.index, entry.data if entry.kind is Kind.WRITE else b""))
+            for entry in core.entries(after + 1, min(index, after + MAX_FOLLOW_ENTRIES)):
+                entries.append(CommittedEntry(entry.index, entry.data if entry.kind is EntryKind.WRITE else b""))
                 size += len(entry.data)
-                if size > NEWS_BYTES:
+                if size > MAX_FOLLOW_BYTES:
                     break
         told = entries[-1].index if entries else index
         members = tuple(m.id for m in core.members)
-        return News(after, told, self.age(), leads, self.leader()[0], members, tuple(entries), whole)
+        return FollowResponse(after, told, self.age(), leads, self.leader()[0], members, tuple(entries), whole)
 
 
 class Removed(LoftweirError):
@@ -412,13 +414,13 @@
     remedy = "Keep the log and report it; a new start takes the part up again."
 
 
-ACTIONS: dict[type, Callable[[Voter, Any], None]] = {
-    Keep: Voter._keep,
-    Say: Voter._say,
-    Apply: Voter._apply,
-    Restore: Voter._restore,
-    Done: Voter._done,
-    Refused: Voter._refused,
-    Stands: Voter._stands,
-    WantSnapshot: Voter._want_snapshot,
+ACTION_HANDLERS: dict[type, Callable[[Voter, Any], None]] = {
+    PersistBatch: Voter._keep,
+    SendMessage: Voter._say,
+    ApplyEntries: Voter._apply,
+    RestoreSnapshot: Voter._restore,
+    RequestCompleted: Voter._done,
+    RequestRejected: Voter._refused,
+    StatusChanged: Voter._stands,
+    TakeSnapshot: Voter._want_snapshot,
 }
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -21,14 +21,14 @@
 from loftweir.replication.caller import Proposer
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import FolderInUse, StorageFailed
-from loftweir.replication.follower import Follower
-from loftweir.replication.joining import Joining
+from loftweir.replication.follower import Observer
+from loftweir.replication.joining import JoinProcess
 from loftweir.replication.machine import Machine, Ok
-from loftweir.replication.machine import Word as Say
+from loftweir.replication.machine import SetOverride as Say
 from loftweir.replication.member import Voter
-from loftweir.replication.reception import Reception
-from loftweir.replication.remembered import Remembered
-from loftweir.replication.wire import WordOf
+from loftweir.replication.reception import ReplicationListener
+from loftweir.replication.remembered import OverrideCache
+from loftweir.replication.wire import OverrideQuery
 from loftweir.state.sealed import Damaged
 from loftweir.telemetry.catalogue import (
     REPLICATION_DAMAGED,
@@ -40,14 +40,16 @@
 )
 from loftweir.telemetry.log import say
 
-TRY_EVERY = 300 * MS  # for the folder and the address, that the process before this one may hold yet
-SAVE_APART = 100 * MS  # from one writing of what holds to the next, where the next process finds it
-FOLLOWERS_OWN = 6  # descriptors: a line for news, two for calls, and what is between one and the next
+VOTE_RETRY_INTERVAL = 300 * MS  # for the folder and the address, that the process before this one may hold yet
+MIN_SAVE_INTERVAL = 100 * MS  # from one writing of what holds to the next, where the next process finds it
+OBSERVER_DESCRIPTORS = 6  # descriptors: a line for news, two for calls, and what is between one and the next
 
 
-def descriptors(name: str, options: Replication) -> int:
+def descriptor_count(name: str, options: Replication) -> int:
     """How many of the sidecar's descriptors the copies may take."""
-    return FOLLOWERS_OWN + (options.callers + reception.DESCRIPTORS if name in seats(options.members) else 0)
+    return OBSERVER_DESCRIPTORS + (
+        options.callers + reception.BASE_DESCRIPTORS if name in seats(options.members) else 0
+    )
 
 
 class ReplicationAgent:
@@ -75,9 +77,9 @@
         self.saves = False  # a file is to be written
         self.saved_at = 0
         self.voter: Voter | None = None
-        self.reception: Reception | None = None
-        self.follower: Follower | None = None
-        self.joining: Joining | None = None
+        self.reception: ReplicationListener | None = None
+        self.follower: Observer | None = None
+        self.joining: JoinProcess | None = None
         self.leaves = False
         self.proposer = Proposer(loop, name, self.id, options, self.seats, lambda: self.index)
 
@@ -105,11 +107,11 @@
 
     def _follow(self) -> None:
         if self.follower is None:
-            self.follower = Follower(self.loop, self.name, self.id, self.options, self.seats, self._followed)
+            self.follower = Observer(self.loop, self.name, self.id, self.options, self.seats, self._followed)
 
     def _try_to_vote(self) -> Coroutine[None]:
         while not self.leaves:
-            yield Wait(None, 0, self.loop.now() + TRY_EVERY)
+            yield Wait(None, 0, self.loop.now() + VOTE_RETRY_INTERVAL)
             if self.leaves or self._vote():
                 return
 
@@ -117,7 +119,7 @@
         """Takes the part of a member; False: not now, and it follows meanwhile."""
         options, address = self.options, self.seats[self.name]
         try:
-            sock = reception.bound(address)
+            sock = reception.bind_listener(address)
         except OSError as error:
             say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
             self._follow()
@@ -139,12 +141,12 @@
         if report.damage is not None:
             say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
         voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._ended)
-        listener = Reception(self.loop, voter, options.callers)
+        listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
         self._end_following()
         self.voter, self.reception = voter, listener
         voter.start()
-        self.joining = Joining(self.loop, voter, lambda: self.voter is voter)
+        self.joining = JoinProcess(self.loop, voter, lambda: self.voter is voter)
         return True
 
     def _end_following(self) -> None:
@@ -223,7 +225,7 @@
         self.told(said, whole or anew)
         if self.folder is not None and not self.saves:
             self.saves = True
-            self.loop.after(max(0, self.saved_at + SAVE_APART - self.loop.now()), self._save)
+            self.loop.after(max(0, self.saved_at + MIN_SAVE_INTERVAL - self.loop.now()), self._save)
 
     def _save(self) -> None:
         self.saves, self.saved_at = False, self.loop.now()
@@ -232,7 +234,9 @@
         words = {name: (command.at, command.on) for name, command in self.words.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
-            remembered.save(self.folder, Remembered(self.options.cluster, self.index, now, sorted(self.members), words))
+            remembered.save(
+                self.folder, OverrideCache(self.options.cluster, self.index, now, sorted(self.members), words)
+            )
         except OSError as error:
             say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
 
@@ -259,7 +263,7 @@
                 yield from self.proposer.remove(call.id, self.options.write_within)
                 return "removed"
             if call.command is Command.FLEET_ENABLE:
-                held = yield from self.proposer.read(WordOf(call.id), self.options.write_within)
+                held = yield from self.proposer.read(OverrideQuery(call.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
                     if held.value or call.id in self.out():
--- a/loftweir/replication/raft/commit.py
+++ b/loftweir/replication/raft/commit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Apply, Done, Role, WantSnapshot
+from loftweir.replication.api import ApplyEntries, RequestCompleted, Role, TakeSnapshot
 from loftweir.replication.raft.leadership_transfer import LeadershipTransfer
 from loftweir.replication.raft.reads import Reads
 
@@ -31,17 +31,17 @@
         changing = self.commit < self._configs[-1][0]
         self.commit = index
         entries = tuple(self._log[self.applied - self._base : index - self._base])
-        self._out.append(Apply(entries))
+        self._out.append(ApplyEntries(entries))
         self._since += sum(len(entry.data) for entry in entries)
         self.applied = index
         if changing:
             self._placed()
         while self._owed and self._owed[0][0] <= index:
             at, token = self._owed.popleft()
-            self._out.append(Done(token, at))
+            self._out.append(RequestCompleted(token, at))
         if self.applied - self._wanted >= self.timing.log_entries or self._since >= self.timing.log_bytes:
             self._wanted, self._since = self.applied, 0
-            self._out.append(WantSnapshot())
+            self._out.append(TakeSnapshot())
         if self.role is Role.LEADER:
             self._leader_committed(index)
 
--- a/loftweir/replication/raft/election.py
+++ b/loftweir/replication/raft/election.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import AskVote, LeadNow, Role, Vote
+from loftweir.replication.api import RequestVote, RequestVoteResponse, Role, TimeoutNow
 from loftweir.replication.raft.leader import Leader
 
 
@@ -32,7 +32,7 @@
         for id in sorted(self.voters - self._votes - {self.me}):
             last, term = self.last_index, self.term_at(self.last_index)
             self._say(
-                AskVote(
+                RequestVote(
                     sender=self.me,
                     to=id,
                     term=self.term + pre,
@@ -43,11 +43,11 @@
                 )
             )
 
-    def _ask_vote(self, m: AskVote) -> None:
+    def _ask_vote(self, m: RequestVote) -> None:
         if m.pre:
             granted = m.term > self.term and not self._sticky() and self._up_to_date(m)
             term = m.term if granted else self.term
-            self._say(Vote(sender=self.me, to=m.sender, term=term, granted=granted, pre=True))
+            self._say(RequestVoteResponse(sender=self.me, to=m.sender, term=term, granted=granted, pre=True))
             return
         if m.term > self.term:
             if self._sticky() and not m.handed:
@@ -58,13 +58,13 @@
             if not self.vote:
                 self._hard(self.term, m.sender)
             self._deadline = self._now + self._wait
-        self._say(Vote(sender=self.me, to=m.sender, term=self.term, granted=granted, pre=False))
+        self._say(RequestVoteResponse(sender=self.me, to=m.sender, term=self.term, granted=granted, pre=False))
 
-    def _up_to_date(self, m: AskVote) -> bool:
+    def _up_to_date(self, m: RequestVote) -> bool:
         """The asker's log holds all that may be committed as far as this one knows (paper, 5.4.1)."""
         return (m.last_term, m.last_index) >= (self.term_at(self.last_index), self.last_index)
 
-    def _vote(self, m: Vote) -> None:
+    def _vote(self, m: RequestVoteResponse) -> None:
         if m.pre and m.granted:
             if self.role is Role.ASKING and m.term == self.term + 1:
                 self._votes.add(m.sender)
@@ -82,7 +82,7 @@
         if len(self._votes & self.voters) + own >= self._majority:
             self._lead()
 
-    def _lead_now(self, m: LeadNow) -> None:
+    def _lead_now(self, m: TimeoutNow) -> None:
         following = self.role is Role.FOLLOWER and self.me in self.voters
         if following and m.term == self.term and m.sender == self.leader:
             self._stand(True)
--- a/loftweir/replication/raft/follower.py
+++ b/loftweir/replication/raft/follower.py
@@ -2,15 +2,24 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Append, Appended, Entry, Piece, Restore, Role, Snapshot, Taken
+from loftweir.replication.api import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RestoreSnapshot,
+    Role,
+    Snapshot,
+)
 from loftweir.replication.raft.commit import Commit
-from loftweir.replication.raft.state import Incoming
+from loftweir.replication.raft.state import IncomingSnapshot
 
 
 class Follower(Commit):
     """What a member does with what its leader sends."""
 
-    def _from_leader(self, m: Append | Piece) -> bool:
+    def _from_leader(self, m: AppendEntries | InstallSnapshot) -> bool:
         """Whether it is of the term's leader, who is followed then."""
         if m.term < self.term or self.role is Role.LEADER and m.term == self.term:
             return False
@@ -20,7 +29,7 @@
         self._deadline = self._now + self._wait
         return True
 
-    def _append_heard(self, m: Append) -> None:
+    def _append_heard(self, m: AppendEntries) -> None:
         if not self._from_leader(m):
             if m.term < self.term:  # so that it learns of the later term
                 self._appended_say(m, False, self.last_index)
@@ -59,10 +68,12 @@
                 self._cut_from(entry.index)
             self._grow(entry)
 
-    def _appended_say(self, m: Append, ok: bool, match: int, after: int = 0) -> None:
-        self._say(Appended(sender=self.me, to=m.sender, term=self.term, ok=ok, match=match, round=m.round), after)
+    def _appended_say(self, m: AppendEntries, ok: bool, match: int, after: int = 0) -> None:
+        self._say(
+            AppendEntriesResponse(sender=self.me, to=m.sender, term=self.term, ok=ok, match=match, round=m.round), after
+        )
 
-    def _piece_heard(self, m: Piece) -> None:
+    def _piece_heard(self, m: InstallSnapshot) -> None:
         if not self._from_leader(m):
             if m.term < self.term:
                 self._taken_say(m, 0)
@@ -79,18 +90,23 @@
         self._install(Snapshot(m.index, m.index_term, m.members, bytes(held)))
         self._taken_say(m, m.size, self._batch + 1)
 
-    def _collect(self, m: Piece) -> bytearray:
+    def _collect(self, m: InstallSnapshot) -> bytearray:
         """What is held of a snapshot, this piece with it where it comes next."""
         key = (m.sender, m.term, m.index, m.size)
         if self._incoming is None or self._incoming.key != key:
-            self._incoming = Incoming(key)
+            self._incoming = IncomingSnapshot(key)
         held = self._incoming.data
         if m.at == len(held) and m.at + len(m.data) <= m.size:
             held += m.data
         return held
 
-    def _taken_say(self, m: Piece, upto: int, after: int = 0) -> None:
-        self._say(Taken(sender=self.me, to=m.sender, term=self.term, index=m.index, upto=upto, round=m.round), after)
+    def _taken_say(self, m: InstallSnapshot, upto: int, after: int = 0) -> None:
+        self._say(
+            InstallSnapshotResponse(
+                sender=self.me, to=m.sender, term=self.term, index=m.index, upto=upto, round=m.round
+            ),
+            after,
+        )
 
     def _install(self, snapshot: Snapshot) -> None:
         """In place of the log up to it; what is behind it stays only if the log agrees with it there (paper, 7)."""
@@ -107,5 +123,5 @@
         self._base, self._base_term = index, snapshot.term
         self.commit = self.applied = self._wanted = index
         self.snapshot = self._taken_in = snapshot
-        self._out.append(Restore(snapshot))
+        self._out.append(RestoreSnapshot(snapshot))
         self._configured()
--- a/loftweir/replication/raft/invariants.py
+++ b/loftweir/replication/raft/invariants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Kind, Role
+from loftweir.replication.api import EntryKind, Role
 from loftweir.replication.raft.state import RaftState, decode_members
 
 
@@ -30,7 +30,7 @@
 
     def _check_members(self) -> None:
         since = self._snapshot_index()
-        said = [(e.index, decode_members(e.data)) for e in self._log if e.kind is Kind.MEMBERS and e.index > since]
+        said = [(e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS and e.index > since]
         assert [c for c in self._configs if c[0] > since] == said and self._configs[0][0] <= since
         assert self.members == self._configs[-1][1]
         assert [i for i, _ in self._configs] == sorted({i for i, _ in self._configs})
--- a/loftweir/replication/raft/leader.py
+++ b/loftweir/replication/raft/leader.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Appended, Kind, Role, Snapshot, Taken
+from loftweir.replication.api import AppendEntriesResponse, EntryKind, InstallSnapshotResponse, Role, Snapshot
 from loftweir.replication.raft.commit import Commit
 from loftweir.replication.raft.state import Peer
 
@@ -16,7 +16,7 @@
         self._round = max(self._round, self._now)
         self._own_from = self.last_index + 1
         self._meet(self._own_from)
-        self._propose(Kind.NOOP, b"")
+        self._propose(EntryKind.NOOP, b"")
         self._beat_at = self._now + self.timing.beat
         self._count()
 
@@ -42,7 +42,7 @@
             self._piece(peer, snapshot)
         peer.moved = False
 
-    def _answered(self, m: Appended | Taken) -> Peer | None:
+    def _answered(self, m: AppendEntriesResponse | InstallSnapshotResponse) -> Peer | None:
         """Whose answer it is to this leader of this term. A later term ends this one, if a member says so."""
         if m.term > self.term:
             if m.sender in self._ids:
@@ -58,7 +58,7 @@
                 self._confirm()
         return peer
 
-    def _appended(self, m: Appended) -> None:
+    def _appended(self, m: AppendEntriesResponse) -> None:
         peer = self._answered(m)
         if peer is None:
             return
@@ -87,7 +87,7 @@
             if self._hand_to:
                 self._hand()
 
-    def _taken(self, m: Taken) -> None:
+    def _taken(self, m: InstallSnapshotResponse) -> None:
         peer = self._answered(m)
         if peer is None or peer.sending is None or m.index != peer.sending.index:
             return
--- a/loftweir/replication/raft/leadership_transfer.py
+++ b/loftweir/replication/raft/leadership_transfer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import HandOver, LeadNow
+from loftweir.replication.api import TimeoutNow, TransferLeadership
 from loftweir.replication.raft.log_replication import LogReplication
 from loftweir.replication.raft.state import Peer
 
@@ -10,7 +10,7 @@
 class LeadershipTransfer(LogReplication):
     """Handing the leadership over to another member."""
 
-    def _hand_over(self, event: HandOver) -> None:
+    def _hand_over(self, event: TransferLeadership) -> None:
         """Take no more writes until another, which has all, leads; or for `Timing.election` at most (diss. 3.10)."""
         best = self._best()
         if best is not None and not self._hand_to:
@@ -28,4 +28,4 @@
 
     def _to_another(self, peer: Peer | None) -> None:
         if peer is not None:
-            self._say(LeadNow(sender=self.me, to=peer.id, term=self.term))
+            self._say(TimeoutNow(sender=self.me, to=peer.id, term=self.term))
--- a/loftweir/replication/raft/log.py
+++ b/loftweir/replication/raft/log.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Compact, Entry, Kind, Snapshot
+from loftweir.replication.api import CompactLog, Entry, EntryKind, Snapshot
 from loftweir.replication.raft.membership import Membership
 from loftweir.replication.raft.state import decode_members
 
-HELD_TIMES = 4  # times `log_entries` that are held at most for members that take a snapshot now
+LEARNER_LOG_FACTOR = 4  # times `log_entries` that are held at most for members that take a snapshot now
 
 
 class RaftLog(Membership):
@@ -16,7 +16,7 @@
         self._log.append(entry)
         self._new.append(entry)
         self.last_index = entry.index
-        if entry.kind is Kind.MEMBERS:
+        if entry.kind is EntryKind.MEMBERS:
             self._configs.append((entry.index, decode_members(entry.data)))
             self._configured()
 
@@ -32,7 +32,7 @@
                 self._configs.pop()
             self._configured()
 
-    def _compact(self, event: Compact) -> None:
+    def _compact(self, event: CompactLog) -> None:
         had = self.snapshot.index if self.snapshot else 0
         if not had < event.index <= self.applied:
             return  # an older one, made while a newer one was taken in
@@ -53,7 +53,9 @@
         keep_from = self._kept_from(index, timing.keep_behind, timing.log_bytes // 2)
         taking = [peer.sending.index for peer in self._peers.values() if peer.sending and self._alive(peer)]
         if taking:  # they go on from their snapshot by the log, or they would need one snapshot after the other
-            most = self._kept_from(index, HELD_TIMES * timing.log_entries, HELD_TIMES * timing.log_bytes)
+            most = self._kept_from(
+                index, LEARNER_LOG_FACTOR * timing.log_entries, LEARNER_LOG_FACTOR * timing.log_bytes
+            )
             keep_from = max(min(keep_from, *taking), most)
         return keep_from
 
--- a/loftweir/replication/raft/log_replication.py
+++ b/loftweir/replication/raft/log_replication.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Append, Entry, Kind, Piece, Snapshot
+from loftweir.replication.api import AppendEntries, Entry, EntryKind, InstallSnapshot, Snapshot
 from loftweir.replication.raft.log import RaftLog
 from loftweir.replication.raft.quorum import Quorum
 from loftweir.replication.raft.state import Peer
 
-MOST_IN_FLIGHT = 32  # appends under way to a member at most; what comes meanwhile goes together in the next
-WINDOW = 4  # bytes under way to a member at most, in times of a full append or piece
+MAX_APPENDS_IN_FLIGHT = 32  # appends under way to a member at most; what comes meanwhile goes together in the next
+WINDOW_MESSAGES = 4  # bytes under way to a member at most, in times of a full append or piece
 ENTRY_OVERHEAD = 32  # bytes of an entry beside its data, about
 
 
 class LogReplication(RaftLog, Quorum):
     """What a leader sends to the other members."""
 
-    def _propose(self, kind: Kind, data: bytes) -> int:
+    def _propose(self, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.last_index + 1, self.term, kind, data)
         self._grow(entry)
         for peer in self._peers.values():
@@ -26,7 +26,7 @@
         if peer.leaving and not peer.leaving_told and prev >= peer.leaving and self.commit >= peer.leaving:
             peer.leaving_told = self._round + 1
         self._say(
-            Append(
+            AppendEntries(
                 sender=self.me,
                 to=peer.id,
                 term=self.term,
@@ -42,9 +42,9 @@
         """What it lacks, as far as there is room under way."""
         if peer.sending is not None:
             return
-        window = WINDOW * self.timing.append_bytes
+        window = WINDOW_MESSAGES * self.timing.append_bytes
         while peer.next <= self.last_index:
-            if len(peer.flight) >= (1 if peer.probing else MOST_IN_FLIGHT) or peer.bytes >= window:
+            if len(peer.flight) >= (1 if peer.probing else MAX_APPENDS_IN_FLIGHT) or peer.bytes >= window:
                 return
             if peer.next <= self._base:
                 self._send_snapshot(peer)
@@ -78,13 +78,13 @@
         self._piece(peer, self.snapshot)
 
     def _pieces(self, peer: Peer, snapshot: Snapshot) -> None:
-        while peer.sent < len(snapshot.data) and peer.sent - peer.taken < WINDOW * self.timing.piece_bytes:
+        while peer.sent < len(snapshot.data) and peer.sent - peer.taken < WINDOW_MESSAGES * self.timing.piece_bytes:
             self._piece(peer, snapshot)
 
     def _piece(self, peer: Peer, snapshot: Snapshot) -> None:
         data = snapshot.data[peer.sent : peer.sent + self.timing.piece_bytes]
         self._say(
-            Piece(
+            InstallSnapshot(
                 sender=self.me,
                 to=peer.id,
                 term=self.term,
--- a/loftweir/replication/raft/membership.py
+++ b/loftweir/replication/raft/membership.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Member, Refusal, Role
+from loftweir.replication.api import Member, RejectionReason, Role
 from loftweir.replication.raft.state import NEVER, Peer
 from loftweir.replication.raft.storage import Storage
 
-MOST_VOTERS = 7
-MOST_MEMBERS = 16  # learners with them
+MAX_VOTERS = 7
+MAX_MEMBERS = 16  # learners with them
 
 
 class Membership(Storage):
@@ -65,15 +65,15 @@
         """Of a leader: it may take a change of members. An entry of its term and the last change are committed."""
         return self.role is Role.LEADER and self.commit >= max(self._own_from, self._configs[-1][0])
 
-    def _unfit(self, members: tuple[Member, ...]) -> Refusal | None:
+    def _unfit(self, members: tuple[Member, ...]) -> RejectionReason | None:
         """One voter more or less at a time. None is under way, and an entry of this leader's term is committed: else
         two leaders could each have made another change, with majorities that don't meet (diss. 4.1, and Ongaro's note
         of 2015 on it)."""
         voters = {m.id for m in members if m.votes}
         if len({m.id for m in members}) < len(members) or len({m.name for m in members}) < len(members):
-            return Refusal.UNFIT
-        if not voters or len(voters) > MOST_VOTERS or len(members) > MOST_MEMBERS or len(voters ^ self.voters) > 1:
-            return Refusal.UNFIT
+            return RejectionReason.UNFIT
+        if not voters or len(voters) > MAX_VOTERS or len(members) > MAX_MEMBERS or len(voters ^ self.voters) > 1:
+            return RejectionReason.UNFIT
         if self._hand_to or not self.settled:
-            return Refusal.BUSY
+            return RejectionReason.BUSY
         return None
--- a/loftweir/replication/raft/state.py
+++ b/loftweir/replication/raft/state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from loftweir.replication.api import Action, Entry, Kept, Kind, Member, Role, Snapshot, Timing
+from loftweir.replication.api import Action, Entry, EntryKind, Member, PersistentState, Role, Snapshot, Timing
 
 NEVER = 1 << 62  # a time that doesn't come
 
@@ -42,7 +42,7 @@
         self.bytes = 0
 
 
-class Incoming:
+class IncomingSnapshot:
     """A snapshot that comes in pieces: of one sender in one term, since another's may differ in its bytes."""
 
     def __init__(self, key: tuple[str, int, int, int]) -> None:
@@ -53,7 +53,7 @@
 class RaftState:
     """One member's state: what its disk holds, its part in its term, and what a leader knows of the others."""
 
-    def __init__(self, me: str, kept: Kept, timing: Timing, random: Random, now: int) -> None:
+    def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
         self.me = me
         self.timing = timing
         self._random = random
@@ -65,7 +65,7 @@
         self._begin_leadership()
         self._begin_members()
 
-    def _begin_log(self, kept: Kept) -> None:
+    def _begin_log(self, kept: PersistentState) -> None:
         self.term = kept.hard.term
         self.vote = kept.hard.vote
         self.snapshot = kept.snapshot
@@ -77,7 +77,7 @@
             self.term, self.vote = self._log[-1].term, ""
         # Members from each index on, as the log says; the first is as of the snapshot.
         self._configs = [(self._base, kept.snapshot.members if kept.snapshot else ())]
-        self._configs += [(e.index, decode_members(e.data)) for e in self._log if e.kind is Kind.MEMBERS]
+        self._configs += [(e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS]
 
     def _begin_storage(self) -> None:
         self._batch = 0  # the last asked for
@@ -99,7 +99,7 @@
         self._wanted = self._base  # applied when a snapshot was last wanted or made
         self._since = 0  # bytes applied since then
         self._leader_heard = 0
-        self._incoming: Incoming | None = None
+        self._incoming: IncomingSnapshot | None = None
         self._votes: set[str] = set()
         self._handed = False  # it stands because the leader said so
         self._wait = 0  # this round's wait for a leader
--- a/loftweir/replication/raft/storage.py
+++ b/loftweir/replication/raft/storage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Action, AnyMessage, Hard, Keep, Say, Stands
+from loftweir.replication.api import Action, AnyMessage, HardState, PersistBatch, SendMessage, StatusChanged
 from loftweir.replication.raft.state import RaftState
 
 
@@ -14,8 +14,8 @@
         out, self._out = self._out, []
         if self._hard_changed or self._new or self._cut is not None or self._taken_in is not None:
             self._batch += 1
-            hard = Hard(self.term, self.vote) if self._hard_changed else None
-            keep = Keep(self._batch, hard, self._cut, tuple(self._new), self._taken_in, self._all_gone)
+            hard = HardState(self.term, self.vote) if self._hard_changed else None
+            keep = PersistBatch(self._batch, hard, self._cut, tuple(self._new), self._taken_in, self._all_gone)
             out.insert(0, keep)
             self._pending.append([self._batch, self.last_index])
             self._hard_changed = self._all_gone = False
@@ -24,7 +24,7 @@
         stood = (self.role, self.term, self.leader, self.members)
         if stood != self._stood:
             self._stood = stood
-            out.append(Stands(*stood))
+            out.append(StatusChanged(*stood))
         return out
 
     def _hard(self, term: int, vote: str) -> None:
@@ -35,7 +35,7 @@
     def _say(self, message: AnyMessage, after: int = 0) -> None:
         """What is said in a term leaves once that is stable."""
         after = max(after, self._hard_batch)
-        self._out.append(Say(message, after if after > self._stable_batch else 0))
+        self._out.append(SendMessage(message, after if after > self._stable_batch else 0))
 
     def _gone_from(self, index: int) -> None:
         """What was asked to be kept from here on is not this member's log any more."""
