--- a/loftweir/replication/raft/terms.py
+++ b/loftweir/replication/raft/terms.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loftweir.replication.api import Refusal, Refused, Role
+from loftweir.replication.api import RejectionReason, RequestRejected, Role
 from loftweir.replication.raft.membership import Membership
 from loftweir.replication.raft.state import NEVER
 
@@ -23,7 +23,7 @@
 
     def _down(self) -> None:
         """Lead no more: what was not answered is not known to come true here."""
-        self._give_back(Refusal.NOT_LEADER)
+        self._give_back(RejectionReason.NOT_LEADER)
         self._peers, self._voting = {}, []
         self._hand_to, self._hand_until = "", NEVER
         self.role = Role.FOLLOWER
@@ -39,15 +39,15 @@
 
     def _may_take(self, token: int) -> bool:
         if self.role is not Role.LEADER:
-            self._out.append(Refused(token, Refusal.NOT_LEADER))
+            self._out.append(RequestRejected(token, RejectionReason.NOT_LEADER))
             return False
         if len(self._owed) + len(self._reads) >= self.timing.under_way:
-            self._out.append(Refused(token, Refusal.BUSY))
+            self._out.append(RequestRejected(token, RejectionReason.BUSY))
             return False
         return True
 
-    def _give_back(self, reads: Refusal) -> None:
-        self._out += [Refused(token, Refusal.LOST) for _, token in self._owed]
-        self._out += [Refused(token, reads) for *_, token in self._reads]
+    def _give_back(self, reads: RejectionReason) -> None:
+        self._out += [RequestRejected(token, RejectionReason.LOST) for _, token in self._owed]
+        self._out += [RequestRejected(token, reads) for *_, token in self._reads]
         self._owed.clear()
         self._reads.clear()
--- a/loftweir/replication/reading.py
+++ b/loftweir/replication/reading.py
@@ -12,33 +12,33 @@
 from typing import NamedTuple
 
 from loftweir.replication import journal
-from loftweir.replication.api import Entry, Kept, Snapshot
+from loftweir.replication.api import Entry, PersistentState, Snapshot
 from loftweir.replication.folder import (
-    COPY,
     IDENTITY,
     MARK,
-    NEW,
+    NEW_SUFFIX,
     SEGMENT,
+    SNAPSHOT,
     Folder,
     StorageDamaged,
-    copy_name,
     segment_name,
+    snapshot_name,
 )
-from loftweir.replication.journal import Identity, Mark, Tape, Torn
+from loftweir.replication.journal import Identity, LogState, Mark, Torn
 from loftweir.state.sealed import Damaged
 
 
-class Found(NamedTuple):
+class RecoveredFolder(NamedTuple):
     """What is in a folder, and where to go on."""
 
-    tape: Tape
-    kept: Kept
+    tape: LogState
+    kept: PersistentState
     size: int  # of the last segment
     torn: int  # bytes cut off
 
 
 @contextmanager
-def of(path: Path) -> Iterator[None]:
+def naming_file(path: Path) -> Iterator[None]:
     """`Damaged` with its file."""
     try:
         yield
@@ -48,40 +48,40 @@
         raise StorageDamaged("it is missing", path, 0) from None
 
 
-def read(folder: Folder, cluster: str) -> Found:
+def read_folder(folder: Folder, cluster: str) -> RecoveredFolder:
     """All of it is on stable storage when this returns. `StorageDamaged`; OSError."""
-    with of(folder.path / IDENTITY):
-        identity = journal.identity_read(folder.bytes_of(IDENTITY))
+    with naming_file(folder.path / IDENTITY):
+        identity = journal.decode_identity(folder.bytes_of(IDENTITY))
         if identity.cluster != cluster:
             raise Damaged(f"of another cluster, {identity.cluster!r}")
-    with of(folder.path / MARK):
-        mark = journal.mark_read(folder.bytes_of(MARK), identity)
+    with naming_file(folder.path / MARK):
+        mark = journal.decode_mark(folder.bytes_of(MARK), identity)
     log = _Log(folder, identity, mark)
     log.read()
     snapshot = _snapshot(folder, log.tape)
     log.settle()
-    tidy(folder, log.tape)
+    remove_obsolete_files(folder, log.tape)
     entries = tuple(log.entries[index] for index in range(log.tape.snapshot_index + 1, log.tape.next))
-    return Found(log.tape, Kept(log.tape.hard, snapshot, entries), log.size, log.torn)
+    return RecoveredFolder(log.tape, PersistentState(log.tape.hard, snapshot, entries), log.size, log.torn)
 
 
-def tidy(folder: Folder, tape: Tape) -> None:
+def remove_obsolete_files(folder: Folder, tape: LogState) -> None:
     """Removes what the log needs no more; call it only once all that `tape` says is stable."""
     while (spare := tape.spare()) is not None:
         folder.remove(segment_name(spare))
         del tape.tops[spare]
-    named = copy_name(tape.named.number) if tape.named else ""
+    named = snapshot_name(tape.named.number) if tape.named else ""
     for name in folder.own():
-        if name.endswith(NEW) or (name.startswith(COPY) and name != named):
+        if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != named):
             folder.remove(name)
 
 
-def _snapshot(folder: Folder, tape: Tape) -> Snapshot | None:
+def _snapshot(folder: Folder, tape: LogState) -> Snapshot | None:
     if tape.named is None:
         return None
-    name = copy_name(tape.named.number)
-    with of(folder.path / name):
-        return journal.copy_read(folder.bytes_of(name), tape.identity, tape.named)
+    name = snapshot_name(tape.named.number)
+    with naming_file(folder.path / name):
+        return journal.decode_snapshot(folder.bytes_of(name), tape.identity, tape.named)
 
 
 class _Log:
@@ -89,7 +89,7 @@
 
     def __init__(self, folder: Folder, identity: Identity, mark: Mark) -> None:
         self.folder, self.mark = folder, mark
-        self.tape = Tape(identity)
+        self.tape = LogState(identity)
         self.entries: dict[int, Entry] = {}  # the last that was written under each index
         self.size = 0
         self.torn = 0
@@ -101,7 +101,7 @@
         last = max(self.mark.segment, *numbers, 0)
         first = min(numbers, default=last)
         for number in range(first, last + 1):
-            with of(self.folder.path / segment_name(number)):
+            with naming_file(self.folder.path / segment_name(number)):
                 data = self.folder.bytes_of(segment_name(number))
                 try:
                     end = self._segment(number, data)
--- a/loftweir/replication/remembered.py
+++ b/loftweir/replication/remembered.py
@@ -14,11 +14,11 @@
 
 from loftweir.state.sealed import Damaged, opened, sealed
 
-NAME, HEAD, VERSION = "loftweir-fleet", b"loftweir-fleet", 1
-LARGEST = 4 * 1024 * 1024
+FILE_NAME, FILE_MAGIC, VERSION = "loftweir-fleet", b"loftweir-fleet", 1
+MAX_FILE_SIZE = 4 * 1024 * 1024
 
 
-class Remembered(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class OverrideCache(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     cluster: str
     index: int
     known_at: int  # Unix time, ns: it was the latest then
@@ -26,27 +26,27 @@
     words: dict[str, tuple[int, bool]]  # by provider: when it was said, and whether it is out
 
 
-def save(folder: Path, what: Remembered) -> None:
+def save(folder: Path, what: OverrideCache) -> None:
     """Raises OSError; the file holds the one before then."""
-    beside = folder / f"{NAME}.{os.getpid()}"
+    beside = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
-        beside.write_bytes(sealed(HEAD, VERSION, msgspec.json.encode(what)))
-        os.replace(beside, folder / NAME)
+        beside.write_bytes(sealed(FILE_MAGIC, VERSION, msgspec.json.encode(what)))
+        os.replace(beside, folder / FILE_NAME)
     except OSError:
         with suppress(OSError):
             beside.unlink()
         raise
 
 
-def load(folder: Path, cluster: str) -> Remembered | None:
+def load(folder: Path, cluster: str) -> OverrideCache | None:
     """None: nothing was kept, or of another cluster. Raises OSError and `Damaged`."""
     try:
-        with open(folder / NAME, "rb") as file:
-            data = file.read(LARGEST + 1)
+        with open(folder / FILE_NAME, "rb") as file:
+            data = file.read(MAX_FILE_SIZE + 1)
     except FileNotFoundError:
         return None
     try:
-        found = msgspec.json.decode(opened(HEAD, VERSION, data), type=Remembered)
+        found = msgspec.json.decode(opened(FILE_MAGIC, VERSION, data), type=OverrideCache)
     except msgspec.MsgspecError as error:
         raise Damaged(f"not in its form: {error}") from None
     return found if found.cluster == cluster else None
--- a/loftweir/replication/seats.py
+++ b/loftweir/replication/seats.py
@@ -10,12 +10,14 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 
 from loftweir.replication.api import Member
-from loftweir.replication.wire import Am, Join, Joined, Why
+from loftweir.replication.wire import JoinRequest, JoinResponse, RejectReason, StatusResponse
 
-REACH = 64  # entries behind what is committed, with which a new member gets its vote
+MAX_LEARNER_LAG = 64  # entries behind what is committed, with which a new member gets its vote
 
 
-def founders(me: Member, first: str, names: Collection[str], answers: Mapping[str, tuple[str, Am]]) -> Sequence[Member]:
+def founding_members(
+    me: Member, first: str, names: Collection[str], answers: Mapping[str, tuple[str, StatusResponse]]
+) -> Sequence[Member]:
     """The members to found with, where this one (whose own disk is empty) is to do it now; else none.
 
     `answers`: by name, the id that answered there and what it said."""
@@ -29,13 +31,15 @@
     return sorted([me, *others], key=lambda member: member.name)
 
 
-def waits_for(name: str, first: str, names: Collection[str], answers: Mapping[str, tuple[str, Am]]) -> str:
+def waiting_reason(
+    name: str, first: str, names: Collection[str], answers: Mapping[str, tuple[str, StatusResponse]]
+) -> str:
     """Why a member with an empty disk is neither founding nor joining, for the log."""
     silent = sorted(set(names) - {name, *answers})
     differ = sorted(n for n, (_, am) in answers.items() if not am.agrees)
     begun = sorted(n for n, (_, am) in answers.items() if am.agrees and not am.empty)
     if any(am.leader == name for _, am in answers.values()):
-        return f"{name}: {Why.SEAT_HELD.value}, and leads: another process has this name"
+        return f"{name}: {RejectReason.SEAT_HELD.value}, and leads: another process has this name"
     if differ:
         return f"replication.members is another at {', '.join(differ)}"
     if begun:
@@ -45,19 +49,19 @@
     return f"{first} is to begin"
 
 
-def step_in(
-    join: Join,
+def next_join_step(
+    join: JoinRequest,
     members: tuple[Member, ...],
     listed: Collection[str],
     lately: Callable[[str], bool],
     behind: Callable[[str], int],
-) -> Joined | tuple[Member, ...]:
+) -> JoinResponse | tuple[Member, ...]:
     """What a leader makes of one that wants in: an answer, or the members of the next step.
 
     `lately`: whether a member was heard from in the last election timeout, or may have been (a leader that has only
     just begun can't tell); `behind`: how many committed entries it is not known to have."""
     if join.name not in listed:
-        return Joined(False, False, f"{join.name}: {Why.NOT_LISTED.value}")
+        return JoinResponse(False, False, f"{join.name}: {RejectReason.NOT_LISTED.value}")
     own = next((m for m in members if m.id == join.id), None)
     seat = next((m for m in members if m.name == join.name), None)
     if own is None and seat is None:
@@ -65,12 +69,12 @@
     if own is None:
         assert seat is not None
         if lately(seat.id):
-            return Joined(False, False, f"{join.name}: {Why.SEAT_HELD.value}, {seat.id}")
+            return JoinResponse(False, False, f"{join.name}: {RejectReason.SEAT_HELD.value}, {seat.id}")
         return tuple(m for m in members if m is not seat)
     if own is not seat:
-        return Joined(False, False, f"{join.id}: a member under the name {own.name}")
-    if own.address != join.address or (not own.votes and behind(join.id) <= REACH):
-        votes = own.votes or behind(join.id) <= REACH
+        return JoinResponse(False, False, f"{join.id}: a member under the name {own.name}")
+    if own.address != join.address or (not own.votes and behind(join.id) <= MAX_LEARNER_LAG):
+        votes = own.votes or behind(join.id) <= MAX_LEARNER_LAG
         taken = Member(join.id, join.name, join.address, votes)
         return tuple(taken if m is own else m for m in members)
-    return Joined(own.votes, True)
+    return JoinResponse(own.votes, True)
--- a/loftweir/replication/wire.py
+++ b/loftweir/replication/wire.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from loftweir.errors import LoftweirError
-from loftweir.replication.api import AnyMessage, Member, Value
+from loftweir.replication.api import AnyMessage, Member, StrictStruct
 
 VERSION = 1  # of the frames; another one is turned away
-HEAD = struct.Struct(">II")
-FIRST = 4 * 1024  # bytes of the first frame of either side: who has not said who it is gets no room
-LARGEST = 2 * 1024 * 1024  # of any other; an entry has half of it at most
+FRAME_HEADER = struct.Struct(">II")
+MAX_HELLO_SIZE = 4 * 1024  # bytes of the first frame of either side: who has not said who it is gets no room
+MAX_FRAME_SIZE = 2 * 1024 * 1024  # of any other; an entry has half of it at most
 
 
 class BadFrame(LoftweirError):
@@ -40,7 +40,7 @@
     )
 
 
-class Kind(Enum):
+class ConnectionKind(Enum):
     """Who connects."""
 
     MEMBER = "member"  # its messages go one way here; answers come over a connection of the other's
@@ -48,7 +48,7 @@
     FOLLOWER = "follower"
 
 
-class Why(Enum):
+class RejectReason(Enum):
     """Why somebody is turned away."""
 
     VERSION = "another version"
@@ -62,29 +62,29 @@
     ENDED = "it takes no part any more"
 
 
-class Hello(Value, frozen=True, tag="hello"):
+class Hello(StrictStruct, frozen=True, tag="hello"):
     version: int
     cluster: str
     id: str
     name: str
-    kind: Kind
+    kind: ConnectionKind
 
 
-class Turned(Value, frozen=True, tag="turned"):
-    why: Why
+class ConnectionRejected(StrictStruct, frozen=True, tag="turned"):
+    why: RejectReason
     about: str = ""  # what is there instead
 
 
 # ---- founding, joining, leaving -----------------------------------------------------------------
 
 
-class Who(Value, frozen=True, tag="who"):
+class StatusRequest(StrictStruct, frozen=True, tag="who"):
     """How do you stand? From one whose disk is empty, or who hears from no leader."""
 
     names: tuple[str, ...]  # that the asker has listed
 
 
-class Am(Value, frozen=True, tag="am"):
+class StatusResponse(StrictStruct, frozen=True, tag="am"):
     empty: bool  # nothing was ever kept, and the lists are the same: the asker may count on this id to begin with
     agrees: bool  # the lists are the same
     at: str  # where it listens, by its own list
@@ -94,7 +94,7 @@
     sure: bool = False  # it leads, and its members are committed: none of them may come back to what was before
 
 
-class Join(Value, frozen=True, tag="join"):
+class JoinRequest(StrictStruct, frozen=True, tag="join"):
     """To the leader, again and again, each time one step on: the old id of the seat out, the new one in as one that
     gets the log, and as one that votes once it has nearly all of it."""
 
@@ -103,7 +103,7 @@
     address: str
 
 
-class Joined(Value, frozen=True, tag="joined"):
+class JoinResponse(StrictStruct, frozen=True, tag="joined"):
     votes: bool  # it is done
     on: bool  # a step was made, or one is under way
     why: str = ""  # else
@@ -111,7 +111,7 @@
     address: str = ""
 
 
-class Remove(Value, frozen=True, tag="remove"):
+class RemoveMember(StrictStruct, frozen=True, tag="remove"):
     """Takes the member in a seat out; answered by an `Outcome`."""
 
     token: int
@@ -121,7 +121,7 @@
 # ---- writes and reads ---------------------------------------------------------------------------
 
 
-class How(Enum):
+class OutcomeCode(Enum):
     """How a write or read went."""
 
     DONE = "done"
@@ -131,46 +131,46 @@
     LOST = "lost"  # in the log of one that led, and not known to be committed
 
 
-class Submit(Value, frozen=True, tag="submit"):
+class SubmitCommand(StrictStruct, frozen=True, tag="submit"):
     token: int
     order: bytes
 
 
-class Outcome(Value, frozen=True, tag="outcome"):
+class CommandOutcome(StrictStruct, frozen=True, tag="outcome"):
     token: int
-    how: How
+    how: OutcomeCode
     index: int = 0
     result: bytes = b""  # of the machine
     leader: str = ""
     address: str = ""
 
 
-class WordOf(Value, frozen=True, tag="word-of"):
+class OverrideQuery(StrictStruct, frozen=True, tag="word-of"):
     name: str
 
 
-class LeaseOf(Value, frozen=True, tag="lease-of"):
+class LeaseQuery(StrictStruct, frozen=True, tag="lease-of"):
     duty: str
 
 
-class FencedValueQuery(Value, frozen=True, tag="fact-of"):
+class FencedValueQuery(StrictStruct, frozen=True, tag="fact-of"):
     duty: str
     key: str
 
 
-Query = WordOf | LeaseOf | FencedValueQuery
+Query = OverrideQuery | LeaseQuery | FencedValueQuery
 
 
-class Ask(Value, frozen=True, tag="ask"):
+class QueryRequest(StrictStruct, frozen=True, tag="ask"):
     token: int
     query: Query
 
 
-class Answer(Value, frozen=True, tag="answer"):
+class QueryResponse(StrictStruct, frozen=True, tag="answer"):
     """`sure`: it is as of some moment since it was asked. Else it is what is held here, as old as `age` says."""
 
     token: int
-    how: How
+    how: OutcomeCode
     sure: bool = False
     index: int = 0
     age: int | None = None
@@ -182,39 +182,41 @@
 # ---- news ---------------------------------------------------------------------------------------
 
 
-class Follow(Value, frozen=True, tag="follow"):
+class FollowRequest(StrictStruct, frozen=True, tag="follow"):
     """What is committed behind an index? Answered as soon as there is something, else when the wait is over."""
 
     after: int
     wait: int
 
 
-class Told(Value, frozen=True, tag="told"):
+class CommittedEntry(StrictStruct, frozen=True, tag="told"):
     """A committed entry; none but a write has data."""
 
     index: int
     data: bytes
 
 
-class News(Value, frozen=True, tag="news"):
+class FollowResponse(StrictStruct, frozen=True, tag="news"):
     after: int  # as it was asked
     index: int  # applied there; below `after`: this one is behind who asks
     age: int | None  # since it last knew a leader with a majority; None: never
     leads: bool  # a majority has just said that it leads: nothing that was promised is behind its index
     leader: str  # a name
     members: tuple[str, ...]  # ids
-    entries: tuple[Told, ...]  # from behind `after` without gap; empty where only the whole helps, or none is there
+    entries: tuple[
+        CommittedEntry, ...
+    ]  # from behind `after` without gap; empty where only the whole helps, or none is there
     whole: bool  # only the whole helps
 
 
-class Fetch(Value, frozen=True, tag="fetch"):
+class FetchSnapshot(StrictStruct, frozen=True, tag="fetch"):
     """A piece of the machine as a whole, as of an index; another index than is held there: from its beginning."""
 
     index: int
     at: int
 
 
-class Whole(Value, frozen=True, tag="whole"):
+class SnapshotChunk(StrictStruct, frozen=True, tag="whole"):
     index: int
     at: int
     data: bytes
@@ -224,21 +226,35 @@
     members: tuple[str, ...]
 
 
-Ours = (
-    Hello | Turned | Who | Am | Join | Joined | Remove | Submit | Outcome | Ask | Answer | Follow | News | Fetch | Whole
+ServiceFrame = (
+    Hello
+    | ConnectionRejected
+    | StatusRequest
+    | StatusResponse
+    | JoinRequest
+    | JoinResponse
+    | RemoveMember
+    | SubmitCommand
+    | CommandOutcome
+    | QueryRequest
+    | QueryResponse
+    | FollowRequest
+    | FollowResponse
+    | FetchSnapshot
+    | SnapshotChunk
 )
-Frame = Ours | AnyMessage
+Frame = ServiceFrame | AnyMessage
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Frame)
 
 
-def written(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     body = _encoder.encode(frame)
-    return HEAD.pack(len(body), crc32(body)) + body
+    return FRAME_HEADER.pack(len(body), crc32(body)) + body
 
 
-class Reader:
+class FrameReader:
     """Frames out of bytes as they come.
 
     Invariant: `data` from `at` on is what has come and is in no frame yet; it holds less than one largest frame and
@@ -262,11 +278,11 @@
     def next(self) -> Frame | None:
         """The next whole frame; None where more bytes are needed. Raises `BadFrame`, and then nothing more can be
         read."""
-        begins = self.at + HEAD.size
+        begins = self.at + FRAME_HEADER.size
         if len(self.data) < begins:
             return None
-        size, checksum = HEAD.unpack_from(self.data, self.at)
-        most = FIRST if self.first else LARGEST
+        size, checksum = FRAME_HEADER.unpack_from(self.data, self.at)
+        most = MAX_HELLO_SIZE if self.first else MAX_FRAME_SIZE
         if size > most:
             raise BadFrame(f"a frame of {size} bytes, where {most} are the most")
         if len(self.data) < begins + size:
@@ -287,10 +303,10 @@
             yield frame
 
 
-def turned(hello: Hello, cluster: str) -> Turned | None:
+def hello_rejection(hello: Hello, cluster: str) -> ConnectionRejected | None:
     """What is said to one that must not speak here; None: it may."""
     if hello.version != VERSION:
-        return Turned(Why.VERSION, str(VERSION))
+        return ConnectionRejected(RejectReason.VERSION, str(VERSION))
     if hello.cluster != cluster:
-        return Turned(Why.CLUSTER, cluster)
+        return ConnectionRejected(RejectReason.CLUSTER, cluster)
     return None
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -88,7 +88,7 @@
             self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.fleet_said
             )
-            others += part.descriptors(platform.name, options.replication)
+            others += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -15,11 +15,11 @@
 
 from loftweir.partners.table import Offer, one_route
 from loftweir.replication import wire
-from loftweir.replication.machine import Fenced, Machine, Ok, Order
+from loftweir.replication.machine import Command, FencedWrite, Machine, Ok
 
 QUICK = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
-Order_ = msgspec.msgpack.Decoder(Order)
+Order_ = msgspec.msgpack.Decoder(Command)
 GIVEN = set()  # ports
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
@@ -154,12 +154,14 @@
     def fenced(self, duty):
         """The duty's writes in the order of the log: token, key, value, and whether the machine refused each."""
         host, port = self.seats[self.leader().name].split(":")
-        machine, found, reader = Machine(), [], wire.Reader()
+        machine, found, reader = Machine(), [], wire.FrameReader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "id", "judge", wire.Kind.FOLLOWER)))
+            sock.sendall(
+                wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "id", "judge", wire.ConnectionKind.FOLLOWER))
+            )
             while True:
-                sock.sendall(wire.written(wire.Follow(machine.index, 0)))
-                while not isinstance(news := reader.next(), wire.News):
+                sock.sendall(wire.encode_frame(wire.FollowRequest(machine.index, 0)))
+                while not isinstance(news := reader.next(), wire.FollowResponse):
                     if news is None:
                         reader.feed(sock.recv(65536))
                 if not news.entries:
@@ -169,7 +171,7 @@
                         machine.passed(told.index)
                         continue
                     act, result = Order_.decode(told.data).act, machine.apply(told.index, told.data)
-                    if isinstance(act, Fenced) and act.duty == duty:
+                    if isinstance(act, FencedWrite) and act.duty == duty:
                         found.append((act.token, act.key, act.value, not isinstance(result, Ok)))
 
     def kept(self, duty):
--- a/tests/test_fault_oracle.py
+++ b/tests/test_fault_oracle.py
@@ -7,13 +7,13 @@
 from benchmarks.faults.oracle import Oracle
 from benchmarks.faults.schedule import KINDS, Fault, schedule
 from loftweir.emulator.histories import Act, Call
-from loftweir.replication.machine import Fenced, Order, Word, written
+from loftweir.replication.machine import Command, FencedWrite, SetOverride, encode
 
-OUT, IN = Word("s0", True, 0), Word("s0", False, 0)
+OUT, IN = SetOverride("s0", True, 0), SetOverride("s0", False, 0)
 
 
 def value(data):
-    return Fenced("pen", 1, "k", data)
+    return FencedWrite("pen", 1, "k", data)
 
 
 class OracleTest(unittest.TestCase):
@@ -24,7 +24,7 @@
         """Entries from the first on, each of the session's next number; one that is None has no order."""
         numbers = iter(range(1, 100))
         for index, act in enumerate(acts, 1):
-            data = b"" if act is None else written(Order(session, next(numbers), act))
+            data = b"" if act is None else encode(Command(session, next(numbers), act))
             self.oracle.told("n0", index, data)
 
     def said(self, out, outcome=None):
@@ -83,8 +83,8 @@
         self.finds("can't have returned True")
 
     def test_an_order_that_is_applied_twice(self):
-        order = written(Order("a", 1, OUT))
-        for index, data in enumerate([order, written(Order("b", 1, IN)), order], 1):
+        order = encode(Command("a", 1, OUT))
+        for index, data in enumerate([order, encode(Command("b", 1, IN)), order], 1):
             self.oracle.told("n0", index, data)
         self.seen("f0", 3, "s0")
         self.finds("f0 showed s0 out at 3")
@@ -112,7 +112,7 @@
         self.log(None, OUT)
         self.oracle.promise(2, OUT, "f0", 1)
         self.seen("f0", 1)
-        self.finds("f0 promised Word")
+        self.finds("f0 promised SetOverride")
 
     def test_an_answer_while_no_majority_could_be_had(self):
         self.log(OUT)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,10 +15,19 @@
 from loftweir.config.model import Replication
 from loftweir.net.loop import Loop
 from loftweir.operations.record import LastCommand as Said
-from loftweir.replication.api import Append, Appended, AskVote, Vote
-from loftweir.replication.machine import Acquire, Fenced, Machine, Ok, Order, Word, written
+from loftweir.replication.api import AppendEntries, AppendEntriesResponse, RequestVote, RequestVoteResponse
+from loftweir.replication.machine import AcquireLease, Command, FencedWrite, Machine, Ok, SetOverride, encode
 from loftweir.replication.part import ReplicationAgent
-from loftweir.replication.wire import Answer, Ask, FencedValueQuery, Follow, How, Kind, Outcome, Submit
+from loftweir.replication.wire import (
+    CommandOutcome,
+    ConnectionKind,
+    FencedValueQuery,
+    FollowRequest,
+    OutcomeCode,
+    QueryRequest,
+    QueryResponse,
+    SubmitCommand,
+)
 
 SLOW = {"beat": "100ms", "election": "1s"}  # where nothing may be elected for want of a turn on a busy machine
 BATCH = 200  # writes under way at a time
@@ -39,13 +48,13 @@
 
     def pen(self):
         """The token of a lease to write values under."""
-        return self.caller().write(Acquire(PEN, "test", HOUR), 10).value
+        return self.caller().write(AcquireLease(PEN, "test", HOUR), 10).value
 
     def held(self, key="k"):
         found = msgspec.msgpack.decode(self.caller().read(FencedValueQuery(PEN, key), 10))
         return found and found[0]
 
-    def line(self, name, kind=Kind.CALLER, **who):
+    def line(self, name, kind=ConnectionKind.CALLER, **who):
         line = Line(self.seats[name], kind, **who)
         self.addCleanup(line.close)
         return line
@@ -72,11 +81,13 @@
         part._answered("s0", Said(0, False), 3)
         part._answered("s1", Said(0, True), 4)
         for index, out in enumerate((True, True, False, True), 1):
-            machine.apply(index, written(Order(f"session {index}", 1, Word("s0" if index < 4 else "s1", out, 0))))
+            machine.apply(
+                index, encode(Command(f"session {index}", 1, SetOverride("s0" if index < 4 else "s1", out, 0)))
+            )
             part._tell(machine, frozenset({"id"}))
             shown.append(part.out())
         self.assertEqual(shown, [["s1"]] * 4)
-        machine.apply(5, written(Order("later", 1, Word("s1", False, 0))))
+        machine.apply(5, encode(Command("later", 1, SetOverride("s1", False, 0))))
         part._tell(machine, frozenset({"id"}))
         self.assertEqual(part.out(), [])
 
@@ -84,20 +95,20 @@
 class LeaderTest(Faults):
     def test_a_write_whose_answer_is_lost_with_the_leader_is_applied_once(self):
         leader, token = self.up(followers=0), self.pen()
-        first = written(Order("one", 1, Fenced(PEN, token, "k", b"first")))
+        first = encode(Command("one", 1, FencedWrite(PEN, token, "k", b"first")))
         link = self.links.link(self.seats[leader.name])
         lost = Line(link.address)
         self.addCleanup(lost.close)
         link.silence(forth=False, back=True)
-        lost.say(Submit(1, first))
+        lost.say(SubmitCommand(1, first))
         self.wait(lambda: self.held() == b"first")
-        self.assertIsInstance(self.caller().write(Fenced(PEN, token, "k", b"second"), 10), Ok)
+        self.assertIsInstance(self.caller().write(FencedWrite(PEN, token, "k", b"second"), 10), Ok)
         index = int(leader.stands()["index"])
         self.kill(leader.name)
         after = self.line(self.leader().name)
-        after.say(Submit(1, first))
+        after.say(SubmitCommand(1, first))
         outcome = after.next(5)
-        self.assertEqual((outcome.how, msgspec.msgpack.decode(outcome.result)["type"]), (How.DONE, "ok"))
+        self.assertEqual((outcome.how, msgspec.msgpack.decode(outcome.result)["type"]), (OutcomeCode.DONE, "ok"))
         self.assertLess(msgspec.msgpack.decode(outcome.result)["index"], index)  # it is that of the first time
         self.assertEqual(self.held(), b"second")
 
@@ -116,22 +127,24 @@
 
     def test_a_leader_that_was_stopped_answers_nothing_as_one(self):
         leader, token = self.up(), self.pen()
-        asks, writes, follows = (self.line(leader.name, k) for k in (Kind.CALLER, Kind.CALLER, Kind.FOLLOWER))
+        asks, writes, follows = (
+            self.line(leader.name, k) for k in (ConnectionKind.CALLER, ConnectionKind.CALLER, ConnectionKind.FOLLOWER)
+        )
         self.wait(lambda: news(follows, 1 << 40).leads)  # of an index that it has not: a majority has said so
         term = int(leader.stands()["term"])
         self.stop(leader.name)
         self.wait(lambda: self.led_by_another(leader))
-        self.assertIsInstance(self.caller().write(Fenced(PEN, token, "k", b"new"), 10), Ok)
+        self.assertIsInstance(self.caller().write(FencedWrite(PEN, token, "k", b"new"), 10), Ok)
         # All of this waits in its sockets when it goes on.
-        asks.say(Ask(1, FencedValueQuery(PEN, "k")))
-        writes.say(Submit(1, written(Order("old", 1, Fenced(PEN, token, "k", b"old")))))
-        follows.say(Follow(1 << 40, 0))
+        asks.say(QueryRequest(1, FencedValueQuery(PEN, "k")))
+        writes.say(SubmitCommand(1, encode(Command("old", 1, FencedWrite(PEN, token, "k", b"old")))))
+        follows.say(FollowRequest(1 << 40, 0))
         self.go_on(leader.name)
         told, answer, outcome = follows.next(5), asks.next(5), writes.next(5)
-        self.assertIsInstance(answer, Answer)
+        self.assertIsInstance(answer, QueryResponse)
         self.assertFalse(answer.sure)
-        self.assertIsInstance(outcome, Outcome)
-        self.assertIn(outcome.how, (How.NOT_LEADER, How.LOST))
+        self.assertIsInstance(outcome, CommandOutcome)
+        self.assertIn(outcome.how, (OutcomeCode.NOT_LEADER, OutcomeCode.LOST))
         self.assertFalse(told.leads)
         self.wait(lambda: int(leader.stands()["term"]) > term and leader.stands()["role"] == "follower")
         self.assertEqual(self.held(), b"new")
@@ -247,15 +260,15 @@
         self.wait(lambda: lost.stands()["out"] == "s0")
         # What is meant for the old one is not taken there, and what says that it is the old one counts nowhere.
         term = int(leader.stands()["term"])
-        to_old = self.line(lost.name, Kind.MEMBER, id="x")
-        as_old = self.line(leader.name, Kind.MEMBER, id=old[lost.name])
+        to_old = self.line(lost.name, ConnectionKind.MEMBER, id="x")
+        as_old = self.line(leader.name, ConnectionKind.MEMBER, id=old[lost.name])
         said = {"sender": "x", "to": old[lost.name], "term": term + 100, "round": 1}
-        to_old.say(Append(prev_index=0, prev_term=0, entries=(), commit=0, **said))
+        to_old.say(AppendEntries(prev_index=0, prev_term=0, entries=(), commit=0, **said))
         ours = {"sender": old[lost.name], "to": new[leader.name], "term": term + 100}
         for message in (
-            AskVote(last_index=1 << 40, last_term=term + 100, pre=False, **ours),
-            Vote(granted=True, pre=False, **ours),
-            Appended(ok=True, match=1 << 40, round=1, **ours),
+            RequestVote(last_index=1 << 40, last_term=term + 100, pre=False, **ours),
+            RequestVoteResponse(granted=True, pre=False, **ours),
+            AppendEntriesResponse(ok=True, match=1 << 40, round=1, **ours),
         ):
             as_old.say(message)
         time.sleep(0.3)
@@ -300,7 +313,7 @@
             leader, caller = self.leader(), self.caller()
             breaks(leader.name)
             for piece in range(10):  # the last of them it can't keep
-                caller.write(Fenced(PEN, token, "big", bytes([piece]) * 128 * 1024), 10)
+                caller.write(FencedWrite(PEN, token, "big", bytes([piece]) * 128 * 1024), 10)
                 if leader.stands()["role"] == "follows":
                     break
             self.wait(lambda leader=leader: leader.stands()["role"] == "follows")
@@ -308,7 +321,7 @@
             self.assertRegex(ended["why"], "File too large|Input/output error")
             self.assertIn("Make room on the volume, or replace the disk", ended["remedy"])
             with self.assertRaises((Nothing, Unknown)):
-                self.caller(leader.name).write(Fenced(PEN, token, "k", b"x"), 1)
+                self.caller(leader.name).write(FencedWrite(PEN, token, "k", b"x"), 1)
             self.say("f0", f"FLEET-DISABLE s{2 * n}")
             self.say(leader.name, f"FLEET-DISABLE s{2 * n + 1}")  # it is a follower, and serves
             self.assertEqual(leader.call("READY"), "OK")
@@ -364,8 +377,8 @@
     def batch(self, token, number):
         """Writes by their place in the batch of this number, from 1 on. Each place has a session of its own, so that a
         write that is sent once more is not older than what its session had since."""
-        acts = {place: Fenced(PEN, token, f"k{place % 100}", b"x") for place in range(BATCH)}
-        return {place: written(Order(f"pour {place}", number, act)) for place, act in acts.items()}
+        acts = {place: FencedWrite(PEN, token, f"k{place % 100}", b"x") for place in range(BATCH)}
+        return {place: encode(Command(f"pour {place}", number, act)) for place, act in acts.items()}
 
     def pour_batch(self, writes):
         """Sends writes to the leader, and those refused for a new leader to that one, until each is done: the highest
@@ -382,7 +395,7 @@
 
     def send(self, line, writes):
         for place, order in writes.items():
-            line.say(Submit(place, order))
+            line.say(SubmitCommand(place, order))
 
     def answers(self, line, writes):
         """The writes that the asked voter refused, or lost sight of, as it leads no more; and the highest index among
@@ -390,8 +403,8 @@
         refused, last = {}, 0
         for _ in writes:
             outcome = line.next(10)
-            self.assertIn(outcome.how, (How.DONE, How.NOT_LEADER, How.LOST))
-            if outcome.how is How.DONE:
+            self.assertIn(outcome.how, (OutcomeCode.DONE, OutcomeCode.NOT_LEADER, OutcomeCode.LOST))
+            if outcome.how is OutcomeCode.DONE:
                 self.assertEqual(msgspec.msgpack.decode(outcome.result)["type"], "ok")
                 last = max(last, outcome.index)
             else:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,24 +9,37 @@
 
 from loftweir.emulator.histories import Act, two_holders
 from loftweir.lease import holder as holding
-from loftweir.lease.holder import TABLE, TRAITS, Answer, Begin, Holder, LetGo, Send, State, Step, Stop, Tick, Want
-from loftweir.lease.keeper import Keeper
+from loftweir.lease.holder import (
+    TRAITS,
+    TRANSITIONS,
+    HolderState,
+    LeaseHolder,
+    LeaseUnwanted,
+    LeaseWanted,
+    ResponseReceived,
+    SendOperation,
+    TaskStarted,
+    TaskStopped,
+    Tick,
+    Transition,
+)
+from loftweir.lease.keeper import LeaseExpirer
 from loftweir.replication import machine as keeping
 from loftweir.replication.machine import (
     SECOND,
-    Acquire,
-    Expire,
-    Fenced,
-    Held,
+    AcquireLease,
+    Command,
+    ExpireLease,
+    FencedWrite,
     Lease,
+    LeaseHeld,
+    LeaseNotHeld,
     Machine,
-    NotHeld,
     Ok,
-    Order,
-    Release,
-    Renew,
+    ReleaseLease,
+    RenewLease,
     UnknownSession,
-    written,
+    encode,
 )
 
 SEEDS = int(os.environ.get("LEASE_SEEDS", 1200))
@@ -47,7 +60,7 @@
 class World:
     """Three members, one of which leads or none does; three holders that want one duty. Times are true, ns."""
 
-    def __init__(self, seed, holder=Holder, keeper=Keeper):
+    def __init__(self, seed, holder=LeaseHolder, keeper=LeaseExpirer):
         self.random = r = Random(seed)
         self.now, self.events, self.count, self.calm = 0, [], 0, False
         self.machine, self.flight, self.grants, self.accepted, self.sent = Machine(), [], [], [], {}
@@ -55,7 +68,7 @@
         self.holders = [holder("duty", f"h{n}", r.choice([1, 1, 2]) * SECOND, Random(seed * 3 + n)) for n in range(3)]
         self.own, self.stalled, self.ticks = [Clock(r) for _ in range(3)], [0] * 3, [0] * 3
         for n in range(3):
-            self.at(r.randrange(SECOND), self.holder, n, Want())
+            self.at(r.randrange(SECOND), self.holder, n, LeaseWanted())
             self.at(r.randrange(SECOND), self.act, n)
         self.at(0, self.elect)
         self.at(r.randrange(3 * SECOND), self.stall)
@@ -86,7 +99,7 @@
             return
         one, clock = self.holders[n], self.own[n]
         for action in one.step(clock(self.now), event):
-            if isinstance(action, Send):
+            if isinstance(action, SendOperation):
                 self.send(n, one.name, action.act, action.ask)
         if one.next_at is not None and one.next_at != self.ticks[n]:
             self.ticks[n] = one.next_at
@@ -103,7 +116,7 @@
         self.at(self.random.randrange(600 * MS), self.act, n)
         token = self.holders[n].valid_token(self.own[n](self.now)) if self.now >= self.stalled[n] else None
         if token is not None:
-            self.send(n, self.holders[n].name + "!", Fenced("duty", token, "k", b"%d" % self.now))
+            self.send(n, self.holders[n].name + "!", FencedWrite("duty", token, "k", b"%d" % self.now))
 
     def stall(self):
         self.at(self.random.randrange(4 * SECOND), self.stall)
@@ -113,13 +126,13 @@
     def send(self, n, session, act, ask=None):
         life, number = self.sent.get(session, (0, 0))
         self.sent[session] = life, number + 1
-        data = written(Order(f"{session} {life}", number + 1, act))
+        data = encode(Command(f"{session} {life}", number + 1, act))
         for _ in range(1 + (self.random.random() < 0.1)):  # once, or once more
             way = self.way()
             if way is not None:
                 self.at(way, self.arrive, data, n, ask, self.now)
         if ask is not None and not self.calm:  # the caller's time for it
-            self.at(self.random.randrange(500 * MS, 3 * SECOND), self.holder, n, Answer(ask, None))
+            self.at(self.random.randrange(500 * MS, 3 * SECOND), self.holder, n, ResponseReceived(ask, None))
 
     # ---- members ----
 
@@ -137,12 +150,12 @@
     def apply(self, _, data, n, ask, sent):
         machine, index = self.machine, self.machine.index + 1
         lease = machine.leases.get("duty")
-        result, order = machine.apply(index, data), keeping._read(data)
+        result, order = machine.apply(index, data), keeping._decode_command(data)
         act = order.act
-        if isinstance(act, Fenced) and isinstance(result, Ok) and result.index == index:
+        if isinstance(act, FencedWrite) and isinstance(result, Ok) and result.index == index:
             assert lease.holder == self.holders[n].name and act.token == max(self.grants), "an old act was accepted"
             self.accepted.append(Act("duty", act.token, sent, self.now))
-        if isinstance(act, Acquire) and isinstance(result, Ok) and result.index == index:
+        if isinstance(act, AcquireLease) and isinstance(result, Ok) and result.index == index:
             assert result.value > max(self.grants, default=0), "a token that is not higher"
             self.grants.append(result.value)
         if machine.moved and self.leader is not None:
@@ -153,7 +166,7 @@
             self.sent[session] = max(self.sent[session], (int(life) + 1, 0))
         way = self.way()
         if ask is not None and way is not None:
-            self.at(way, self.holder, n, Answer(ask, result))
+            self.at(way, self.holder, n, ResponseReceived(ask, result))
 
     def keep_later(self):
         at = self.keepers[self.leader].next_at
@@ -163,7 +176,7 @@
     def keep(self, leader):
         if leader == self.leader:
             for expire in self.keepers[leader].due(self.clocks[leader](self.now)):
-                self.arrive(written(Order("", 0, expire)))
+                self.arrive(encode(Command("", 0, expire)))
             self.keep_later()
 
     def elect(self):
@@ -205,29 +218,29 @@
 # ---- what is taken out or turned round, and found -----------------------------------------------
 
 
-class FromTheAnswer(Holder):
+class FromTheAnswer(LeaseHolder):
     def _answered(self, now, answer):
         if answer.ask in self._asks:
             self._asks[answer.ask] = self._asks[answer.ask]._replace(sent=now)
         super()._answered(now, answer)
 
 
-class TakesUp(Holder):
+class TakesUp(LeaseHolder):
     def _answered(self, now, answer):
-        if isinstance(answer.result, Held) and answer.result.holder == self.name:
-            answer = Answer(answer.ask, Ok(0, answer.result.token))
+        if isinstance(answer.result, LeaseHeld) and answer.result.holder == self.name:
+            answer = ResponseReceived(answer.ask, Ok(0, answer.result.token))
         super()._answered(now, answer)
 
 
-class Revives(Holder):
+class Revives(LeaseHolder):
     """A late renewal brings back what had lapsed a while ago."""
 
     def _take(self, now, step, sent=None):
-        if step is not Step.UP or now > self.until + self.ttl // 2:
+        if step is not Transition.UP or now > self.until + self.ttl // 2:
             super()._take(now, step, sent)
 
 
-class OldTime(Keeper):
+class OldTime(LeaseExpirer):
     old: dict = {}
 
     def lost(self):
@@ -249,12 +262,12 @@
 
 
 def whatever_was_renewed(machine, act):
-    return Machine._expire(machine, Expire(act.duty, act.token, machine.index))
+    return Machine._expire(machine, ExpireLease(act.duty, act.token, machine.index))
 
 
 def any_token(machine, act):
     lease = machine.leases.get(act.duty)
-    return Machine._fenced(machine, Fenced(act.duty, lease.token, act.key, act.value) if lease else act)
+    return Machine._fenced(machine, FencedWrite(act.duty, lease.token, act.key, act.value) if lease else act)
 
 
 MUTANTS = {
@@ -267,12 +280,12 @@
     "a new leader goes on with the time it counted before": ("two holders", None, {"keeper": OldTime}),
     "a late renewal revives, and a lease ends whatever was renewed meanwhile": (
         "two holders",
-        lambda patch: patch.setitem(keeping.STEPS, Expire, whatever_was_renewed), {"holder": Revives}
+        lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, ExpireLease, whatever_was_renewed), {"holder": Revives}
     ),
     "the token does not grow": (
-        "not higher", lambda patch: patch.setitem(keeping.STEPS, Acquire, same_token), {}
+        "not higher", lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, AcquireLease, same_token), {}
     ),
-    "no fence": ("an old act", lambda patch: patch.setitem(keeping.STEPS, Fenced, any_token), {}),
+    "no fence": ("an old act", lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, FencedWrite, any_token), {}),
 }  # fmt: skip
 
 
@@ -291,9 +304,9 @@
 
 def held(ttl=10 * SECOND):
     """A holder that asked at 0 and was granted token 7 at 1 s."""
-    holder = Holder("d", "me", ttl, Random(1))
-    assert holder.step(0, Want()) == [Send(1, Acquire("d", holder.name, ttl))]
-    assert holder.step(SECOND, Answer(1, Ok(7, 7))) == [Begin(7)]
+    holder = LeaseHolder("d", "me", ttl, Random(1))
+    assert holder.step(0, LeaseWanted()) == [SendOperation(1, AcquireLease("d", holder.name, ttl))]
+    assert holder.step(SECOND, ResponseReceived(1, Ok(7, 7))) == [TaskStarted(7)]
     return holder, ttl - holding.margin(ttl)
 
 
@@ -302,8 +315,10 @@
     assert until == 10 * SECOND - 952380953 - 50 * MS and holder.next_at == 10 * SECOND // 3
     assert (holder.valid_token(until - 1), holder.valid_token(until)) == (7, None), "stopped: its clock alone tells it"
     (renew,) = holder.step(holder.next_at, Tick())
-    assert renew == Send(2, Renew("d", holder.name, 7)) and holder.state is State.RENEWING
-    assert holder.step(until - 1, Answer(2, Ok(9, 7))) == [Send(3, renew.act)], "from the asking a third has passed"
+    assert renew == SendOperation(2, RenewLease("d", holder.name, 7)) and holder.state is HolderState.RENEWING
+    assert holder.step(until - 1, ResponseReceived(2, Ok(9, 7))) == [SendOperation(3, renew.act)], (
+        "from the asking a third has passed"
+    )
     assert (
         holder.valid_token(until + 10 * SECOND // 3 - 1) == 7 and holder.valid_token(until + 10 * SECOND // 3) is None
     )
@@ -312,52 +327,64 @@
 def test_a_lapse_ends_a_token_for_good():
     holder, until = held()
     holder.step(10 * SECOND // 3, Tick())
-    assert holder.step(until, Answer(2, Ok(9, 7))) == [Stop(7), Send(3, Release("d", holder.name, 7))]
-    assert holder.valid_token(until) is None and holder.step(until + 1, Answer(3, None)) == []
+    assert holder.step(until, ResponseReceived(2, Ok(9, 7))) == [
+        TaskStopped(7),
+        SendOperation(3, ReleaseLease("d", holder.name, 7)),
+    ]
+    assert holder.valid_token(until) is None and holder.step(until + 1, ResponseReceived(3, None)) == []
     (ask,) = holder.step(holder.next_at, Tick())
-    assert isinstance(ask.act, Acquire), "the release may be lost: it finds its own lease, and lets it go first"
-    assert holder.step(until + SECOND, Answer(ask.ask, Held(1, holder.name, 7)))[0].act == Release("d", holder.name, 7)
+    assert isinstance(ask.act, AcquireLease), "the release may be lost: it finds its own lease, and lets it go first"
+    assert holder.step(until + SECOND, ResponseReceived(ask.ask, LeaseHeld(1, holder.name, 7)))[0].act == ReleaseLease(
+        "d", holder.name, 7
+    )
     assert holder.valid_token(until + SECOND) is None
 
 
 def test_a_lost_lease_stops_at_once_and_a_late_grant_is_let_go():
     holder, _ = held()
     holder.step(10 * SECOND // 3, Tick())
-    assert holder.step(4 * SECOND, Answer(2, NotHeld(9, 7))) == [Stop(7)] and holder.state is State.FREE
+    assert (
+        holder.step(4 * SECOND, ResponseReceived(2, LeaseNotHeld(9, 7))) == [TaskStopped(7)]
+        and holder.state is HolderState.FREE
+    )
     (ask,) = holder.step(holder.next_at, Tick())
-    assert holder.step(5 * SECOND, LetGo()) == [] and holder.state is State.IDLE
-    assert holder.step(6 * SECOND, Answer(ask.ask, Ok(12, 12)))[0].act == Release("d", holder.name, 12)
+    assert holder.step(5 * SECOND, LeaseUnwanted()) == [] and holder.state is HolderState.IDLE
+    assert holder.step(6 * SECOND, ResponseReceived(ask.ask, Ok(12, 12)))[0].act == ReleaseLease("d", holder.name, 12)
     holder, until = held()
-    stop, release = holder.step(2 * SECOND, LetGo())
-    assert (stop, release.act) == (Stop(7), Release("d", holder.name, 7)), "it stops before it lets go"
+    stop, release = holder.step(2 * SECOND, LeaseUnwanted())
+    assert (stop, release.act) == (TaskStopped(7), ReleaseLease("d", holder.name, 7)), "it stops before it lets go"
 
 
 def test_without_any_answer_it_asks_on_and_keeps_no_more_than_it_must():
-    holder = Holder("d", "me", SECOND, Random(1))
-    sent = holder.step(0, Want())
+    holder = LeaseHolder("d", "me", SECOND, Random(1))
+    sent = holder.step(0, LeaseWanted())
     for _ in range(400):
         sent += holder.step(holder.next_at, Tick())
-    assert len(sent) > 2 * holding.ASKS >= 2 * len(holder._asks)
+    assert len(sent) > 2 * holding.MAX_PENDING_REQUESTS >= 2 * len(holder._asks)
 
 
 def test_the_table_leads_from_every_state_to_rest_and_each_name_is_of_one_life():
-    assert {state for state, _ in TABLE} == set(State) == set(TABLE.values()) == set(TRAITS)
-    assert all((state, TRAITS[state].late) in TABLE for state in State if TRAITS[state].late)
-    assert all((state, Step.UP) in TABLE and (state, Step.LOST) in TABLE for state in State if TRAITS[state].acts)
-    assert Holder("d", "me", SECOND, Random(1)).name != Holder("d", "me", SECOND, Random(2)).name
+    assert {state for state, _ in TRANSITIONS} == set(HolderState) == set(TRANSITIONS.values()) == set(TRAITS)
+    assert all((state, TRAITS[state].late) in TRANSITIONS for state in HolderState if TRAITS[state].late)
+    assert all(
+        (state, Transition.UP) in TRANSITIONS and (state, Transition.LOST) in TRANSITIONS
+        for state in HolderState
+        if TRAITS[state].acts
+    )
+    assert LeaseHolder("d", "me", SECOND, Random(1)).name != LeaseHolder("d", "me", SECOND, Random(2)).name
     for duty, name, ttl in (("", "me", SECOND), ("d", "m" * 112, SECOND), ("d", "me", SECOND - 1)):
         with pytest.raises(ValueError):
-            Holder(duty, name, ttl, Random(1))
+            LeaseHolder(duty, name, ttl, Random(1))
 
 
 def test_a_keeper_counts_in_full_and_only_while_it_leads():
-    keeper, lease = Keeper(), Lease("h", 5, 2 * SECOND, 5)
+    keeper, lease = LeaseExpirer(), Lease("h", 5, 2 * SECOND, 5)
     keeper.saw(0, "d", lease)
     assert keeper.next_at is None and keeper.due(10**12) == []
     keeper.led(10 * SECOND, {"d": lease})
-    assert keeper.due(12 * SECOND - 1) == [] and keeper.due(12 * SECOND) == [Expire("d", 5, 5)]
-    assert keeper.due(12 * SECOND + 1) == [] and keeper.due(keeper.next_at) == [Expire("d", 5, 5)], "made again"
+    assert keeper.due(12 * SECOND - 1) == [] and keeper.due(12 * SECOND) == [ExpireLease("d", 5, 5)]
+    assert keeper.due(12 * SECOND + 1) == [] and keeper.due(keeper.next_at) == [ExpireLease("d", 5, 5)], "made again"
     keeper.saw(14 * SECOND, "d", lease._replace(renewed=9))
-    assert keeper.due(16 * SECOND) == [Expire("d", 5, 9)]
+    assert keeper.due(16 * SECOND) == [ExpireLease("d", 5, 9)]
     keeper.saw(17 * SECOND, "d", None)
     assert keeper.due(10**12) == []
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -10,60 +10,63 @@
 from loftweir.catalog import claims
 from loftweir.replication import machine as keeping
 from loftweir.replication.machine import (
-    LEASES,
+    MAX_LEASES,
     MIB,
     SECOND,
-    Acquire,
+    AcquireLease,
+    CapacityExceeded,
+    ClaimName,
+    Command,
     EndSession,
-    Expire,
+    ExpireLease,
     FencedValue,
-    Fenced,
+    FencedWrite,
     Foreign,
-    Full,
-    Held,
-    Lower,
+    InvalidCommand,
+    LeaseHeld,
+    LeaseNotHeld,
     Machine,
-    Named,
-    NotHeld,
     Ok,
-    Order,
-    Release,
-    Renew,
-    Said,
-    Stale,
-    Unfit,
+    Override,
+    ReleaseLease,
+    RenewLease,
+    SetOverride,
+    StaleNumber,
+    StaleToken,
     UnknownSession,
-    Unreadable,
-    Word,
-    checked,
-    written,
+    UnreadableCommand,
+    encode,
+    validate,
 )
 
 
 def does(machine, act, session="s", number=None, since=None):
     """The act as the next entry; without a number, under a session of its own."""
     session, number = (session, number) if number is not None else (f"own {machine.index}", 1)
-    order = Order("", 0, act) if isinstance(act, Expire) else Order(session, number, act, since)
-    return machine.apply(machine.index + 1, written(order))
+    order = Command("", 0, act) if isinstance(act, ExpireLease) else Command(session, number, act, since)
+    return machine.apply(machine.index + 1, encode(order))
 
 
 def some(random, index):
     """An order as a caller or leader may send it, or bytes that are none."""
     duty, holder, token = random.choice("de"), random.choice("hij"), max(1, index - random.randrange(12))
     act = random.choice([
-        Word(random.choice("pqrst"), random.random() < 0.5, random.randrange(9)), Acquire(duty, holder, SECOND),
-        Renew(duty, holder, token), Release(duty, holder, token), Expire(duty, token, index - random.randrange(5)),
-        Fenced(duty, token, random.choice("kl"), random.randbytes(random.randrange(3))),
-        EndSession(f"s{random.randrange(6)}"), Acquire(duty, "", 0),
+        SetOverride(random.choice("pqrst"), random.random() < 0.5, random.randrange(9)),
+        AcquireLease(duty, holder, SECOND), RenewLease(duty, holder, token), ReleaseLease(duty, holder, token),
+        ExpireLease(duty, token, index - random.randrange(5)),
+        FencedWrite(duty, token, random.choice("kl"), random.randbytes(random.randrange(3))),
+        EndSession(f"s{random.randrange(6)}"), AcquireLease(duty, "", 0),
     ])  # fmt: skip
-    order = Order(f"s{random.randrange(6)}", random.randint(1, 3 + index // 9), act, random.choice([None, index // 2]))
-    data = written(Order("", 0, act) if isinstance(act, Expire) and random.random() < 0.9 else order)
+    order = Command(
+        f"s{random.randrange(6)}", random.randint(1, 3 + index // 9), act, random.choice([None, index // 2])
+    )
+    data = encode(Command("", 0, act) if isinstance(act, ExpireLease) and random.random() < 0.9 else order)
     return data if random.random() < 0.95 else data[: random.randrange(len(data))]
 
 
 def small(monkeypatch):
-    for name in ("WORDS", "SESSIONS", "FACTS"):
-        monkeypatch.setattr(keeping, name, 4 if name == "SESSIONS" else 3)
+    for name in ("MAX_OVERRIDES", "MAX_SESSIONS", "MAX_FENCED_VALUES"):
+        monkeypatch.setattr(keeping, name, 4 if name == "MAX_SESSIONS" else 3)
 
 
 def test_replicas_and_views_agree_at_every_prefix_wherever_they_began(monkeypatch):
@@ -87,24 +90,36 @@
             assert len(first.words) <= 3 and len(first.sessions) <= 4 and len(first.fenced_values) <= 3
             kinds.add(type(result))
             digest.update(dump)
-    assert kinds == {Ok, Held, NotHeld, Lower, Unfit, Full, Unreadable, Stale, UnknownSession}
+    assert kinds == {
+        Ok,
+        LeaseHeld,
+        LeaseNotHeld,
+        StaleToken,
+        InvalidCommand,
+        CapacityExceeded,
+        UnreadableCommand,
+        StaleNumber,
+        UnknownSession,
+    }
     # Other bytes here: snapshots of this version were written otherwise, or replicas of two builds come apart.
     assert digest.hexdigest()[:16] == "e66bb6e02107a3b9"
 
 
 def test_an_order_sent_again_is_answered_and_not_applied():
     machine = Machine()
-    first = does(machine, Word("p", True, 1), "s", 1)
-    assert does(machine, Word("p", False, 2), "t", 1) == Ok(2)
-    assert does(machine, Word("p", True, 1), "s", 1) == first == Ok(1)
-    assert machine.words["p"] == Said(False, 2, 2), "the second one holds"
-    assert does(machine, Word("p", True, 1), "s", 3) == Ok(4), "one that was given up leaves a gap"
-    assert does(machine, Word("p", False, 1), "s", 2) == Stale(5, 3) and machine.words["p"].out
-    assert does(machine, Word("p", False, 1), "u", 2) == UnknownSession(6)
-    unfit = does(machine, Acquire("d", "", SECOND), "s", 4)
-    assert does(machine, Word("p", False, 1), "s", 4) == unfit == Unfit(7, unfit.what), "a refusal is kept too"
+    first = does(machine, SetOverride("p", True, 1), "s", 1)
+    assert does(machine, SetOverride("p", False, 2), "t", 1) == Ok(2)
+    assert does(machine, SetOverride("p", True, 1), "s", 1) == first == Ok(1)
+    assert machine.words["p"] == Override(False, 2, 2), "the second one holds"
+    assert does(machine, SetOverride("p", True, 1), "s", 3) == Ok(4), "one that was given up leaves a gap"
+    assert does(machine, SetOverride("p", False, 1), "s", 2) == StaleNumber(5, 3) and machine.words["p"].out
+    assert does(machine, SetOverride("p", False, 1), "u", 2) == UnknownSession(6)
+    unfit = does(machine, AcquireLease("d", "", SECOND), "s", 4)
+    assert does(machine, SetOverride("p", False, 1), "s", 4) == unfit == InvalidCommand(7, unfit.what), (
+        "a refusal is kept too"
+    )
     assert does(machine, EndSession("s"), "s", 5) == Ok(9) == does(machine, EndSession("s"), "s", 5)
-    assert does(machine, Word("p", False, 1), "s", 6) == UnknownSession(11) and machine.words["p"].out
+    assert does(machine, SetOverride("p", False, 1), "s", 6) == UnknownSession(11) and machine.words["p"].out
     with pytest.raises(ValueError):
         machine.apply(11, b"")
 
@@ -113,73 +128,88 @@
     small(monkeypatch)
     machine = Machine()
     for name in "abcd":
-        does(machine, Word(name, True, 1) if name == "a" else EndSession("x"), name, 1, since=machine.index)
+        does(machine, SetOverride(name, True, 1) if name == "a" else EndSession("x"), name, 1, since=machine.index)
     does(machine, EndSession("x"), "b", 2)
-    does(machine, Word("a", False, 2), "e", 1, since=machine.index)
+    does(machine, SetOverride("a", False, 2), "e", 1, since=machine.index)
     assert list(machine.sessions) == ["c", "d", "b", "e"]
-    assert does(machine, Word("a", True, 1), "a", 1, since=0) == UnknownSession(7) and not machine.words["a"].out
-    assert isinstance(does(machine, Word("a", True, 1), "f", 1, since=7), Ok)
-    assert isinstance(does(machine, Word("q", True, 1), "g", 1), Ok), "who states nothing is not kept out"
+    assert does(machine, SetOverride("a", True, 1), "a", 1, since=0) == UnknownSession(7) and not machine.words["a"].out
+    assert isinstance(does(machine, SetOverride("a", True, 1), "f", 1, since=7), Ok)
+    assert isinstance(does(machine, SetOverride("q", True, 1), "g", 1), Ok), "who states nothing is not kept out"
 
 
 def test_a_lease_its_token_and_its_fence():
     machine = Machine()
-    assert does(machine, Acquire("d", "h", SECOND)) == Ok(1, 1) and machine.moved == "d"
+    assert does(machine, AcquireLease("d", "h", SECOND)) == Ok(1, 1) and machine.moved == "d"
     for holder in "hi":
-        assert does(machine, Acquire("d", holder, SECOND)) == Held(machine.index, "h", 1) and not machine.moved
-    assert does(machine, Renew("d", "i", 1)) == NotHeld(4, 1), "another's"
-    assert does(machine, Renew("d", "h", 1)) == Ok(5, 1) and machine.moved == "d"
-    assert does(machine, Expire("d", 1, 1)) == Held(6, "h", 1), "renewed since"
-    assert does(machine, Fenced("d", 1, "k", b"one")) == Ok(7, 1)
-    assert does(machine, Expire("d", 1, 5)) == Ok(8, 1) and machine.moved == "d"
-    assert does(machine, Fenced("d", 1, "k", b"late")) == NotHeld(9, 1)
-    assert does(machine, Acquire("d", "i", SECOND)) == Ok(10, 10)
-    for act in (Fenced("d", 1, "k", b"late"), Renew("d", "h", 1), Release("d", "h", 1), Expire("d", 1, 99)):
-        assert does(machine, act) == Lower(machine.index, 1, 10)
-    assert does(machine, Fenced("d", 11, "k", b"made up")) == NotHeld(15, 11)
+        assert (
+            does(machine, AcquireLease("d", holder, SECOND)) == LeaseHeld(machine.index, "h", 1) and not machine.moved
+        )
+    assert does(machine, RenewLease("d", "i", 1)) == LeaseNotHeld(4, 1), "another's"
+    assert does(machine, RenewLease("d", "h", 1)) == Ok(5, 1) and machine.moved == "d"
+    assert does(machine, ExpireLease("d", 1, 1)) == LeaseHeld(6, "h", 1), "renewed since"
+    assert does(machine, FencedWrite("d", 1, "k", b"one")) == Ok(7, 1)
+    assert does(machine, ExpireLease("d", 1, 5)) == Ok(8, 1) and machine.moved == "d"
+    assert does(machine, FencedWrite("d", 1, "k", b"late")) == LeaseNotHeld(9, 1)
+    assert does(machine, AcquireLease("d", "i", SECOND)) == Ok(10, 10)
+    for act in (
+        FencedWrite("d", 1, "k", b"late"),
+        RenewLease("d", "h", 1),
+        ReleaseLease("d", "h", 1),
+        ExpireLease("d", 1, 99),
+    ):
+        assert does(machine, act) == StaleToken(machine.index, 1, 10)
+    assert does(machine, FencedWrite("d", 11, "k", b"made up")) == LeaseNotHeld(15, 11)
     assert machine.fenced_values == {("d", "k"): FencedValue(b"one", 1, 7)}, "what a holder left is there for the next"
-    assert does(machine, Fenced("d", 10, "k", b"")) == Ok(16, 10) and (machine.fenced_values, machine.fenced_bytes) == (
+    assert does(machine, FencedWrite("d", 10, "k", b"")) == Ok(16, 10) and (
+        machine.fenced_values,
+        machine.fenced_bytes,
+    ) == (
         {},
         0,
     )
-    assert does(machine, Release("d", "i", 10)) == Ok(17, 10) and machine.leases == {}
+    assert does(machine, ReleaseLease("d", "i", 10)) == Ok(17, 10) and machine.leases == {}
 
 
 def test_everything_is_bounded(monkeypatch):
     machine = Machine()
     small(monkeypatch)
-    for n in range(LEASES):
-        does(machine, Acquire(f"d{n}", "h", SECOND))
-    assert does(machine, Acquire("one more", "h", SECOND)) == Full(machine.index, "leases", LEASES)
+    for n in range(MAX_LEASES):
+        does(machine, AcquireLease(f"d{n}", "h", SECOND))
+    assert does(machine, AcquireLease("one more", "h", SECOND)) == CapacityExceeded(machine.index, "leases", MAX_LEASES)
     for name, out in (("p", True), ("q", False), ("r", True), ("s", True)):
-        assert isinstance(does(machine, Word(name, out, 1)), Ok)
+        assert isinstance(does(machine, SetOverride(name, out, 1)), Ok)
     assert list(machine.words) == ["p", "r", "s"], "the one called back went"
-    assert does(machine, Word("t", True, 1)) == Full(machine.index, "providers taken out", 3)
-    assert isinstance(does(machine, Word("p", False, 1)), Ok)
+    assert does(machine, SetOverride("t", True, 1)) == CapacityExceeded(machine.index, "providers taken out", 3)
+    assert isinstance(does(machine, SetOverride("p", False, 1)), Ok)
     for key in "abc":
-        assert isinstance(does(machine, Fenced("d0", 1, key, b"x" * MIB)), Ok)
-    assert does(machine, Fenced("d0", 1, "d", b"x")) == Full(machine.index, "fenced values", 3)
-    monkeypatch.setattr(keeping, "FACTS_SIZE", machine.fenced_bytes - 1)
-    assert isinstance(does(machine, Fenced("d0", 1, "a", b"x" * MIB)), Ok), "over it already: no more, but as much"
-    monkeypatch.setattr(keeping, "FACTS", 9)
-    assert isinstance(does(machine, Fenced("d0", 1, "d", b"x")), Full)
+        assert isinstance(does(machine, FencedWrite("d0", 1, key, b"x" * MIB)), Ok)
+    assert does(machine, FencedWrite("d0", 1, "d", b"x")) == CapacityExceeded(machine.index, "fenced values", 3)
+    monkeypatch.setattr(keeping, "MAX_FENCED_BYTES", machine.fenced_bytes - 1)
+    assert isinstance(does(machine, FencedWrite("d0", 1, "a", b"x" * MIB)), Ok), "over it already: no more, but as much"
+    monkeypatch.setattr(keeping, "MAX_FENCED_VALUES", 9)
+    assert isinstance(does(machine, FencedWrite("d0", 1, "d", b"x")), CapacityExceeded)
     assert machine.fenced_bytes == 3 * (MIB + 3) == Machine.load(machine.dump()).fenced_bytes
 
 
 @pytest.mark.parametrize("act", [
-    Word("", True, 1), Word("p" * 65, True, 1), Word("p\n", True, 1), Word("p", True, -1),
-    Acquire("d\x85", "h", SECOND), Acquire("d" * 129, "h", SECOND), Acquire("d", "h" * 129, SECOND),
-    Acquire("d", "h", SECOND - 1), Acquire("d", "h", 3601 * SECOND), Renew("d", "", 1), Expire("", 1, 1),
-    Fenced("d", 1, "", b"x"), Fenced("d", 1, "k" * 257, b""), Fenced("d", 1, "k", b"x" * (MIB + 1)),
+    SetOverride("", True, 1), SetOverride("p" * 65, True, 1), SetOverride("p\n", True, 1), SetOverride("p", True, -1),
+    AcquireLease("d\x85", "h", SECOND), AcquireLease("d" * 129, "h", SECOND), AcquireLease("d", "h" * 129, SECOND),
+    AcquireLease("d", "h", SECOND - 1), AcquireLease("d", "h", 3601 * SECOND),
+    RenewLease("d", "", 1), ExpireLease("", 1, 1),
+    FencedWrite("d", 1, "", b"x"), FencedWrite("d", 1, "k" * 257, b""), FencedWrite("d", 1, "k", b"x" * (MIB + 1)),
 ])  # fmt: skip
 def test_what_is_never_taken_is_refused_before_the_log_too(act):
-    order = Order("", 0, act) if isinstance(act, Expire) else Order("s", 1, act)
+    order = Command("", 0, act) if isinstance(act, ExpireLease) else Command("s", 1, act)
     machine = Machine()
-    assert isinstance(machine.apply(1, written(order)), Unfit) and not machine.words and not machine.leases
-    assert isinstance(checked(written(order)), Unfit)
-    assert checked(written(Order("s", 1, Word("p" * 64, True, 1)))) is None
-    for order in (Order("", 0, Expire("d", 1, 1)), Order("s", 1, Expire("d", 1, 1)), Order("s", 0, EndSession("s"))):
-        assert isinstance(checked(written(order)), Unfit), "an end of a lease is the leader's own"
+    assert isinstance(machine.apply(1, encode(order)), InvalidCommand) and not machine.words and not machine.leases
+    assert isinstance(validate(encode(order)), InvalidCommand)
+    assert validate(encode(Command("s", 1, SetOverride("p" * 64, True, 1)))) is None
+    for order in (
+        Command("", 0, ExpireLease("d", 1, 1)),
+        Command("s", 1, ExpireLease("d", 1, 1)),
+        Command("s", 0, EndSession("s")),
+    ):
+        assert isinstance(validate(encode(order)), InvalidCommand), "an end of a lease is the leader's own"
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -190,30 +220,30 @@
 def test_no_bytes_end_a_member(data):
     machine = Machine()
     result = machine.apply(1, data)
-    assert result.text and keeping.read_result(written(result)) == result
+    assert result.text and keeping.decode_result(encode(result)) == result
     assert Machine.load(machine.dump()).dump() == machine.dump()
-    if checked(data) is None:
-        assert not isinstance(result, Unfit | Unreadable)
+    if validate(data) is None:
+        assert not isinstance(result, InvalidCommand | UnreadableCommand)
 
 
 def test_names_are_claimed_under_a_partners_lease_and_kept_with_their_age():
     machine = Machine()
     put = claims.written(claims.Put("stock@mill", claims.Declared()))
-    assert isinstance(does(machine, Named("partner:mill", 1, put)), NotHeld)
-    token = does(machine, Acquire("partner:mill", "h", SECOND)).value
+    assert isinstance(does(machine, ClaimName("partner:mill", 1, put)), LeaseNotHeld)
+    token = does(machine, AcquireLease("partner:mill", "h", SECOND)).value
     before = machine.dump()
-    assert does(machine, Named("partner:mill", token, put)) == Ok(3, 3) == Ok(machine.index, 3)
-    assert does(machine, Named("partner:mill", token, put)) == Ok(4, 3), "its age is that of its first entry"
-    assert isinstance(does(machine, Named("other", token, put)), Unfit)
-    for wrong in (b"", b"x" * keeping.CLAIM_SIZE, claims.written(claims.Put("Stock", claims.Declared()))):
-        assert isinstance(does(machine, Named("partner:mill", token, wrong)), Unfit)
-    assert isinstance(does(machine, Named("partner:mill", token - 1, put)), Lower)
+    assert does(machine, ClaimName("partner:mill", token, put)) == Ok(3, 3) == Ok(machine.index, 3)
+    assert does(machine, ClaimName("partner:mill", token, put)) == Ok(4, 3), "its age is that of its first entry"
+    assert isinstance(does(machine, ClaimName("other", token, put)), InvalidCommand)
+    for wrong in (b"", b"x" * keeping.MAX_CLAIM_SIZE, claims.written(claims.Put("Stock", claims.Declared()))):
+        assert isinstance(does(machine, ClaimName("partner:mill", token, wrong)), InvalidCommand)
+    assert isinstance(does(machine, ClaimName("partner:mill", token - 1, put)), StaleToken)
     # Of both versions, the one without claims being what builds before this one wrote.
     assert Machine.load(before).claims is None and b"\xa7version\x01" in before
     copy = Machine.load(machine.dump())
     assert copy.claims.table == machine.claims.table and copy.dump() == machine.dump()
     for one in (machine, copy):
-        assert does(one, Named("partner:mill", token, claims.written(claims.Release("stock@mill", 3)))).value == 0
+        assert does(one, ClaimName("partner:mill", token, claims.written(claims.Release("stock@mill", 3)))).value == 0
     assert copy.dump() == machine.dump() and b"\xa7version\x01" in copy.dump()
 
 
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -24,7 +24,18 @@
 from loftweir.partners.session import Ask, Session, State, Timing
 from loftweir.partners.standby import Standby, gates, unfit
 from loftweir.partners.table import BadTable, Limits, OldTable, Table, fits, one_route, read
-from loftweir.replication.machine import Acquire, FencedValue, Fenced, Full, Lease, Lower, Machine, NotHeld, Ok, Release
+from loftweir.replication.machine import (
+    AcquireLease,
+    CapacityExceeded,
+    FencedValue,
+    FencedWrite,
+    Lease,
+    LeaseNotHeld,
+    Machine,
+    Ok,
+    ReleaseLease,
+    StaleToken,
+)
 
 DUTY = "partner:bergen"
 LIMITS = Limits(routes=3)
@@ -139,7 +150,7 @@
     with pytest.raises(NotActing, match="its lease is over"):
         next(duty.put("head", b"x", SECOND))
     kept = Kept()
-    kept.put = lambda *_: (yield from ()) or Full(1, "fenced values", 10)
+    kept.put = lambda *_: (yield from ()) or CapacityExceeded(1, "fenced values", 10)
     with pytest.raises(NotKept, match="no room"):
         list(Keeping(None, kept)._write(aim(Cutter(), {}, 1)))
     link = Link(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
@@ -154,7 +165,7 @@
 
 def test_an_act_that_is_refused_for_its_token_is_the_last_under_it():
     loop, sent, told = Loop(), [], []
-    answers = {Acquire: Ok(5, 5), Fenced: Lower(6, 5, 6), Release: NotHeld(7, 5)}
+    answers = {AcquireLease: Ok(5, 5), FencedWrite: StaleToken(6, 5, 6), ReleaseLease: LeaseNotHeld(7, 5)}
 
     class Copies:
         writes = type("W", (), {"busy": False})
@@ -183,7 +194,7 @@
     assert duty.valid_token() is None and sent == []  # nothing is known of the lease yet
     duty.machine_changed(Machine())
     loop.run()
-    assert (told, sent) == ([5, None, "end"], [Acquire, Fenced, Release])
+    assert (told, sent) == ([5, None, "end"], [AcquireLease, FencedWrite, ReleaseLease])
 
 
 # ---- in place of the own --------------------------------------------------------------------------
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -12,8 +12,8 @@
 from loftweir.net.loop import Loop
 from loftweir.replication import remembered, wire
 from loftweir.replication.caller import Proposer
-from loftweir.replication.machine import Acquire, Ok
-from loftweir.replication.wire import LeaseOf
+from loftweir.replication.machine import AcquireLease, Ok
+from loftweir.replication.wire import LeaseQuery
 
 
 class FleetTest(FleetScene):
@@ -157,12 +157,16 @@
         self.wait(lambda: any("heard from just now" in r["why"] for r in double.logged("replication.waits")))
         self.assertIn(sidecars["n2"].stands()["role"], ("leader", "follower"))
         host, port = self.seats["n0"].split(":")
-        for said in (b"GET / HTTP/1.1\r\n\r\n", wire.written(wire.Follow(0, 0)), wire.written(hello(version=99))):
+        for said in (
+            b"GET / HTTP/1.1\r\n\r\n",
+            wire.encode_frame(wire.FollowRequest(0, 0)),
+            wire.encode_frame(hello(version=99)),
+        ):
             with socket.create_connection((host, int(port)), timeout=5) as sock:
                 sock.sendall(said)
-                reader = wire.Reader()
+                reader = wire.FrameReader()
                 reader.feed(b"".join(iter(lambda sock=sock: sock.recv(4096), b"")))
-                self.assertIsInstance(reader.next(), wire.Turned)
+                self.assertIsInstance(reader.next(), wire.ConnectionRejected)
 
 
 class LeaseTest(FleetScene):
@@ -174,7 +178,7 @@
         self.addCleanup(calls.close)
 
         def acquire(holder):
-            return run(loop, calls.write(Acquire("d", holder, SECOND), 5 * SECOND))
+            return run(loop, calls.write(AcquireLease("d", holder, SECOND), 5 * SECOND))
 
         for number in range(2):
             token = self.wait(lambda number=number: isinstance(ok := acquire(f"a{number}"), Ok) and ok.value)
@@ -182,14 +186,14 @@
             self.assertEqual(acquire("b").token, token)
             if number:
                 self.leader().kill()  # the next one counts it anew, in full
-            reading = run(loop, calls.read(LeaseOf("d"), 5 * SECOND))
+            reading = run(loop, calls.read(LeaseQuery("d"), 5 * SECOND))
             self.assertEqual((reading.sure, reading.value[:2]), (True, [f"a{number}", token]))
-            self.wait(lambda: run(loop, calls.read(LeaseOf("d"), 5 * SECOND)).value is None)
+            self.wait(lambda: run(loop, calls.read(LeaseQuery("d"), 5 * SECOND)).value is None)
             self.assertGreater(time.monotonic() - began, 0.9)
 
 
 def hello(version=wire.VERSION, name="x"):
-    return wire.Hello(version, "loftweir", f"id-{name}", name, wire.Kind.FOLLOWER)
+    return wire.Hello(version, "loftweir", f"id-{name}", name, wire.ConnectionKind.FOLLOWER)
 
 
 class OffTest(FleetScene):
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -12,8 +12,8 @@
 from loftweir.emulator.replication_world import World
 from loftweir.emulator.walk import ALL, Left, Timeless, Walk
 from loftweir.replication import api
-from loftweir.replication.api import Kind, Member, Refusal, Refused, Role, Timing
-from loftweir.replication.core import _HEARD, NEVER, Core
+from loftweir.replication.api import EntryKind, Member, RejectionReason, RequestRejected, Role, Timing
+from loftweir.replication.core import _MESSAGE_HANDLERS, NEVER, Core
 
 SECOND = 1000 * MS
 replaced = msgspec.structs.replace
@@ -74,7 +74,7 @@
     cut(world, p, q, -1)
     world.start(p)
     until(world, lambda: p.core.role is Role.LEADER and p.core.settled)
-    assert q.core.entries(old, old)[0].kind is Kind.NOOP
+    assert q.core.entries(old, old)[0].kind is EntryKind.NOOP
 
 
 def stale_read(make=Core):
@@ -92,7 +92,7 @@
     for other in (b, c):
         cut(world, a, other, -1)
     until(world, lambda: token in world.outcomes)
-    assert world.outcomes[token] == Refused(token, Refusal.NOT_LEADER)
+    assert world.outcomes[token] == RequestRejected(token, RejectionReason.NOT_LEADER)
 
 
 def deaf_follower(make=Core):
@@ -112,10 +112,10 @@
     world, (a, b, c) = led(make)
     term = a.core.term
     cut(world, a, b)
-    world.ask(a, lambda token: api.Change(token, tuple(m for m in a.core.members if m.id != b.id)))
+    world.ask(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != b.id)))
     world.play(world.at + 20 * MS)
     world.crash(b)
-    b.disk.hard = api.Hard(term + 1, b.id)  # as if it had stood
+    b.disk.hard = api.HardState(term + 1, b.id)  # as if it had stood
     world.start(b)
     cut(world, a, b, -1)
     world.play(world.at + 500 * MS)
@@ -128,13 +128,13 @@
     before = a.core.members
     for other in (b, c):
         cut(world, a, other)
-    token = world.ask(a, lambda token: api.Change(token, before[:2]))
+    token = world.ask(a, lambda token: api.MembershipChange(token, before[:2]))
     assert a.core.members == before[:2]
     until(world, lambda: world.leader() not in (None, a.core))
     for other in (b, c):
         cut(world, a, other, -1)
     until(world, world.well)
-    assert a.core.members == before and world.outcomes[token] == Refused(token, Refusal.LOST)
+    assert a.core.members == before and world.outcomes[token] == RequestRejected(token, RejectionReason.LOST)
 
 
 def snapshot_in_pieces(make=Core):
@@ -149,7 +149,7 @@
     for _ in range(200):
         written(world, a)
         most = max(most, a.core.last_index - a.core.first_index, b.core.last_index - b.core.first_index)
-    pieces = [m for m in said if isinstance(m, api.Piece)]
+    pieces = [m for m in said if isinstance(m, api.InstallSnapshot)]
     assert len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= world.plan.timing.piece_bytes
     assert len({m.index for m in pieces}) == 1, "one snapshot was enough, and the log went on from there"
     assert b.core.applied >= a.core.last_index - 5 and most < 5 * world.plan.timing.log_entries
@@ -160,7 +160,7 @@
     """Who alone has the entry that removes it has to lead once more (diss. 4.2.2)."""
     world, (a, b) = led(make, seats=2)
     cut(world, a, b)
-    world.ask(a, lambda token: api.Change(token, (b.member(),)))
+    world.ask(a, lambda token: api.MembershipChange(token, (b.member(),)))
     world.wanted.discard(a.name)
     until(world, lambda: a.disk.last_index == a.core.last_index)
     world.crash(a)
@@ -172,25 +172,25 @@
 
 def two_snapshots(make=Core):
     """Pieces of two leaders' snapshots of one index don't go together, and what is held already is not taken again."""
-    core = make("b", api.Kept(), Timing(), Random(1), 0)
+    core = make("b", api.PersistentState(), Timing(), Random(1), 0)
     members = (Member("a", "a", ""), Member("b", "b", ""))
 
     def piece(sender, term, at, data, index=5):
         head = {"sender": sender, "to": "b", "term": term, "index_term": 1, "members": members, "size": 4, "round": 1}
-        return core.step(0, api.Heard(api.Piece(**head, index=index, at=at, data=data)))
+        return core.step(0, api.MessageReceived(api.InstallSnapshot(**head, index=index, at=at, data=data)))
 
     def upto(actions):
-        return [a.message.upto for a in actions if isinstance(a, api.Say)]
+        return [a.message.upto for a in actions if isinstance(a, api.SendMessage)]
 
     assert upto(piece("a", 2, 0, b"AA")) == [2] == upto(piece("a", 2, 0, b"AA"))
     assert upto(piece("c", 3, 2, b"CC")) == [0]
     assert upto(piece("c", 3, 0, b"CC")) == [2]
     actions = piece("c", 3, 2, b"CC")
-    assert [a.snapshot.data for a in actions if isinstance(a, api.Restore)] == [b"CCCC"]
-    keep, say = (next(a for a in actions if isinstance(a, kind)) for kind in (api.Keep, api.Say))
+    assert [a.snapshot.data for a in actions if isinstance(a, api.RestoreSnapshot)] == [b"CCCC"]
+    keep, say = (next(a for a in actions if isinstance(a, kind)) for kind in (api.PersistBatch, api.SendMessage))
     assert say.after == keep.batch and keep.all_gone and say.message.upto == 4
     again = piece("c", 3, 0, b"CC", index=4)
-    assert upto(again) == [4] and not any(isinstance(a, (api.Keep, api.Restore)) for a in again)
+    assert upto(again) == [4] and not any(isinstance(a, (api.PersistBatch, api.RestoreSnapshot)) for a in again)
 
 
 SCRIPTS = [figure_eight, stale_read, deaf_follower, removed_voter, needed_though_removed]
@@ -209,13 +209,13 @@
 def test_founds_leads_writes_and_reads(seats):
     world, (a, *others) = led(seats=seats)
     outcomes = written(world, a, 20)
-    assert [type(o) for o in outcomes] == [api.Done] * 20
+    assert [type(o) for o in outcomes] == [api.RequestCompleted] * 20
     assert [o.index for o in outcomes] == list(range(outcomes[0].index, outcomes[0].index + 20))
     token = world.read(a)
     until(world, lambda: token in world.outcomes)
-    assert world.outcomes[token] == api.Done(token, outcomes[-1].index)
+    assert world.outcomes[token] == api.RequestCompleted(token, outcomes[-1].index)
     for other in others:
-        assert written(world, other)[0].why is Refusal.NOT_LEADER
+        assert written(world, other)[0].why is RejectionReason.NOT_LEADER
     for seat in world.seats.values():
         world.crash(seat)
         world.start(seat)
@@ -226,11 +226,11 @@
     world, (a, *_) = led()
     tokens = [world.write(a) for _ in range(10)]
     began = world.at
-    world.event(a, a.core, api.HandOver())
+    world.event(a, a.core, api.TransferLeadership())
     late = world.write(a)
-    assert world.outcomes[late].why is Refusal.BUSY
+    assert world.outcomes[late].why is RejectionReason.BUSY
     until(world, lambda: world.leader() not in (None, a.core))
-    assert world.at - began < 20 * MS and all(type(world.outcomes[t]) is api.Done for t in tokens)
+    assert world.at - began < 20 * MS and all(type(world.outcomes[t]) is api.RequestCompleted for t in tokens)
 
 
 def test_hand_over_to_nobody_is_given_up():
@@ -239,20 +239,20 @@
         world.write(a)
     cut(world, a, b)
     cut(world, a, c)
-    world.event(a, a.core, api.HandOver())
+    world.event(a, a.core, api.TransferLeadership())
     cut(world, a, b, -1)
     cut(world, a, c, -1)
     a.core._hand_to = "nobody"
     world.play(world.at + 100 * MS)
-    assert type(written(world, a)[0]) is api.Done
+    assert type(written(world, a)[0]) is api.RequestCompleted
 
 
 def test_a_leader_that_removes_itself_ends_once_that_is_committed():
     world, (a, *_) = led()
-    token = world.ask(a, lambda token: api.Change(token, tuple(m for m in a.core.members if m.id != a.id)))
+    token = world.ask(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != a.id)))
     world.wanted.discard(a.name)
     until(world, lambda: token in world.outcomes)
-    assert type(world.outcomes[token]) is api.Done and a.core.role is Role.OUT
+    assert type(world.outcomes[token]) is api.RequestCompleted and a.core.role is Role.OUT
     began = world.at
     until(world, world.well)
     assert world.at - began < 40 * MS, "it told another to lead"
@@ -277,17 +277,17 @@
     core, members = a.core, a.core.members
     learners = tuple(Member(f"x{i}", f"x{i}", "", False) for i in range(14))
     for unfit in ((), members[:1], (*members, members[0]), (*members, Member("d", b.name, "")), (*members, *learners)):
-        assert core.step(core._now, api.Change(1, unfit)) == [Refused(1, Refusal.UNFIT)]
+        assert core.step(core._now, api.MembershipChange(1, unfit)) == [RequestRejected(1, RejectionReason.UNFIT)]
     more = (*members, *learners[:1])
-    taken = core.step(core._now, api.Change(2, more))
-    assert any(isinstance(a, api.Keep) for a in taken) and core.members == more  # in force at once
-    assert core.step(core._now, api.Change(3, members)) == [Refused(3, Refusal.BUSY)]
-    busy = [core.step(core._now, api.Write(10 + i, b"")) for i in range(50)]
-    assert busy[-1] == [Refused(59, Refusal.BUSY)]
-    ended = core.step(core._now, api.Broken("gone"))
-    assert {r.why for r in ended if isinstance(r, Refused)} == {Refusal.LOST}
-    assert not any(isinstance(a, api.Say) for a in ended) and core.role is Role.OUT and core.next_at == NEVER
-    assert core.step(core._now, api.Write(99, b"")) == [Refused(99, Refusal.NOT_LEADER)]
+    taken = core.step(core._now, api.MembershipChange(2, more))
+    assert any(isinstance(a, api.PersistBatch) for a in taken) and core.members == more  # in force at once
+    assert core.step(core._now, api.MembershipChange(3, members)) == [RequestRejected(3, RejectionReason.BUSY)]
+    busy = [core.step(core._now, api.WriteRequest(10 + i, b"")) for i in range(50)]
+    assert busy[-1] == [RequestRejected(59, RejectionReason.BUSY)]
+    ended = core.step(core._now, api.StorageBroken("gone"))
+    assert {r.why for r in ended if isinstance(r, RequestRejected)} == {RejectionReason.LOST}
+    assert not any(isinstance(a, api.SendMessage) for a in ended) and core.role is Role.OUT and core.next_at == NEVER
+    assert core.step(core._now, api.WriteRequest(99, b"")) == [RequestRejected(99, RejectionReason.NOT_LEADER)]
     core.check()
 
 
@@ -366,13 +366,15 @@
 
 
 def kept(change):
-    return {"_flushed": lambda b: lambda s: [change(a) if isinstance(a, api.Keep) else a for a in b._flushed(s)]}
+    return {
+        "_flushed": lambda b: lambda s: [change(a) if isinstance(a, api.PersistBatch) else a for a in b._flushed(s)]
+    }
 
 
 def answers_for_any(base):
     def heard(self, event):
         me, self.me = self.me, event.message.to
-        getattr(self, _HEARD[type(event.message)])(event.message)
+        getattr(self, _MESSAGE_HANDLERS[type(event.message)])(event.message)
         self.me = me
 
     return heard
@@ -391,7 +393,7 @@
     def confirm(self):
         while self._reads and self._reads[0][1] <= self.commit:
             _, index, token = self._reads.popleft()
-            self._out.append(api.Done(token, index))
+            self._out.append(api.RequestCompleted(token, index))
 
     return confirm
 
@@ -407,7 +409,7 @@
 
 def lies_of_the_lost(base):
     def give_back(self, reads):
-        self._out += [Refused(token, Refusal.NOT_LEADER) for _, token in self._owed]
+        self._out += [RequestRejected(token, RejectionReason.NOT_LEADER) for _, token in self._owed]
         self._owed.clear()
         base._give_back(self, reads)
 
--- a/tests/test_replication_disk.py
+++ b/tests/test_replication_disk.py
@@ -18,36 +18,46 @@
 from scene import ROOT
 
 from loftweir.replication import journal
-from loftweir.replication.api import Broken, Entry, Hard, Keep, Kept, Kind, Member, Snapshot, Stable
+from loftweir.replication.api import (
+    BatchSynced,
+    Entry,
+    EntryKind,
+    HardState,
+    Member,
+    PersistBatch,
+    PersistentState,
+    Snapshot,
+    StorageBroken,
+)
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import Folder, FolderInUse, StorageDamaged, StorageFailed
-from loftweir.replication.reading import read
+from loftweir.replication.reading import read_folder
 from loftweir.state.sealed import opened, sealed
 
-OPEN, WRITE, KIND = os.open, os.write, journal.COPY
+OPEN, WRITE, KIND = os.open, os.write, journal.SNAPSHOT
 MEMBERS = (Member("0" * 32, "m1", "127.0.0.1:1"),)
 COPY, (FIRST, SECOND, THIRD, LAST) = "snapshot-0000000001", [f"segment-000000000{n}" for n in range(1, 5)]
 
 
 def entries(start, count, term=1, size=20):
-    return tuple(Entry(i, term, Kind.WRITE, bytes([i % 256]) * size) for i in range(start, start + count))
+    return tuple(Entry(i, term, EntryKind.WRITE, bytes([i % 256]) * size) for i in range(start, start + count))
 
 
 def snapshot(index, data=b"machine"):
     return Snapshot(index, 1, MEMBERS, data)
 
 
-def states(keeps, stable, kept=Kept()):  # noqa: B008
+def states(keeps, stable, kept=PersistentState()):  # noqa: B008
     """All that a disk may hold once batch `stable` is, by a plain model; the last: once all are."""
     found = [kept]
     for keep in keeps:
         hard, left, copy = keep.hard or kept.hard, kept.entries, keep.snapshot or kept.snapshot
-        found.append(Kept(hard, kept.snapshot, left))
+        found.append(PersistentState(hard, kept.snapshot, left))
         left = tuple(e for e in left if keep.cut is None or e.index < keep.cut)
-        found.append(Kept(hard, kept.snapshot, left))
+        found.append(PersistentState(hard, kept.snapshot, left))
         if keep.snapshot:
             left = tuple(e for e in left if e.index > copy.index and not keep.all_gone)
-        found += [Kept(hard, copy, left + keep.entries[:n]) for n in range(len(keep.entries) + 1)]
+        found += [PersistentState(hard, copy, left + keep.entries[:n]) for n in range(len(keep.entries) + 1)]
         kept = found[-1]
         found = [kept] if keep.batch <= stable else found
     return found
@@ -56,7 +66,7 @@
 def told(disk, batch, seconds=20):
     """The reports, once the last of them is of this batch or the storage broke."""
     reports = []
-    while not reports or (reports[-1] != Stable(batch) and not isinstance(reports[-1], Broken)):
+    while not reports or (reports[-1] != BatchSynced(batch) and not isinstance(reports[-1], StorageBroken)):
         assert select.select([disk], [], [], seconds)[0], "nothing was told"
         reports += disk.taken()
     return reports
@@ -66,7 +76,7 @@
     """Each stable before the next is asked for."""
     for keep in keeps:
         disk.keep(keep)
-        assert told(disk, keep.batch)[-1] == Stable(keep.batch)
+        assert told(disk, keep.batch)[-1] == BatchSynced(keep.batch)
     return disk
 
 
@@ -77,10 +87,10 @@
 
 
 SCRIPT = (
-    Keep(1, hard=Hard(1, "a"), entries=entries(1, 9)),
-    Keep(2, entries=entries(10, 9)),
-    Keep(3, hard=Hard(2), cut=15, entries=entries(15, 8, term=2)),
-    Keep(4, snapshot=snapshot(3), entries=entries(23, 9, term=2)),
+    PersistBatch(1, hard=HardState(1, "a"), entries=entries(1, 9)),
+    PersistBatch(2, entries=entries(10, 9)),
+    PersistBatch(3, hard=HardState(2), cut=15, entries=entries(15, 8, term=2)),
+    PersistBatch(4, snapshot=snapshot(3), entries=entries(23, 9, term=2)),
 )
 
 
@@ -97,20 +107,20 @@
         open_disk(folder, "c")
     disk.close()
     kept, report = reopened(folder)
-    assert kept == Kept(Hard(2), snapshot(3), entries(4, 11) + entries(15, 17, term=2))
+    assert kept == PersistentState(HardState(2), snapshot(3), entries(4, 11) + entries(15, 17, term=2))
     assert not report.begun and report.damage is None and report.torn == 0
     assert sorted(os.listdir(folder))[2:] == [FIRST, SECOND, THIRD, LAST, COPY]
 
 
 def ends(data):
     """The byte behind each record."""
-    return [end for _, _, _, end in journal.scanned(data)]
+    return [end for _, _, _, end in journal.scan_records(data)]
 
 
 def forged(data, size=20):
     """Another last record, with a checksum to match."""
-    *_, (_, _, seed, at), (_, last, _, _) = journal.scanned(data)
-    return data[:at] + journal.framed(msgspec.structs.replace(last, data=b"z" * size), seed)[0]
+    *_, (_, _, seed, at), (_, last, _, _) = journal.scan_records(data)
+    return data[:at] + journal.encode_record(msgspec.structs.replace(last, data=b"z" * size), seed)[0]
 
 
 SPOILS = {  # the file, what it is then (a text: copied from there; None: gone), the file where it is found, why
@@ -138,7 +148,7 @@
 
 @pytest.mark.parametrize("file, how, name, why", SPOILS.values(), ids=SPOILS)
 def test_damage_is_named_and_the_disk_begun_anew_under_another_id(folder, file, how, name, why):
-    own = journal.identity_read((folder / "identity").read_bytes()).member
+    own = journal.decode_identity((folder / "identity").read_bytes()).member
     if how is None:
         (folder / file).unlink()
     elif isinstance(how, str):
@@ -150,7 +160,7 @@
     before = {f.name: f.read_bytes() for f in folder.iterdir()}
     kept, report = reopened(folder)
     assert report.damage.file == folder / name and why in report.damage.what, report.damage
-    assert kept == Kept() and report.begun and report.member != report.before
+    assert kept == PersistentState() and report.begun and report.member != report.before
     assert report.before == own or how == "../c/identity"
     assert {f.name: f.read_bytes() for f in report.aside.iterdir()} == before
     assert reopened(folder)[1] == (report.member, False, 0, None, "", None)
@@ -163,10 +173,10 @@
         for at in range(seeded.randrange(3), len(whole), 3):
             file.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << seeded.randrange(8)]) + whole[at + 1 :])
             with pytest.raises(StorageDamaged) as caught:
-                read(held, "c")
+                read_folder(held, "c")
             assert caught.value.file == file and 0 <= caught.value.at <= len(whole)
         file.write_bytes(whole)
-    assert read(held, "c").kept.hard == Hard(2)
+    assert read_folder(held, "c").kept.hard == HardState(2)
     held.close()
 
 
@@ -181,7 +191,7 @@
     """As after a loss of power, which may leave an older mark, and the end of a write that was never synced."""
     mark = (folder / "mark").read_bytes()
     disk, kept, _ = open_disk(folder, "c")
-    kept_by(disk, Keep(1, entries=entries(32, 2, term=2))).close()
+    kept_by(disk, PersistBatch(1, entries=entries(32, 2, term=2))).close()
     os.truncate(folder / LAST, ends((folder / LAST).read_bytes())[-2] + left)
     (folder / "mark").write_bytes(mark)
     again, report = reopened(folder)
@@ -189,12 +199,16 @@
     assert reopened(folder) == (again, report._replace(torn=0))
 
 
-@pytest.mark.parametrize("data", [b"", journal.LINE[:7], journal.LINE, journal.LINE + b"\x40\0\0\0\0"])
+@pytest.mark.parametrize(
+    "data", [b"", journal.FIRST_LINE[:7], journal.FIRST_LINE, journal.FIRST_LINE + b"\x40\0\0\0\0"]
+)
 def test_a_segment_without_its_head_behind_the_mark_is_cut_off(folder, data):
     kept, report = reopened(folder)
     (folder / "segment-0000000005").write_bytes(data)
     assert reopened(folder) == (kept, report._replace(torn=len(data)))
-    kept_by(open_disk(folder, "c", 300)[0], Keep(1, entries=entries(32, 1)), Keep(2, entries=entries(33, 1))).close()
+    kept_by(
+        open_disk(folder, "c", 300)[0], PersistBatch(1, entries=entries(32, 1)), PersistBatch(2, entries=entries(33, 1))
+    ).close()
     assert reopened(folder)[0].entries == kept.entries + entries(32, 2)
 
 
@@ -215,7 +229,12 @@
         return real(first, *words, **more)
 
 
-MORE = (*SCRIPT, Keep(5, snapshot=snapshot(30)), Keep(6, entries=entries(32, 2, 2)), Keep(7, cut=33, hard=Hard(3, "b")))
+MORE = (
+    *SCRIPT,
+    PersistBatch(5, snapshot=snapshot(30)),
+    PersistBatch(6, entries=entries(32, 2, 2)),
+    PersistBatch(7, cut=33, hard=HardState(3, "b")),
+)
 
 
 @pytest.mark.parametrize("first", range(1, 81, 10))
@@ -232,13 +251,17 @@
                         reports += told(disk, keep.batch)
                 calls, _ = failing.left, disk.keep(MORE[0]) if disk.failure else None
                 reports, failure = reports + disk.close(), disk.failure
-                assert [r for r in reports if isinstance(r, Broken)] == [Broken(str(failure))] * bool(failure)
-                assert calls == failing.left and reports[-1] == (Broken(str(failure)) if failure else Stable(7))
+                assert [r for r in reports if isinstance(r, StorageBroken)] == [StorageBroken(str(failure))] * bool(
+                    failure
+                )
+                assert calls == failing.left and reports[-1] == (
+                    StorageBroken(str(failure)) if failure else BatchSynced(7)
+                )
             except StorageFailed as failed:
                 failure = failed
         assert bool(failure) == (failing.left <= 0) and (number > 60 or failure) and (number < 80 or not failure)
         assert not failure or (os.strerror(failing.code) in failure.what and str(path) in failure.where)
-        stable = max((r.batch for r in reports if isinstance(r, Stable)), default=0)
+        stable = max((r.batch for r in reports if isinstance(r, BatchSynced)), default=0)
         kept, report = reopened(path)
         assert report.damage is None and kept in states(MORE, stable), (number, stable)
         assert not [*path.glob("*.new"), *list(path.glob("snapshot-*"))[1:]]
@@ -278,8 +301,8 @@
     """The pages of the first are in memory and look written: a later sync of that file would prove nothing."""
     disk, _, _ = open_disk(folder, "c")
     monkeypatch.setattr(os, "fdatasync", lambda descriptor: (_ for _ in ()).throw(OSError(errno.EIO, "failed")))
-    disk.keep(Keep(1, entries=entries(32, 1, term=2)))
-    assert [type(report) for report in told(disk, 1)] == [Broken] and disk.failure.where == str(folder / LAST)
+    disk.keep(PersistBatch(1, entries=entries(32, 1, term=2)))
+    assert [type(report) for report in told(disk, 1)] == [StorageBroken] and disk.failure.where == str(folder / LAST)
     disk.close()
     inode = (folder / LAST).stat().st_ino
     assert reopened(folder)[0].entries[-1].index == 32 and (folder / LAST).stat().st_ino != inode
@@ -287,7 +310,7 @@
 
 def test_a_set_aside_that_fails_midway_leaves_nothing_that_is_taken_for_a_whole(folder, monkeypatch):
     os.truncate(folder / LAST, 100)
-    old = journal.identity_read((folder / "identity").read_bytes()).member
+    old = journal.decode_identity((folder / "identity").read_bytes()).member
     for number in range(1, 20):
         with monkeypatch.context() as patch:
             Failing(patch, number)
@@ -295,15 +318,15 @@
                 open_disk(folder, "c")[0].close()
                 break
     kept, report = reopened(folder)
-    assert number > 9 and kept == Kept() and report.member != old
+    assert number > 9 and kept == PersistentState() and report.member != old
 
 
 def test_what_cant_follow_is_not_written(folder):
     kept, _ = reopened(folder)
-    for wrong in (entries(33, 1), entries(31, 1), 3, snapshot(2), Hard(1, "a")):
-        name = {tuple: "entries", int: "cut", Snapshot: "snapshot", Hard: "hard"}[type(wrong)]
+    for wrong in (entries(33, 1), entries(31, 1), 3, snapshot(2), HardState(1, "a")):
+        name = {tuple: "entries", int: "cut", Snapshot: "snapshot", HardState: "hard"}[type(wrong)]
         disk, _, _ = open_disk(folder, "c")
-        disk.keep(Keep(1, **{name: wrong}))
+        disk.keep(PersistBatch(1, **{name: wrong}))
         assert "can't follow" in told(disk, 1)[-1].why
         disk.close()
         assert reopened(folder)[0] == kept
@@ -312,14 +335,15 @@
 CHILD = """
 import select, sys
 from pathlib import Path
-from loftweir.replication.api import Entry, Keep, Kind, Snapshot
+from loftweir.replication.api import Entry, EntryKind, PersistBatch, Snapshot
 from loftweir.replication.disk import open_disk
 disk, kept, report = open_disk(Path(sys.argv[1]), "c", 4000)
 first = kept.entries[-1].index + 1 if kept.entries else 1
 for batch in range(1, 100_000):
     at = first + 5 * batch - 5
     copy = Snapshot(at - 10, 1, (), b"machine") if batch % 7 == 0 else None
-    disk.keep(Keep(batch, entries=[Entry(i, 1, Kind.WRITE, b"x" * 40) for i in range(at, at + 5)], snapshot=copy))
+    entries = [Entry(i, 1, EntryKind.WRITE, b"x" * 40) for i in range(at, at + 5)]
+    disk.keep(PersistBatch(batch, entries=entries, snapshot=copy))
     if batch % 3 == 0:
         select.select([disk], [], [])
         print(first - 1 + 5 * disk.taken()[-1].batch, flush=True)
@@ -341,19 +365,21 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.sampled_from("eeeecchsgr"), st.integers(0, 12)), max_size=40))
 def test_any_batches_come_back_as_a_plain_model_holds_them(tmp_path_factory, steps):
-    path, kept = tmp_path_factory.mktemp("model") / "m", Kept()
+    path, kept = tmp_path_factory.mktemp("model") / "m", PersistentState()
     disk, _, _ = open_disk(path, "c", 200)
     for batch, (what, number) in enumerate(steps, 1):
         first = kept.snapshot.index + 1 if kept.snapshot else 1
         end = first + len(kept.entries)
         at = max(first, end - number) if what == "c" else end
         keep = {
-            "e": Keep(batch, cut=end + number, entries=entries(end, number, kept.hard.term, size=number)),
-            "c": Keep(batch, hard=Hard(kept.hard.term + 2), cut=at, entries=entries(at, number)),
-            "h": Keep(batch, hard=Hard(kept.hard.term + 1, "x" * number)),
-            "s": Keep(batch, snapshot=snapshot(first - 1 + number, bytes(number))),
-            "g": Keep(batch, snapshot=snapshot(first - 1 + number), all_gone=True, entries=entries(first + number, 2)),
-            "r": Keep(batch),
+            "e": PersistBatch(batch, cut=end + number, entries=entries(end, number, kept.hard.term, size=number)),
+            "c": PersistBatch(batch, hard=HardState(kept.hard.term + 2), cut=at, entries=entries(at, number)),
+            "h": PersistBatch(batch, hard=HardState(kept.hard.term + 1, "x" * number)),
+            "s": PersistBatch(batch, snapshot=snapshot(first - 1 + number, bytes(number))),
+            "g": PersistBatch(
+                batch, snapshot=snapshot(first - 1 + number), all_gone=True, entries=entries(first + number, 2)
+            ),
+            "r": PersistBatch(batch),
         }[what]
         disk.keep(keep)
         kept = states([keep], batch, kept)[0]
@@ -366,14 +392,18 @@
 
 
 def test_what_is_not_needed_goes_and_room_on_the_disk_is_bounded(tmp_path):
-    batches = Keep(1, entries=entries(1, 4)), Keep(2, entries=entries(5, 40)), Keep(3, cut=5, entries=entries(5, 4, 2))
-    disk = kept_by(open_disk(tmp_path / "m", "c", 200)[0], *batches, Keep(4, snapshot=snapshot(6)))
+    batches = (
+        PersistBatch(1, entries=entries(1, 4)),
+        PersistBatch(2, entries=entries(5, 40)),
+        PersistBatch(3, cut=5, entries=entries(5, 4, 2)),
+    )
+    disk = kept_by(open_disk(tmp_path / "m", "c", 200)[0], *batches, PersistBatch(4, snapshot=snapshot(6)))
     disk.close()  # what has been tidied up by then
     assert sorted(f.name for f in (tmp_path / "m").glob("segment-*")) == [THIRD, LAST]
-    assert reopened(tmp_path / "m")[0] == Kept(Hard(), snapshot(6), entries(7, 2, 2))
+    assert reopened(tmp_path / "m")[0] == PersistentState(HardState(), snapshot(6), entries(7, 2, 2))
     disk, _, _ = open_disk(tmp_path / "m", "c", 2000)
     for at in range(9, 2009, 50):
-        kept_by(disk, Keep(at, entries=entries(at, 50), snapshot=snapshot(at - 1)))
+        kept_by(disk, PersistBatch(at, entries=entries(at, 50), snapshot=snapshot(at - 1)))
     disk.close()
     sizes = {file.name: file.stat().st_size for file in (tmp_path / "m").iterdir()}
     assert len(sizes) < 6 and sum(sizes.values()) < 50 * 70 + 2 * (2000 + 50 * 70) + 1000, sizes
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -21,21 +21,31 @@
 from loftweir.replication import api, reception, wire
 from loftweir.replication import member as member_module
 from loftweir.replication import part as part_module
-from loftweir.replication.api import AskVote, Compact, Member, Role, Tick, Timing, Vote
-from loftweir.replication.caller import Reading
-from loftweir.replication.core import Core, begun
+from loftweir.replication.api import CompactLog, Member, RequestVote, RequestVoteResponse, Role, Tick, Timing
+from loftweir.replication.caller import ReadResult
+from loftweir.replication.core import Core, founding_state
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import FolderInUse
 from loftweir.replication.line import dial
-from loftweir.replication.machine import Ok, Order, Word, written
+from loftweir.replication.machine import Command, Ok, SetOverride, encode
 from loftweir.replication.member import MemberBroken, Removed
 from loftweir.replication.part import ReplicationAgent
-from loftweir.replication.seats import REACH
-from loftweir.replication.wire import Am, Ask, Hello, Kind, Submit, Turned, Who, Why, WordOf
+from loftweir.replication.seats import MAX_LEARNER_LAG
+from loftweir.replication.wire import (
+    ConnectionKind,
+    ConnectionRejected,
+    Hello,
+    OverrideQuery,
+    QueryRequest,
+    RejectReason,
+    StatusRequest,
+    StatusResponse,
+    SubmitCommand,
+)
 
 
 def order_of(number, name, out):
-    return Submit(0, written(Order("w", number, Word(name, out, number), 0)))
+    return SubmitCommand(0, encode(Command("w", number, SetOverride(name, out, number), 0)))
 
 
 class Place:
@@ -51,7 +61,7 @@
         options = Replication(members=members, folder=str(folder / "copies"), callers=4, write_within=300 * MS)
         self.part = ReplicationAgent(self.loop, "n0", options, lambda words, whole: self.told.append((words, whole)))
 
-    def hello(self, id, name, kind=Kind.MEMBER, **changes):
+    def hello(self, id, name, kind=ConnectionKind.MEMBER, **changes):
         return msgspec.structs.replace(Hello(wire.VERSION, "loftweir", id, name, kind), **changes)
 
     def vote(self):
@@ -77,7 +87,7 @@
         run(self.loop, wait())
 
     def votes(self):
-        return [frame for frame in self.heard if isinstance(frame, Vote)]
+        return [frame for frame in self.heard if isinstance(frame, RequestVoteResponse)]
 
     def close(self):
         self.part.close()
@@ -94,7 +104,7 @@
 
 
 def ask_vote(voter, sender, term=3, to=None):
-    return AskVote(sender=sender, to=to or voter.me, term=term, last_index=5, last_term=2, pre=False)
+    return RequestVote(sender=sender, to=to or voter.me, term=term, last_index=5, last_term=2, pre=False)
 
 
 def test_nothing_is_said_before_what_it_rests_on_is_stable(place, monkeypatch):
@@ -123,7 +133,9 @@
 def test_messages_for_another_id_or_in_anothers_name_are_not_taken(place):
     voter = place.vote()
     line = place.line(place.hello("id-n1", "n1"))
-    assert place.ask(line, ask_vote(voter, "id-n1", to="id-old")) == Turned(Why.ANOTHER_ID, voter.me)
+    assert place.ask(line, ask_vote(voter, "id-n1", to="id-old")) == ConnectionRejected(
+        RejectReason.ANOTHER_ID, voter.me
+    )
     line.put(ask_vote(voter, "id-n2"))
     assert isinstance(run(place.loop, line.next(place.loop.now() + SECOND)), OSError)
     assert voter.core.term == 0
@@ -133,15 +145,17 @@
     voter = place.vote()
     am = None
     for id in ("id-n1", "id-n1-anew"):  # the disk of n1 was lost in between
-        am = place.ask(place.line(place.hello(id, "n1", Kind.CALLER)), Who(tuple(voter.seats)))
-    assert am == Am(True, True, place.address, "", "", ())
-    assert not place.ask(place.line(place.hello("x", "n2", Kind.CALLER)), Who(("n0", "n2"))).agrees
+        am = place.ask(place.line(place.hello(id, "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats)))
+    assert am == StatusResponse(True, True, place.address, "", "", ())
+    assert not place.ask(place.line(place.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(("n0", "n2"))).agrees
     place.line(place.hello("id-n1", "n1")).put(ask_vote(voter, "id-n1", 3))
     place.rest()
     assert voter.core.term == 0
     place.line(place.hello("id-n1-anew", "n1")).put(ask_vote(voter, "id-n1-anew", 4))
     assert until(place.loop, lambda: voter.core.term == 4)
-    assert not place.ask(place.line(place.hello("x", "n2", Kind.CALLER)), Who(tuple(voter.seats))).empty
+    assert not place.ask(
+        place.line(place.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats))
+    ).empty
 
 
 def test_a_fault_of_the_program_ends_the_part_and_the_sidecar_follows_on(place, monkeypatch):
@@ -154,16 +168,20 @@
 
 def test_too_many_callers_are_turned_away_but_not_a_member(place):
     voter = place.vote()
-    lines = [place.line(place.hello(f"id-f{n}", f"f{n}", Kind.CALLER)) for n in range(4)]
+    lines = [place.line(place.hello(f"id-f{n}", f"f{n}", ConnectionKind.CALLER)) for n in range(4)]
     with pytest.raises(wire.TurnedAway, match="as many as may be"):
-        place.line(place.hello("f", "f", Kind.CALLER))
-    assert place.ask(place.line(place.hello("id-n1", "n1", Kind.CALLER)), Who(tuple(voter.seats))).agrees
-    answer = place.ask(lines[0], Ask(1, WordOf("s0")))
+        place.line(place.hello("f", "f", ConnectionKind.CALLER))
+    assert place.ask(
+        place.line(place.hello("id-n1", "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats))
+    ).agrees
+    answer = place.ask(lines[0], QueryRequest(1, OverrideQuery("s0")))
     assert (answer.sure, answer.index, answer.age, answer.value) == (False, 0, None, b"\xc0")
-    assert place.ask(lines[1], Submit(2, b"?")).how is wire.How.DONE, "never an order: refused at once, by any voter"
+    assert place.ask(lines[1], SubmitCommand(2, b"?")).how is wire.OutcomeCode.DONE, (
+        "never an order: refused at once, by any voter"
+    )
     lines[2].close()
     place.rest(50 * MS)
-    place.line(place.hello("id-f9", "f9", Kind.CALLER))
+    place.line(place.hello("id-f9", "f9", ConnectionKind.CALLER))
 
 
 def test_what_was_known_holds_over_a_start_and_until_more_is_known(place):
@@ -197,7 +215,9 @@
 def test_whose_files_were_set_aside_begins_no_cluster_and_is_none_to_begin_with(place, tmp_path):
     """All disks damaged at once, or written by a later version, must not end in copies that are empty."""
     for toy in place.toys.values():
-        toy.answer = lambda frame, at=toy.address: Am(True, True, at, "", "", ()) if isinstance(frame, Who) else None
+        toy.answer = lambda frame, at=toy.address: (
+            StatusResponse(True, True, at, "", "", ()) if isinstance(frame, StatusRequest) else None
+        )
     begun = place.vote()
     assert until(place.loop, lambda: begun.begun), "all are empty"
     place.part.close()
@@ -213,8 +233,8 @@
 def test_only_a_leader_whose_members_are_committed_takes_a_voter_out(place):
     voter, ended = place.vote(), []
     voter.ended, voter.begun, place.part.joining.voted = ended.append, True, True
-    said = Am(False, True, "127.0.0.1:1", "n1", "", (Member("id-n1", "n1", "127.0.0.1:1"),))
-    place.toys["n1"].answer = lambda frame: said if isinstance(frame, Who) else None
+    said = StatusResponse(False, True, "127.0.0.1:1", "n1", "", (Member("id-n1", "n1", "127.0.0.1:1"),))
+    place.toys["n1"].answer = lambda frame: said if isinstance(frame, StatusRequest) else None
     place.rest(800 * MS)
     assert not ended
     own = Member(voter.me, "n0", place.address, False)  # it still learns
@@ -291,25 +311,25 @@
 
 def test_who_asks_much_at_once_and_reads_nothing_is_answered_one_by_one(place, monkeypatch):
     voter, asked = place.vote(), []
-    news = msgspec.structs.replace(voter.news(0), entries=(wire.Told(1, bytes(wire.LARGEST // 8)),))
+    news = msgspec.structs.replace(voter.news(0), entries=(wire.CommittedEntry(1, bytes(wire.MAX_FRAME_SIZE // 8)),))
     monkeypatch.setattr(voter, "news", lambda after: (asked.append(after), news)[1])
-    line = place.line(place.hello("id-f", "f", Kind.FOLLOWER))
+    line = place.line(place.hello("id-f", "f", ConnectionKind.FOLLOWER))
     line.sock.setblocking(True)
-    line.sock.sendall(wire.written(wire.Follow(0, 0)) * 500)
+    line.sock.sendall(wire.encode_frame(wire.FollowRequest(0, 0)) * 500)
     place.rest(400 * MS)
     (served,) = place.part.reception.others
-    assert 1 < len(asked) < 100 and served.held <= wire.LARGEST // 4 and not served.over
+    assert 1 < len(asked) < 100 and served.held <= wire.MAX_FRAME_SIZE // 4 and not served.over
     line.sock.setblocking(False)
     for _ in range(500):
-        assert isinstance(run(place.loop, line.next(place.loop.now() + SECOND)), wire.News)
+        assert isinstance(run(place.loop, line.next(place.loop.now() + SECOND)), wire.FollowResponse)
 
 
 def test_a_wait_for_news_longer_than_a_line_may_rest_does_not_end_the_line(place, monkeypatch):
-    monkeypatch.setattr(reception, "UNUSED_FOR", 100 * MS)
+    monkeypatch.setattr(reception, "IDLE_TIMEOUT", 100 * MS)
     place.vote()
-    line = place.line(place.hello("id-f", "f", Kind.FOLLOWER))
+    line = place.line(place.hello("id-f", "f", ConnectionKind.FOLLOWER))
     for _ in range(2):
-        assert isinstance(place.ask(line, wire.Follow(0, 250 * MS)), wire.News)
+        assert isinstance(place.ask(line, wire.FollowRequest(0, 250 * MS)), wire.FollowResponse)
     place.rest(400 * MS)
     assert not line.alive()
 
@@ -328,7 +348,7 @@
     place.rest(50 * MS)
     assert not newest.alive() and again.alive()
     # Two processes of a listed sidecar, and what a third left behind: the oldest goes, not the one that comes.
-    callers = [place.line(place.hello("id-n2", "n2", Kind.CALLER)) for _ in range(12)]
+    callers = [place.line(place.hello("id-n2", "n2", ConnectionKind.CALLER)) for _ in range(12)]
     place.rest(50 * MS)
     assert [line.alive() for line in callers] == [False] * 4 + [True] * 8
 
@@ -358,16 +378,16 @@
 def test_who_is_behind_a_follower_leads_only_if_a_majority_says_so(place):
     voter = place.vote()
     voter.leads = lambda: True  # it was stopped, and others have elected meanwhile
-    line = place.line(place.hello("id-f", "f", Kind.FOLLOWER))
+    line = place.line(place.hello("id-f", "f", ConnectionKind.FOLLOWER))
     monkey = []
     voter.read = monkey.append
-    line.put(wire.Follow(5, 0))
+    line.put(wire.FollowRequest(5, 0))
     assert until(place.loop, lambda: monkey)
-    monkey.pop()(wire.How.NOT_LEADER, 0, None)
+    monkey.pop()(wire.OutcomeCode.NOT_LEADER, 0, None)
     assert run(place.loop, line.next(place.loop.now() + SECOND)).leads is False
-    line.put(wire.Follow(5, 0))
+    line.put(wire.FollowRequest(5, 0))
     assert until(place.loop, lambda: monkey)
-    monkey.pop()(wire.How.DONE, 0, None)
+    monkey.pop()(wire.OutcomeCode.DONE, 0, None)
     assert run(place.loop, line.next(place.loop.now() + SECOND)).leads is True
 
 
@@ -417,17 +437,19 @@
     written_, part = [], place.part
     part.proposer.write = lambda act, within: (written_.append(act), iter_of(Ok(9)))[1]
     for sure, value in ((False, None), (False, [False, 3, 4]), (True, [True, 3, 4])):
-        part.proposer.read = lambda query, within, it=(sure, value): iter_of(Reading(it[0], 5, None, it[1]))
+        part.proposer.read = lambda query, within, it=(sure, value): iter_of(ReadResult(it[0], 5, None, it[1]))
         assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
     assert [act.out for act in written_] == [False] * 3
-    part.proposer.read = lambda query, within: iter_of(Reading(True, 5, 0, None))
+    part.proposer.read = lambda query, within: iter_of(ReadResult(True, 5, 0, None))
     assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 5" and len(written_) == 3
 
 
 def test_a_seat_whose_address_is_anothers_is_no_answer_to_begin_with(place):
     for toy, name in zip(place.toys.values(), ("n2", "n1"), strict=True):
         toy.hello = msgspec.structs.replace(toy.hello, name=name)
-        toy.answer = lambda frame: Am(True, True, "127.0.0.1:1", "", "", ()) if isinstance(frame, Who) else None
+        toy.answer = lambda frame: (
+            StatusResponse(True, True, "127.0.0.1:1", "", "", ()) if isinstance(frame, StatusRequest) else None
+        )
     voter = place.vote()
     place.rest(700 * MS)
     assert not voter.begun
@@ -436,7 +458,7 @@
 def test_a_leader_that_has_just_begun_takes_nobodys_seat_and_gives_no_vote_to_one_it_has_not_met(place):
     voter = place.vote()
     voter.led = (1, place.loop.now())
-    assert voter.lately("id-n1") and voter.behind("id-n1") > REACH
+    assert voter.lately("id-n1") and voter.behind("id-n1") > MAX_LEARNER_LAG
     voter.led = (1, place.loop.now() - 2 * voter.options.election)
     assert not voter.lately("id-n1") and voter.lately(voter.me) and not voter.near("id-n1")
 
@@ -445,24 +467,24 @@
     leader, told = trio.leader(), []
     for number in range(1, 601):
         leader.voter.write(order_of(number, f"s{number % 40}", number % 3 == 0).order, lambda how, *_: told.append(how))
-    assert until(trio.loop, lambda: len(told) == 600) and set(told) == {wire.How.DONE}
+    assert until(trio.loop, lambda: len(told) == 600) and set(told) == {wire.OutcomeCode.DONE}
     news, voter = leader.voter.news(0), leader.voter
     assert [e.index for e in news.entries] == list(range(1, news.index + 1)) and len(news.entries) == 256
     with monkeypatch.context() as patched:
-        patched.setattr(member_module, "NEWS_BYTES", 1000)
+        patched.setattr(member_module, "MAX_FOLLOW_BYTES", 1000)
         assert sum(len(e.data) for e in leader.voter.news(0).entries) < 1200
     assert not news.whole and all(bool(e.data) == (e.index > 2) for e in news.entries)
     trio.parts["f0"] = first = trio.part("f0", None)
     assert until(trio.loop, lambda: first.index == voter.machine.index) and first.words == leader.words
     for part in trio.others(first):  # all of them: a follower may ask any
         assert until(trio.loop, lambda part=part: part.voter.machine.index == voter.machine.index)
-        part.voter.feed(Compact(part.voter.machine.index, part.voter.machine.dump()))
+        part.voter.feed(CompactLog(part.voter.machine.index, part.voter.machine.dump()))
     assert voter.news(0).whole and not voter.news(voter.core.first_index - 1).whole
     trio.parts["f1"] = second = trio.part("f1", None)
     assert until(trio.loop, lambda: second.index == voter.machine.index) and second.words == leader.words
     line, snapshot = [], voter.core.snapshot
     line_ = type("Line", (), {"put": lambda self, frame: line.append(frame)})()
-    for frame in (wire.Fetch(snapshot.index, 100), wire.Fetch(snapshot.index - 1, 100)):
+    for frame in (wire.FetchSnapshot(snapshot.index, 100), wire.FetchSnapshot(snapshot.index - 1, 100)):
         leader.reception._fetch(line_, frame)
     assert [(piece.index, piece.at) for piece in line] == [(snapshot.index, 100), (snapshot.index, 0)]
 
@@ -484,17 +506,17 @@
 
 def test_a_log_of_large_entries_is_bounded_by_their_bytes():
     timing = Timing(log_bytes=1024 * 1024)
-    core = Core("a", begun([Member("a", "a", "a:1")]), timing, Random(1), 0)
+    core = Core("a", founding_state([Member("a", "a", "a:1")]), timing, Random(1), 0)
     now, most, events = 0, 0, deque([Tick()])
     for token in range(200):
-        events.append(api.Write(token, bytes(64 * 1024)))
+        events.append(api.WriteRequest(token, bytes(64 * 1024)))
         while events or core.role is not Role.LEADER:
             now = max(now, core.next_at) if not events else now
             for action in core.step(now, events.popleft() if events else Tick()):
-                if isinstance(action, api.Keep):
-                    events.append(api.Stable(action.batch))
-                elif isinstance(action, api.WantSnapshot):
-                    events.append(Compact(core.applied, b""))
+                if isinstance(action, api.PersistBatch):
+                    events.append(api.BatchSynced(action.batch))
+                elif isinstance(action, api.TakeSnapshot):
+                    events.append(CompactLog(core.applied, b""))
         core.check()
         most = max(most, sum(len(e.data) for e in core.entries(core.first_index, core.last_index)))
     assert core.last_index > 190 and most <= 2 * timing.log_bytes
@@ -504,13 +526,13 @@
     leader, gate, sync = trio.leader(), threading.Event(), os.fdatasync
     lines = []
     for name in ("f0", "f1"):
-        hello = Hello(wire.VERSION, "loftweir", f"id-{name}", name, Kind.CALLER)
+        hello = Hello(wire.VERSION, "loftweir", f"id-{name}", name, ConnectionKind.CALLER)
         lines.append(run(trio.loop, dial(trio.loop, leader.seats[leader.name], hello, trio.loop.now() + SECOND))[0])
     monkeypatch.setattr(os, "fdatasync", lambda fd: (gate.wait(10), sync(fd))[1])
     before = len(leader.voter.waiting)
     for number in range(1, 31):
         lines[0].put(msgspec.structs.replace(order_of(number, "s0", True), token=number))
-    lines[1].put(Submit(1, written(Order("v", 1, Word("s1", True, 1), 0))))
+    lines[1].put(SubmitCommand(1, encode(Command("v", 1, SetOverride("s1", True, 1), 0))))
     run_for(trio.loop, 200 * MS)
     assert before < len(leader.voter.waiting) <= before + 2
     lines[1].close()
@@ -518,7 +540,7 @@
     assert until(trio.loop, lambda: all(hello.name != "f1" for hello in others.values()))
     gate.set()
     answers = [run(trio.loop, lines[0].next(trio.loop.now() + 5 * SECOND)) for _ in range(30)]
-    assert [(answer.token, answer.how) for answer in answers] == [(n, wire.How.DONE) for n in range(1, 31)]
+    assert [(answer.token, answer.how) for answer in answers] == [(n, wire.OutcomeCode.DONE) for n in range(1, 31)]
     lines[0].close()
 
 
@@ -531,13 +553,13 @@
 
     def answer(frame):
         asked.append(frame)
-        if isinstance(frame, Who):
-            return Am(False, True, "127.0.0.1:2", "n1", "", members[0], True)
-        return wire.Joined(True, True)
+        if isinstance(frame, StatusRequest):
+            return StatusResponse(False, True, "127.0.0.1:2", "n1", "", members[0], True)
+        return wire.JoinResponse(True, True)
 
     place.toys["n1"].answer, voter.age = answer, lambda: 0
-    assert until(place.loop, lambda: any(isinstance(frame, wire.Join) for frame in asked))
-    assert [f.address for f in asked if isinstance(f, wire.Join)][0] == place.address
+    assert until(place.loop, lambda: any(isinstance(frame, wire.JoinRequest) for frame in asked))
+    assert [f.address for f in asked if isinstance(f, wire.JoinRequest)][0] == place.address
     own = msgspec.structs.replace(own, address=place.address)
     voter.voted = True  # by a log that had all that was committed
     place.rest(1300 * MS)
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -24,23 +24,35 @@
 from loftweir.operations.record import LastCommand as Said
 from loftweir.replication import follower as follower_module
 from loftweir.replication import wire
-from loftweir.replication.api import Append, Entry, Kind, LeadNow, Member
-from loftweir.replication.caller import Proposer, NoMajority, OutcomeUnknown
-from loftweir.replication.follower import Follower
-from loftweir.replication.line import Line
-from loftweir.replication.links import Link
-from loftweir.replication.machine import Machine, Ok, Order, UnknownSession, Word, written
-from loftweir.replication.seats import REACH, founders, step_in
-from loftweir.replication.wire import Am, BadFrame, Follow, Hello, How, Join, Joined, News, Outcome, Reader, Told
-
-HELLO = Hello(wire.VERSION, "loftweir", "id-v", "n0", wire.Kind.MEMBER)
+from loftweir.replication.api import AppendEntries, Entry, EntryKind, Member, TimeoutNow
+from loftweir.replication.caller import NoMajority, OutcomeUnknown, Proposer
+from loftweir.replication.follower import Observer
+from loftweir.replication.line import FrameConnection
+from loftweir.replication.links import MemberLink
+from loftweir.replication.machine import Command, Machine, Ok, SetOverride, UnknownSession, encode
+from loftweir.replication.seats import MAX_LEARNER_LAG, founding_members, next_join_step
+from loftweir.replication.wire import (
+    BadFrame,
+    CommandOutcome,
+    CommittedEntry,
+    FollowRequest,
+    FollowResponse,
+    FrameReader,
+    Hello,
+    JoinRequest,
+    JoinResponse,
+    OutcomeCode,
+    StatusResponse,
+)
+
+HELLO = Hello(wire.VERSION, "loftweir", "id-v", "n0", wire.ConnectionKind.MEMBER)
 FRAMES = st.lists(
     st.one_of(
-        st.builds(Told, st.integers(0, 9), st.binary(max_size=300)).map(
-            lambda told: News(0, told.index, None, False, "n0", ("a",), (told,), False)
+        st.builds(CommittedEntry, st.integers(0, 9), st.binary(max_size=300)).map(
+            lambda told: FollowResponse(0, told.index, None, False, "n0", ("a",), (told,), False)
         ),
-        st.builds(Follow, st.integers(0, 9), st.integers(0, 9)),
-        st.builds(LeadNow, sender=st.text(max_size=5), to=st.text(max_size=5), term=st.integers(0, 9)),
+        st.builds(FollowRequest, st.integers(0, 9), st.integers(0, 9)),
+        st.builds(TimeoutNow, sender=st.text(max_size=5), to=st.text(max_size=5), term=st.integers(0, 9)),
     ),
     max_size=6,
 ).map(lambda rest: [HELLO, *rest])
@@ -52,7 +64,7 @@
 @settings(derandomize=True, deadline=None)
 @given(FRAMES, st.lists(st.integers(1, 200), min_size=1))
 def test_frames_come_back_however_their_bytes_are_cut(frames, cuts):
-    data, reader, found, at = b"".join(map(wire.written, frames)), Reader(), [], 0
+    data, reader, found, at = b"".join(map(wire.encode_frame, frames)), FrameReader(), [], 0
     while at < len(data):
         cut = cuts[at % len(cuts)]
         reader.feed(data[at : at + cut])
@@ -64,10 +76,10 @@
 @settings(derandomize=True, deadline=None)
 @given(FRAMES, st.data())
 def test_a_changed_byte_never_gives_another_frame(frames, draw):
-    data = bytearray(b"".join(map(wire.written, frames)))
+    data = bytearray(b"".join(map(wire.encode_frame, frames)))
     at = draw.draw(st.integers(0, len(data) - 1))
     data[at] ^= draw.draw(st.integers(1, 255))
-    reader, found = Reader(), []
+    reader, found = FrameReader(), []
     reader.feed(bytes(data))
     with suppress(BadFrame):
         for frame in reader.all():
@@ -80,10 +92,10 @@
         return struct.pack(">II", len(body), crc32(body)) + body
 
     bodies = [pickle.dumps(HELLO), msgspec.msgpack.encode({"type": "hello", "more": 1}), b"", b"\x91" * 3000]
-    bad = [framed(body) for body in bodies] + [struct.pack(">II", wire.FIRST + 1, 0)]
-    bad.append(wire.written(HELLO) + struct.pack(">II", wire.LARGEST + 1, 0))
+    bad = [framed(body) for body in bodies] + [struct.pack(">II", wire.MAX_HELLO_SIZE + 1, 0)]
+    bad.append(wire.encode_frame(HELLO) + struct.pack(">II", wire.MAX_FRAME_SIZE + 1, 0))
     for data in bad:
-        reader = Reader()
+        reader = FrameReader()
         reader.feed(data)
         with pytest.raises(BadFrame):
             list(reader.all())
@@ -93,27 +105,28 @@
     near, far = socket.socketpair()
     near.setblocking(False)
     loop = Loop()
-    line = Line(loop, near, most=1024 * 1024)
+    line = FrameConnection(loop, near, most=1024 * 1024)
     for n in range(80):
-        entry = Entry(n + 1, 1, Kind.WRITE, bytes(64 * 1024))
+        entry = Entry(n + 1, 1, EntryKind.WRITE, bytes(64 * 1024))
         line.put(
-            Append(sender="a", to="b", term=1, prev_index=n, prev_term=1, entries=(entry,), commit=0, round=n), True
+            AppendEntries(sender="a", to="b", term=1, prev_index=n, prev_term=1, entries=(entry,), commit=0, round=n),
+            True,
         )
         if n == 40:
-            line.put(LeadNow(sender="a", to="b", term=1))
+            line.put(TimeoutNow(sender="a", to="b", term=1))
         assert line.held <= line.most
-    reader, found = Reader(), []
+    reader, found = FrameReader(), []
     reader.first = False
     far.setblocking(False)
     while line.held or select.select([far], [], [], 0)[0]:
         reader.feed(far.recv(1024 * 1024))
         found += reader.all()
         line._flush()
-    rounds = [frame.round for frame in found if isinstance(frame, Append)]
+    rounds = [frame.round for frame in found if isinstance(frame, AppendEntries)]
     assert rounds == sorted(rounds) and rounds[-1] == 79 and len(rounds) < 80
-    assert sum(isinstance(frame, LeadNow) for frame in found) == 1
+    assert sum(isinstance(frame, TimeoutNow) for frame in found) == 1
     for _ in range(40):  # what must not be dropped is too much: the line ends
-        line.put(Follow(0, 0))
+        line.put(FollowRequest(0, 0))
         line.write(bytes(64 * 1024))
     assert line.over and line.held == 0
     line.close(), far.close()
@@ -129,9 +142,9 @@
 def test_who_wants_in_gets_there_by_steps_of_one_voter_and_never_in_the_place_of_one_that_lives(steps):
     members = tuple(Member(f"{name}-0", name, "a:1") for name in NAMES[:3])
     for name, life, lives, behind in steps:
-        join = Join(f"{name}-{life}", name, f"a:{life}")
-        step = step_in(join, members, NAMES, lambda id, lives=lives: lives, lambda id, behind=behind: behind)
-        if isinstance(step, Joined):
+        join = JoinRequest(f"{name}-{life}", name, f"a:{life}")
+        step = next_join_step(join, members, NAMES, lambda id, lives=lives: lives, lambda id, behind=behind: behind)
+        if isinstance(step, JoinResponse):
             own = [m for m in members if m.id == join.id]
             assert own or (lives and any(m.name == name for m in members))
             assert step.votes == any(m.votes for m in own)
@@ -139,31 +152,33 @@
         voters, after = ({m.id for m in ms if m.votes} for ms in (members, step))
         assert step != members and len(voters ^ after) <= 1 and len({m.name for m in step}) == len(step)
         assert not voters - after or not lives
-        assert not after - voters or behind <= REACH
+        assert not after - voters or behind <= MAX_LEARNER_LAG
         members = step
     for name in NAMES:  # in the end all get in
-        join, count = Join(f"{name}-9", name, "a:9"), 0
-        while not isinstance(step := step_in(join, members, NAMES, lambda _: False, lambda _: 0), Joined):
+        join, count = JoinRequest(f"{name}-9", name, "a:9"), 0
+        while not isinstance(step := next_join_step(join, members, NAMES, lambda _: False, lambda _: 0), JoinResponse):
             members, count = step, count + 1
         assert step.votes and count <= 3
-    assert isinstance(step_in(Join("x", "x", "a:1"), members, NAMES, lambda _: False, lambda _: 0), Joined)
+    assert isinstance(
+        next_join_step(JoinRequest("x", "x", "a:1"), members, NAMES, lambda _: False, lambda _: 0), JoinResponse
+    )
 
 
 def test_a_cluster_is_begun_by_the_first_and_only_where_all_are_empty():
     def am(empty=True, agrees=True):
-        return Am(empty, agrees, "a:2", "", "", ())
+        return StatusResponse(empty, agrees, "a:2", "", "", ())
 
     me, names = Member("i0", "n0", "a:1"), ("n0", "n1", "n2")
     answers = {"n1": ("i1", am()), "n2": ("i2", am())}
-    assert [m.id for m in founders(me, "n0", names, answers)] == ["i0", "i1", "i2"]
+    assert [m.id for m in founding_members(me, "n0", names, answers)] == ["i0", "i1", "i2"]
     for wrong in (
         {"n1": answers["n1"]},
         answers | {"n2": ("i2", am(empty=False))},
         answers | {"n2": ("i2", am(agrees=False))},
         answers | {"n2": ("i1", am())},
     ):
-        assert not founders(me, "n0", names, wrong)
-    assert not founders(Member("i1", "n1", "a:1"), "n0", names, {"n0": ("i0", am()), "n2": ("i2", am())})
+        assert not founding_members(me, "n0", names, wrong)
+    assert not founding_members(Member("i1", "n1", "a:1"), "n0", names, {"n0": ("i0", am()), "n2": ("i2", am())})
 
 
 # ---- the fleet's words over the list ------------------------------------------------------------
@@ -214,7 +229,7 @@
                 threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock):
-        reader = Reader()
+        reader = FrameReader()
         with suppress(OSError):
             while data := sock.recv(65536):
                 reader.feed(data)
@@ -226,7 +241,7 @@
                         sock.close()
                         return
                     for one in said if isinstance(said, list) else [said] if said is not None else ():
-                        sock.sendall(wire.written(one))
+                        sock.sendall(wire.encode_frame(one))
 
     def close(self):
         for sock in (self.listener, *self.socks):
@@ -281,7 +296,7 @@
 
 
 def order_of(frame):
-    return msgspec.msgpack.decode(frame.order, type=Order)
+    return msgspec.msgpack.decode(frame.order, type=Command)
 
 
 class Machines:
@@ -292,7 +307,7 @@
 
     def apply(self, frame):
         result = self.machine.apply(self.machine.index + 1, frame.order)
-        return Outcome(frame.token, How.DONE, result.index, written(result))
+        return CommandOutcome(frame.token, OutcomeCode.DONE, result.index, encode(result))
 
 
 def test_a_write_whose_answer_is_lost_is_sent_again_under_its_number_and_applied_once(voters):
@@ -306,7 +321,7 @@
     loop = Loop()
     calls = caller(loop, made)
     calls.writes.at, calls.writes.address = "n0", made[0].address
-    results = [run(loop, calls.write(Word(f"s{n}", True, 1), 2 * SECOND)) for n in range(2)]
+    results = [run(loop, calls.write(SetOverride(f"s{n}", True, 1), 2 * SECOND)) for n in range(2)]
     assert [type(result) for result in results] == [Ok, Ok]
     sent = [order_of(frame) for voter in made for frame in voter.seen]
     assert [order.number for order in sent] == [1, 1, 2] and len({order.session for order in sent}) == 1
@@ -316,12 +331,14 @@
 
 def test_a_leader_that_is_named_is_asked(voters):
     copies = Machines()
-    made = voters(lambda frame: Outcome(frame.token, How.NOT_LEADER, leader="n2"), lambda frame: ..., copies.apply)
+    made = voters(
+        lambda frame: CommandOutcome(frame.token, OutcomeCode.NOT_LEADER, leader="n2"), lambda frame: ..., copies.apply
+    )
     loop = Loop()
     calls = caller(loop, made)
     calls.writes.order = ["n0", "n1", "n2"]
     calls.writes.at, calls.writes.address = "n0", made[0].address
-    assert isinstance(run(loop, calls.write(Word("s", True, 1), SECOND)), Ok)
+    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), Ok)
     assert [len(voter.seen) for voter in made] == [1, 0, 1]
     calls.close()
 
@@ -329,73 +346,77 @@
 @pytest.mark.parametrize(
     ("answer", "error"),
     [
-        (lambda frame: Outcome(frame.token, How.NOT_LEADER), NoMajority),
-        (lambda frame: Outcome(frame.token, How.BUSY), NoMajority),
-        (lambda frame: Outcome(frame.token, How.LOST), OutcomeUnknown),
+        (lambda frame: CommandOutcome(frame.token, OutcomeCode.NOT_LEADER), NoMajority),
+        (lambda frame: CommandOutcome(frame.token, OutcomeCode.BUSY), NoMajority),
+        (lambda frame: CommandOutcome(frame.token, OutcomeCode.LOST), OutcomeUnknown),
         (lambda frame: None, OutcomeUnknown),
         (lambda frame: ..., OutcomeUnknown),
-        (lambda frame: Outcome(frame.token, How.DONE, 1, b"?"), OutcomeUnknown),
+        (lambda frame: CommandOutcome(frame.token, OutcomeCode.DONE, 1, b"?"), OutcomeUnknown),
     ],
 )
 def test_a_write_ends_in_time_with_what_is_known_of_it(voters, answer, error):
     made = voters(answer, answer)
     loop = Loop()
     began = time.monotonic()
-    found = run(loop, caller(loop, made).write(Word("s", True, 1), 600 * MS))
+    found = run(loop, caller(loop, made).write(SetOverride("s", True, 1), 600 * MS))
     assert type(found) is error and found.remedy and time.monotonic() - began < 2
     assert len(made[0].seen + made[1].seen) > 1 or isinstance(found, OutcomeUnknown)
 
 
 def test_a_write_that_nobody_could_be_told_is_known_not_to_hold(voters):
-    made = voters(lambda frame: None, lambda frame: None, hello=wire.Turned(wire.Why.CLUSTER, "other"))
+    made = voters(
+        lambda frame: None, lambda frame: None, hello=wire.ConnectionRejected(wire.RejectReason.CLUSTER, "other")
+    )
     loop = Loop()
-    found = run(loop, caller(loop, made).write(Word("s", True, 1), 300 * MS))
+    found = run(loop, caller(loop, made).write(SetOverride("s", True, 1), 300 * MS))
     assert type(found) is NoMajority and "another cluster other" in str(found)
 
 
 def test_a_session_that_was_let_go_is_begun_anew_only_where_nothing_may_have_been_applied(voters):
     def let_go(frame):
         order = order_of(frame)
-        return Outcome(frame.token, How.DONE, 9, written(Ok(9) if order.since == 8 else UnknownSession(8)))
+        return CommandOutcome(
+            frame.token, OutcomeCode.DONE, 9, encode(Ok(9) if order.since == 8 else UnknownSession(8))
+        )
 
     made = voters(let_go, lambda frame: ...)
     loop = Loop()
     calls = caller(loop, made)
     calls.writes.at, calls.writes.address = "n0", made[0].address
-    assert run(loop, calls.write(Word("s", True, 1), SECOND)) == Ok(9)
+    assert run(loop, calls.write(SetOverride("s", True, 1), SECOND)) == Ok(9)
     calls.session, calls.since = "", 0
     calls.writes.at, calls.writes.address = "n1", made[1].address
     calls.writes.close()
-    assert isinstance(run(loop, calls.write(Word("s", True, 1), SECOND)), OutcomeUnknown)
+    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), OutcomeUnknown)
     calls.close()
 
 
 def follower(loop, voters, applied):
     seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
     options = Replication(election=50 * MS, beat=10 * MS, follow_wait=100 * MS)
-    return Follower(loop, "f0", "id-f", options, seats, applied)
+    return Observer(loop, "f0", "id-f", options, seats, applied)
 
 
 def history(length, name="s"):
-    orders = [written(Order("w", n, Word(f"{name}{n}", True, n), 0)) for n in range(1, length + 1)]
-    return [Told(n, data) for n, data in enumerate(orders, 1)]
+    orders = [encode(Command("w", n, SetOverride(f"{name}{n}", True, n), 0)) for n in range(1, length + 1)]
+    return [CommittedEntry(n, data) for n, data in enumerate(orders, 1)]
 
 
 def follows(entries, members=("a", "b"), age=0, leads=True):
     """A voter with these entries."""
 
     def answer(frame):
-        if isinstance(frame, wire.Fetch):
+        if isinstance(frame, wire.FetchSnapshot):
             machine = Machine()
             for told in entries:
                 machine.apply(told.index, told.data)
             data = machine.dump()
             piece = data[frame.at : frame.at + 50]
-            return wire.Whole(len(entries), frame.at, piece, len(data), age, "n0", members)
+            return wire.SnapshotChunk(len(entries), frame.at, piece, len(data), age, "n0", members)
         more = tuple(entries[frame.after :])
         if not more and frame.after == len(entries):
             time.sleep(frame.wait / SECOND)
-        return News(frame.after, len(entries), age, leads, "n0", members, more, False)
+        return FollowResponse(frame.after, len(entries), age, leads, "n0", members, more, False)
 
     return answer
 
@@ -421,7 +442,7 @@
         (lambda news: msgspec.structs.replace(news, entries=news.entries[:1] * 2), "entry 1 after 1"),
         (lambda news: msgspec.structs.replace(news, entries=news.entries[:1]), "end at 1"),
         (lambda news: msgspec.structs.replace(news, after=5), "from behind 5"),
-        (lambda news: Follow(0, 0), "not news"),
+        (lambda news: FollowRequest(0, 0), "not news"),
         (lambda news: None, "silent"),
     ],
 )
@@ -447,8 +468,12 @@
     follow.voters = [("n1", made[1].address), ("n0", made[0].address)]
     assert until(loop, lambda: follow.machine.index == 5)
     made[1].answer = lambda frame: ...
-    assert until(loop, lambda: sum(isinstance(f, Follow) for f in made[0].seen) > 3)
-    assert min(least) == 5 and follow.machine.index == 5 and not any(isinstance(f, wire.Fetch) for f in made[0].seen)
+    assert until(loop, lambda: sum(isinstance(f, FollowRequest) for f in made[0].seen) > 3)
+    assert (
+        min(least) == 5
+        and follow.machine.index == 5
+        and not any(isinstance(f, wire.FetchSnapshot) for f in made[0].seen)
+    )
     made[0].answer = follows(other, members=("x", "y"))  # begun anew: all members are others
     assert until(loop, lambda: set(follow.machine.words) == {f"t{n}" for n in range(1, 8)})
     made[0].answer = made[1].answer = follows(history(1, "u"), members=("x", "y"))  # what was promised is gone
@@ -471,8 +496,8 @@
     old, right = follows(entries[:2]), follows(entries)
 
     def answer(frame):
-        if isinstance(frame, Follow):
-            return News(frame.after, 5, 0, False, "n0", ("a", "b"), (), True)
+        if isinstance(frame, FollowRequest):
+            return FollowResponse(frame.after, 5, 0, False, "n0", ("a", "b"), (), True)
         return wrong(old(frame))
 
     made = voters(right, answer)
@@ -481,7 +506,7 @@
     follow.voters = [("n0", made[0].address), ("n1", made[1].address)]
     assert until(loop, lambda: follow.machine.index == 5)
     before, made[0].answer = follow.machine, lambda frame: ...
-    assert until(loop, lambda: any(isinstance(frame, wire.Fetch) for frame in made[1].seen))
+    assert until(loop, lambda: any(isinstance(frame, wire.FetchSnapshot) for frame in made[1].seen))
     made[0].answer = right
     assert until(loop, lambda: follow.member == "n0") and follow.machine is before
     assert any(why in line for line in said)
@@ -501,17 +526,19 @@
 
 def test_an_answer_to_an_earlier_question_is_none_to_this_one_and_of_unsure_ones_the_latest_counts(voters):
     copies = Machines()
-    made = voters(lambda frame: [Outcome(frame.token - 1, How.NOT_LEADER), copies.apply(frame)])
+    made = voters(lambda frame: [CommandOutcome(frame.token - 1, OutcomeCode.NOT_LEADER), copies.apply(frame)])
     loop = Loop()
     calls = caller(loop, made)
-    assert isinstance(run(loop, calls.write(Word("s", True, 1), SECOND)), Ok) and len(made[0].seen) == 1
+    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), Ok) and len(made[0].seen) == 1
     calls.close()
     unsure = [
-        lambda frame, n=n: wire.Answer(frame.token, How.NOT_LEADER, False, n, n, msgspec.msgpack.encode(n))
+        lambda frame, n=n: wire.QueryResponse(
+            frame.token, OutcomeCode.NOT_LEADER, False, n, n, msgspec.msgpack.encode(n)
+        )
         for n in (3, 7, 5)
     ]
     calls = caller(loop, voters(*unsure)[1:])
-    reading = run(loop, calls.read(wire.WordOf("s"), 400 * MS))
+    reading = run(loop, calls.read(wire.OverrideQuery("s"), 400 * MS))
     assert (reading.sure, reading.index, reading.value) == (False, 7, 7)
     calls.close()
 
@@ -520,13 +547,13 @@
     loop, turned = Loop(), []
     with listener() as sock:
         address = address_of(sock)
-    link = Link(loop, "id", HELLO, lambda: address, lambda *why: turned.append(why))
+    link = MemberLink(loop, "id", HELLO, lambda: address, lambda *why: turned.append(why))
     for n in range(100):
-        link.put(LeadNow(sender="a", to="id", term=n))
+        link.put(TimeoutNow(sender="a", to="id", term=n))
     assert len(link.waiting) == 8 and link.waiting[-1].term == 99
     kept = []
     link.line = type("Line", (), {"put": lambda self, message, may_drop: kept.append(may_drop)})()
-    link.put(LeadNow(sender="a", to="id", term=1))
-    link.put(Append(sender="a", to="id", term=1, prev_index=0, prev_term=0, entries=(), commit=0, round=1))
+    link.put(TimeoutNow(sender="a", to="id", term=1))
+    link.put(AppendEntries(sender="a", to="id", term=1, prev_index=0, prev_term=0, entries=(), commit=0, round=1))
     assert kept == [False, True], "a vote or an answer is never dropped for entries"
     link.close()
