--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -532,13 +532,15 @@
         if refused is not None:
             return refused
         try:
-            said = claims.read(act.act)
+            said = claims.decode_command(act.act)
         except (ValueError, RecursionError):
             return InvalidCommand(self.index, "not a claim in its form")
         if self.claims is None:
             self.claims = claims.Claims()
         found = self.claims.apply(self.index, said)
-        return InvalidCommand(self.index, found.text) if isinstance(found, claims.Not) else Ok(self.index, found.index)
+        if isinstance(found, claims.ClaimRejected):
+            return InvalidCommand(self.index, found.text)
+        return Ok(self.index, found.index)
 
     def _end_session(self, act: EndSession) -> AnyResult:
         """It stays as one that takes no more, until there is no room: a late copy of its orders finds it."""
@@ -585,7 +587,7 @@
             if isinstance(kept, _DumpWithClaims):
                 from loftweir.catalog import claims
 
-                claimed = claims.Claims.load(claims.read_table(kept.claims))
+                claimed = claims.Claims.load(claims.decode_table(kept.claims))
         except (ValueError, RecursionError) as error:
             raise Foreign(f"a snapshot that is not in its form: {error}") from None
         machine = cls()
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -228,14 +228,14 @@
 
 def test_names_are_claimed_under_a_partners_lease_and_kept_with_their_age():
     machine = Machine()
-    put = claims.written(claims.Put("stock@mill", claims.Declared()))
+    put = claims.encode(claims.PutClaim("stock@mill", claims.Declaration()))
     assert isinstance(does(machine, ClaimName("partner:mill", 1, put)), LeaseNotHeld)
     token = does(machine, AcquireLease("partner:mill", "h", SECOND)).value
     before = machine.dump()
     assert does(machine, ClaimName("partner:mill", token, put)) == Ok(3, 3) == Ok(machine.index, 3)
     assert does(machine, ClaimName("partner:mill", token, put)) == Ok(4, 3), "its age is that of its first entry"
     assert isinstance(does(machine, ClaimName("other", token, put)), InvalidCommand)
-    for wrong in (b"", b"x" * keeping.MAX_CLAIM_SIZE, claims.written(claims.Put("Stock", claims.Declared()))):
+    for wrong in (b"", b"x" * keeping.MAX_CLAIM_SIZE, claims.encode(claims.PutClaim("Stock", claims.Declaration()))):
         assert isinstance(does(machine, ClaimName("partner:mill", token, wrong)), InvalidCommand)
     assert isinstance(does(machine, ClaimName("partner:mill", token - 1, put)), StaleToken)
     # Of both versions, the one without claims being what builds before this one wrote.
@@ -243,7 +243,8 @@
     copy = Machine.load(machine.dump())
     assert copy.claims.table == machine.claims.table and copy.dump() == machine.dump()
     for one in (machine, copy):
-        assert does(one, ClaimName("partner:mill", token, claims.written(claims.Release("stock@mill", 3)))).value == 0
+        release = claims.encode(claims.ReleaseClaim("stock@mill", 3))
+        assert does(one, ClaimName("partner:mill", token, release)).value == 0
     assert copy.dump() == machine.dump() and b"\xa7version\x01" in copy.dump()
 
 
