--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -35,7 +35,7 @@
 from loftweir.http1.request import Malformed
 from loftweir.http1.response import COME_BACK
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.net.stream import NotUp
 from loftweir.partners.merge import MergeResult
@@ -149,7 +149,7 @@
         self.merged: MergeResult | None = None
         self.claims: Mapping[str, Any] = {}
         self.claims_read: tuple[Claims | None, int] = (None, 0)
-        self.duties: Mapping[str, Duty] = {}  # by partner; the holder of a partner's lease claims its names
+        self.leased_tasks: Mapping[str, LeasedTask] = {}  # by partner; the holder of a partner's lease claims its names
         # by global name: the partner that offers it, and what was observed
         self.observed: dict[str, tuple[str, ObservedService]] = {}
         self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
@@ -396,10 +396,10 @@
         """Submits the commands for claims, for the partners whose lease this sidecar has."""
         while True:
             yield Wait(None, 0, self.loop.now() + CLAIM_INTERVAL)
-            for partner, duty in list(self.duties.items()) if self.unsettled else ():
+            for partner, leased_task in list(self.leased_tasks.items()) if self.unsettled else ():
                 now = self.loop.now()
                 self.unsettled = {name for name in self.unsettled if not self._is_settled(name)}
-                if duty.may_act() is None:
+                if leased_task.valid_token() is None:
                     continue
                 observed = {
                     name: self.observed[name][1]
@@ -408,7 +408,7 @@
                 }
                 for command in pending_commands(self.claims, observed, now, DAMPING):
                     try:
-                        result = yield from duty.claim(encode(command), CLAIM_TIMEOUT)
+                        result = yield from leased_task.claim(encode(command), CLAIM_TIMEOUT)
                     except LoftweirError:  # no lease or no majority: the next holder, or the next look, continues
                         break
                     if isinstance(result, Ok):
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -21,7 +21,7 @@
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
 from loftweir.http1.strict import Strict
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import NotUp, TookTooLong, connect, send
 from loftweir.partners.file import Neighbour
@@ -37,8 +37,8 @@
     Timing,
 )
 from loftweir.partners.table import Limits
-from loftweir.replication.machine import Fact
-from loftweir.replication.part import Part
+from loftweir.replication.machine import FencedValue
+from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
     PARTNERS_ASKED,
     PARTNERS_FAILED,
@@ -75,9 +75,9 @@
     return Limits(bytes=options.table_size, routes=options.routes)
 
 
-def stored_keys(facts: dict[tuple[str, str], Fact], duty: str) -> list[str]:
+def stored_keys(fenced_values: dict[tuple[str, str], FencedValue], lease_name: str) -> list[str]:
     """The keys that exist under a lease."""
-    return [key for lease, key in facts if lease == duty]
+    return [key for lease, key in fenced_values if lease == lease_name]
 
 
 class PartnerClient:
@@ -87,7 +87,13 @@
     """
 
     def __init__(
-        self, loop: Loop, site: str, neighbour: Neighbour, options: Options, fleet: Part, reader: TableReader
+        self,
+        loop: Loop,
+        site: str,
+        neighbour: Neighbour,
+        options: Options,
+        fleet: ReplicationAgent,
+        reader: TableReader,
     ) -> None:
         self.loop = loop
         self.site = site
@@ -98,7 +104,7 @@
         # The session's hold time ends a little earlier than for the sidecars that read the replicated state.
         self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
         self.chunker = Chunker()
-        self.duty: Duty | None = None
+        self.leased_task: LeasedTask | None = None
         self.writer: TableWriter | None = None
         self.session: Session | None = None
         self.task: Task | None = None
@@ -107,10 +113,10 @@
         self.address_index = 0  # index of the next address
         self.target_key: tuple[Any, ...] = ()  # of the last target table
 
-    def attach(self, duty: Duty) -> None:
+    def attach(self, leased_task: LeasedTask) -> None:
         """Sets the lease under which the table is written."""
-        self.duty = duty
-        self.writer = TableWriter(self.loop, duty, note_interval=min(NOTE_INTERVAL, self.options.hold // 4))
+        self.leased_task = leased_task
+        self.writer = TableWriter(self.loop, leased_task, note_interval=min(NOTE_INTERVAL, self.options.hold // 4))
 
     # ---- lease -----------------------------------------------------------------------------------
 
@@ -139,9 +145,9 @@
         self.loop.after(0, self._release_for_now)
 
     def _release_for_now(self) -> None:
-        if self.duty is not None:
-            self.duty.want(False)
-            self.loop.after(5 * SECOND, self.duty.want, True)
+        if self.leased_task is not None:
+            self.leased_task.set_wanted(False)
+            self.loop.after(5 * SECOND, self.leased_task.set_wanted, True)
 
     def _run(self, token: int) -> Coroutine[None]:
         """Runs the session. All writes under earlier tokens are known here once the grant is, and none can follow."""
@@ -149,9 +155,9 @@
             yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         writer, reader, now = self.writer, self.reader, self.loop.now()
         assert writer is not None
-        facts = self.fleet.machine.facts
-        stored = facts.get((reader.duty, HEAD))
-        writer.begin(stored_keys(facts, reader.duty), stored.value if stored else None)
+        fenced_values = self.fleet.machine.fenced_values
+        stored = fenced_values.get((reader.lease_name, HEAD))
+        writer.begin(stored_keys(fenced_values, reader.lease_name), stored.value if stored else None)
         instance = secrets.token_hex(8)
         session = Session(self.neighbour.name, instance, Random(instance).random, self.timing, self.limits)
         self.session, self.target_key = session, ()
@@ -233,7 +239,7 @@
             self._perform(self.session.on_failure(self.loop.now(), self.session.pending_request.number, repr(error)))
 
     def _request(self, session: Session, request: SendRequest) -> Coroutine[None]:
-        if self.duty is None or self.duty.may_act() is None:
+        if self.leased_task is None or self.leased_task.valid_token() is None:
             return  # the lease ended, and `end` follows
         try:
             data = yield from self._fetch(request)
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -16,7 +16,7 @@
 from loftweir.config.model import Partners as PartnersOptions
 from loftweir.config.units import seats
 from loftweir.interface import MembershipUpdate, Settings
-from loftweir.lease.duty import Duty
+from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.operations.calls import Call, No
 from loftweir.partners.file import PartnersConfig
@@ -24,13 +24,13 @@
 from loftweir.partners.merge import Freshness, MergeChanges, Merger, MergeResult, Policy, Reason
 from loftweir.partners.offer import Listener
 from loftweir.partners.replicated_table import HEAD, NotReadable, TableReader
-from loftweir.partners.shown import DUTY as OFFERS
+from loftweir.partners.shown import LEASE_NAME as OFFERS_LEASE
 from loftweir.partners.shown import NeighbourOffers
 from loftweir.partners.standby import Standby, border_providers, format_counts, unusable_reason
 from loftweir.partners.terms import FOREVER
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.machine import Machine
-from loftweir.replication.part import Part
+from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
     PARTNERS_HELD,
     PARTNERS_LEAKED,
@@ -76,7 +76,7 @@
         name: str,
         options: Options,
         sites: PartnersConfig,
-        fleet: Part,
+        fleet: ReplicationAgent,
         notify_balancer: NotifyBalancer,
         settings: Callable[[], Settings],
     ) -> None:
@@ -93,12 +93,12 @@
         self.settings = settings
         self.seats = seats(options.replication.members)
         id = secrets.token_hex(8)
-        self.callers = tuple(
-            Caller(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
+        self.proposers = tuple(
+            Proposer(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
         )
         self.readers: dict[str, TableReader] = {}
         self.clients: dict[str, PartnerClient] = {}
-        self.duties: dict[str, Duty] = {}
+        self.leased_tasks: dict[str, LeasedTask] = {}
         self.merger = Merger(self._policy())
         self.standby = Standby()
         self.unusable = "no route"  # why this sidecar can't use the route
@@ -109,7 +109,7 @@
         self.leaving = False
         if options.partners.listen:
             self.listener = Listener(loop, self.shown, options.partners.callers)
-        fleet.heard.append(self._on_state_change)
+        fleet.machine_listeners.append(self._on_state_change)
 
     def _policy(self) -> Policy:
         neighbours = self.sites.neighbours.values()
@@ -129,7 +129,7 @@
         if self.listener is not None:
             self.listener.listen(self.options.listen)
             if self.name in self.seats:
-                self.shown.duty = self._duty(OFFERS, self.shown.begin, self.shown.end)
+                self.shown.leased_task = self._leased_task(OFFERS_LEASE, self.shown.begin, self.shown.end)
         self.use(self.sites)
         self.task = self.loop.spawn(self._run(), self._crashed)
 
@@ -154,10 +154,10 @@
                 client = self.clients[name] = PartnerClient(
                     self.loop, self.site, neighbour, self.options, self.fleet, reader
                 )
-                duty = self.duties[name] = self._duty(reader.duty, client.begin, client.end)
-                client.attach(duty)
-            if name in self.duties:
-                self.duties[name].want(bool(neighbour.addresses) and not self.leaving)
+                leased_task = self.leased_tasks[name] = self._leased_task(reader.lease_name, client.begin, client.end)
+                client.attach(leased_task)
+            if name in self.leased_tasks:
+                self.leased_tasks[name].set_wanted(bool(neighbour.addresses) and not self.leaving)
         self.merger = Merger(self._policy(), self.loop.now(), self.merger.partner_states)
         if self.listener is not None:
             self.listener.set_neighbours(sites.neighbours)
@@ -172,57 +172,59 @@
     def _forget(self, name: str) -> None:
         del self.readers[name]
         self.merger.remove_partner(name, self.loop.now())
-        if name in self.duties:
-            duty = self.duties.pop(name)
+        if name in self.leased_tasks:
+            leased_task = self.leased_tasks.pop(name)
             del self.clients[name]
-            self.loop.spawn(self._clear(duty))
+            self.loop.spawn(self._clear(leased_task))
 
-    def _clear(self, duty: Duty) -> Coroutine[None]:
+    def _clear(self, leased_task: LeasedTask) -> Coroutine[None]:
         """Deletes the replicated table of a former neighbour, if this sidecar has its lease, and closes the lease."""
         until = self.loop.now() + CLEAR_TIMEOUT
         machine = self.fleet.machine
         try:
-            if machine is not None and duty.may_act() is not None:
-                for key in sorted(stored_keys(machine.facts, duty.duty), key=lambda key: key != HEAD):
-                    yield from duty.put(key, b"", max(MS, until - self.loop.now()))
+            if machine is not None and leased_task.valid_token() is not None:
+                for key in sorted(stored_keys(machine.fenced_values, leased_task.duty), key=lambda key: key != HEAD):
+                    yield from leased_task.put(key, b"", max(MS, until - self.loop.now()))
         except Exception:  # what is left has a bounded size and is not used
             pass
-        duty.want(False)
+        leased_task.set_wanted(False)
         yield Wait(None, 0, self.loop.now() + CLEAR_TIMEOUT)
-        duty.close()
+        leased_task.close()
 
-    def _duty(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> Duty:
-        commands, reads = self.callers
+    def _leased_task(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> LeasedTask:
+        commands, reads = self.proposers
         order = sorted(self.seats, key=lambda seat: blake2b(f"{seat} {name}".encode()).digest())
         bid_delay = BID_INTERVAL * order.index(self.name)
-        duty = Duty(self.loop, self.name, name, self.options.lease, (commands, reads), begin, end, bid_delay)
-        duty.want(True)
-        return duty
+        leased_task = LeasedTask(
+            self.loop, self.name, name, self.options.lease, (commands, reads), begin, end, bid_delay
+        )
+        leased_task.set_wanted(True)
+        return leased_task
 
-    def _all_duties(self) -> list[Duty]:
-        return [*self.duties.values(), *([self.shown.duty] if self.shown.duty is not None else [])]
+    def _all_leased_tasks(self) -> list[LeasedTask]:
+        return [*self.leased_tasks.values(), *([self.shown.leased_task] if self.shown.leased_task is not None else [])]
 
     def leave(self) -> None:
         """Prepares for the end of the process: releases the leases, so that others can take them at once, and frees the
         address for the next process. The tables known here stay in use."""
         self.leaving = True
-        for duty in self._all_duties():
-            duty.want(False)
+        for leased_task in self._all_leased_tasks():
+            leased_task.set_wanted(False)
         if self.listener is not None:
             self.listener.close()
 
     def close(self) -> None:
         """Ends all work and closes all connections."""
         self.leaving = True
-        for duty in self._all_duties():
-            duty.close()
+        for leased_task in self._all_leased_tasks():
+            leased_task.close()
         for client in self.clients.values():
             client.close()
         self.shown.end()
         if self.task is not None:
             self.task.cancel()
-        for caller in self.callers:
-            caller.close()
+        for proposer in self.proposers:
+            proposer.close()
 
     # ---- state -----------------------------------------------------------------------------------
 
@@ -231,7 +233,7 @@
         now = self.loop.now()
         for name, reader in self.readers.items():
             try:
-                if not reader.read(machine.facts, now):
+                if not reader.read(machine.fenced_values, now):
                     continue
             except NotReadable as error:
                 say(PARTNERS_NOT_READ, partner=name, why=error)
@@ -240,8 +242,8 @@
             self.catalog.update_claims(machine.claims)
         if self.listener is not None:
             self.shown.on_state_change(machine, self.readers)
-        for duty in self._all_duties():
-            duty.saw(machine)
+        for leased_task in self._all_leased_tasks():
+            leased_task.machine_changed(machine)
 
     def _update_partner(self, name: str, now: int) -> None:
         before, reader = self.merger.partner_states.get(name), self.readers[name]
@@ -358,7 +360,12 @@
             f"{name}:{partner_states[name].freshness.value if name in partner_states else Freshness.GONE.value}"
             for name in sorted(self.readers)
         )
-        asks = ",".join(sorted(name for name, duty in self.duties.items() if duty.may_act() is not None)) or "-"
+        asks = (
+            ",".join(
+                sorted(name for name, leased_task in self.leased_tasks.items() if leased_task.valid_token() is not None)
+            )
+            or "-"
+        )
         return (
             f"used={len(merged.used)} own={len(self.sites.routes)} left={left} shown={shown} "
             f"partners={partners or '-'} asks={asks} standby={self._standby_state()}"
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -42,7 +42,7 @@
     from loftweir.catalog.hosts import Hosts
     from loftweir.partners.file import PartnersConfig
     from loftweir.partners.part import Partners
-    from loftweir.replication.part import Part
+    from loftweir.replication.part import ReplicationAgent
 
 OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 TICK = SECOND  # how often the log is asked for what it owes
@@ -80,15 +80,15 @@
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.listed, platform.seed)
         shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
-        self.fleet: Part | None = None
+        self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Here: a sidecar whose operator names no members has no use for it, and does not pay for it.
             from loftweir.replication import part
 
-            self.fleet = self.commands.fleet = part.Part(
+            self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.fleet_said
             )
-            others += part.descriptors(platform.name, options.replication)
+            others += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
@@ -112,7 +112,7 @@
             from loftweir.http1 import named
 
             self.catalog = self.partners.catalog = hosts.Hosts(loop, services, self.host, self.back, platform.seed)
-            self.catalog.duties = self.partners.duties
+            self.catalog.leased_tasks = self.partners.leased_tasks
             self.front.kind, self.front.also = named.kind(self.catalog), self.catalog.serves
         self.disk: Disk | None = None  # where the snapshot is kept, with `state.keep`
         self.holding: Holding | None = None
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -15,11 +15,11 @@
 
 from loftweir.partners.table import Offer, parse_route
 from loftweir.replication import wire
-from loftweir.replication.machine import Fenced, Machine, Ok, Order
+from loftweir.replication.machine import Command, FencedWrite, Machine, Ok
 
 FAST_OPTIONS = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
-order_decoder = msgspec.msgpack.Decoder(Order)
+command_decoder = msgspec.msgpack.Decoder(Command)
 USED_PORTS = set()  # ports that a test already got
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
@@ -169,12 +169,14 @@
     def fenced_writes(self, duty):
         """The lease's fenced writes in log order: token, key, value, and whether the state machine rejected it."""
         host, port = self.seats[self.leader().name].split(":")
-        machine, found, reader = Machine(), [], wire.Reader()
+        machine, found, reader = Machine(), [], wire.FrameReader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "id", "observer", wire.Kind.FOLLOWER)))
+            sock.sendall(
+                wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "id", "observer", wire.ConnectionKind.FOLLOWER))
+            )
             while True:
-                sock.sendall(wire.written(wire.Follow(machine.index, 0)))
-                while not isinstance(news := reader.next(), wire.News):
+                sock.sendall(wire.encode_frame(wire.FollowRequest(machine.index, 0)))
+                while not isinstance(news := reader.next(), wire.FollowResponse):
                     if news is None:
                         reader.feed(sock.recv(65536))
                 if not news.entries:
@@ -183,8 +185,8 @@
                     if not entry.data:
                         machine.passed(entry.index)
                         continue
-                    act, result = order_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
-                    if isinstance(act, Fenced) and act.duty == duty:
+                    act, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
+                    if isinstance(act, FencedWrite) and act.duty == duty:
                         found.append((act.token, act.key, act.value, not isinstance(result, Ok)))
 
     def stored_keys(self, duty):
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -13,7 +13,7 @@
 from loftweir.config import model, operator
 from loftweir.config.faults import Faulty
 from loftweir.interface import Effect, Endpoint, Lifecycle, MembershipUpdate, RequestClass, Scope, UpdateKind
-from loftweir.lease.duty import Duty, NotActing
+from loftweir.lease.duty import LeasedTask, NotActing
 from loftweir.net.loop import Loop, Wait
 from loftweir.partners import file, replicated_table
 from loftweir.partners.keeping import NotKept, TableWriter, Target
@@ -23,7 +23,18 @@
 from loftweir.partners.session import SendRequest, Session, SessionState, Timing
 from loftweir.partners.standby import Standby, border_providers, unusable_reason
 from loftweir.partners.table import BadTable, Limits, OldTable, Table, check_order, parse_response, parse_route
-from loftweir.replication.machine import Acquire, Fact, Fenced, Full, Lease, Lower, Machine, NotHeld, Ok, Release
+from loftweir.replication.machine import (
+    AcquireLease,
+    CapacityExceeded,
+    FencedValue,
+    FencedWrite,
+    Lease,
+    LeaseNotHeld,
+    Machine,
+    Ok,
+    ReleaseLease,
+    StaleToken,
+)
 
 DUTY = "partner:bergen"
 LIMITS = Limits(routes=3)
@@ -47,7 +58,7 @@
         self.left -= 1
         self.order += 1
         if value:
-            self.facts[DUTY, key] = Fact(value, 1, self.order)
+            self.facts[DUTY, key] = FencedValue(value, 1, self.order)
         else:
             self.facts.pop((DUTY, key), None)
         self.check()
@@ -105,7 +116,7 @@
     assert sum(reader.routes[name] is not old[name] for name in old) < 100
     # A table that is incomplete or of another version is not used at all.
     for head in (Head(chunks=("c:none",), routes=1), Head(version=9), Head(routes=4)):
-        lease.facts[DUTY, "head"] = Fact(encode_head(head), 1, 99)
+        lease.facts[DUTY, "head"] = FencedValue(encode_head(head), 1, 99)
         with pytest.raises(NotReadable):
             reader.read(lease.facts, 0)
         assert (reader.routes, reader.table, reader.partner_state(0, Timing()).freshness) == ({}, None, Freshness.GONE)
@@ -122,10 +133,10 @@
     stands = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
     assert stands == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
     assert [reader.next_change_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
-    lease.facts[DUTY, "note"] = Fact(replicated_table.encode_note(5000 * SECOND), 1, 9)
+    lease.facts[DUTY, "note"] = FencedValue(replicated_table.encode_note(5000 * SECOND), 1, 9)
     assert reader.read(lease.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
     # A damped partner stays damped after another sidecar takes the lease over, as long as the penalty lasts.
-    lease.facts[DUTY, "head"] = Fact(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
+    lease.facts[DUTY, "head"] = FencedValue(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
     assert (
         reader.read(lease.facts, 121 * SECOND)
         and reader.partner_state(121 * SECOND, timing).freshness is Freshness.GONE
@@ -139,11 +150,13 @@
 
 def test_each_error_is_raised():
     loop = Loop()
-    duty = Duty(loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None)
+    duty = LeasedTask(
+        loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None
+    )
     with pytest.raises(NotActing, match="its lease is over"):
         next(duty.put("head", b"x", SECOND))
     lease = FakeLease()
-    lease.put = lambda *_: (yield from ()) or Full(1, "fenced values", 10)
+    lease.put = lambda *_: (yield from ()) or CapacityExceeded(1, "fenced values", 10)
     with pytest.raises(NotKept, match="no room"):
         list(TableWriter(None, lease)._write(target(Chunker(), {}, 1)))
     client = PartnerClient(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
@@ -157,8 +170,8 @@
 
 
 def test_a_write_rejected_for_its_token_is_the_last_one_under_that_token():
-    loop, sent, told = Loop(), [], []
-    answers = {Acquire: Ok(5, 5), Fenced: Lower(6, 5, 6), Release: NotHeld(7, 5)}
+    loop, sent, events = Loop(), [], []
+    answers = {AcquireLease: Ok(5, 5), FencedWrite: StaleToken(6, 5, 6), ReleaseLease: LeaseNotHeld(7, 5)}
 
     class FakeCluster:
         writes = type("W", (), {"busy": False})
@@ -169,25 +182,27 @@
             return answers[type(act)]
 
     def act():
-        while not told:
+        while not events:
             yield Wait(None, 0, loop.now() + 1_000_000)
         with pytest.raises(NotActing):
             yield from duty.put("head", b"x", SECOND)
-        told.append(duty.may_act())
-        duty.saw(held)
+        events.append(duty.valid_token())
+        duty.machine_changed(held)
         yield Wait(None, 0, loop.now() + SECOND // 5)
         loop.stopped = True
 
-    duty = Duty(loop, "n0", DUTY, SECOND, (FakeCluster(), FakeCluster()), told.append, lambda: told.append("end"))
+    duty = LeasedTask(
+        loop, "n0", DUTY, SECOND, (FakeCluster(), FakeCluster()), events.append, lambda: events.append("end")
+    )
     held = Machine()
     held.leases[DUTY] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
     loop.spawn(act())
-    duty.want(True)
-    assert duty.may_act() is None and sent == []  # the state of the lease is not known yet
-    duty.saw(Machine())
+    duty.set_wanted(True)
+    assert duty.valid_token() is None and sent == []  # the state of the lease is not known yet
+    duty.machine_changed(Machine())
     loop.run()
-    assert (told, sent) == ([5, None, "end"], [Acquire, Fenced, Release])
+    assert (events, sent) == ([5, None, "end"], [AcquireLease, FencedWrite, ReleaseLease])
 
 
 # ---- standby providers ---------------------------------------------------------------------------
@@ -213,7 +228,7 @@
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(STEPS, max_size=12))
 def test_a_partners_providers_are_ready_only_while_no_own_provider_is(steps):
-    standby, told, mine, listed = Standby(), {}, {}, False
+    standby, announced, own_endpoints, listed = Standby(), {}, {}, False
     for what, kind, entries in steps:
         if what == "list":
             endpoints = tuple({name: own(name, lifecycle) for name, lifecycle in entries}.values())
@@ -221,21 +236,21 @@
                 MembershipUpdate(kind, endpoints), {e.address: "127.0.0.1:9" for e in endpoints}
             )
             if kind is not UpdateKind.FAILED:
-                mine = mine if kind is UpdateKind.CHANGES else {}
-                mine |= {e.address: e for e in endpoints}
+                own_endpoints = own_endpoints if kind is UpdateKind.CHANGES else {}
+                own_endpoints |= {e.address: e for e in endpoints}
                 listed = listed or kind is not UpdateKind.REMEMBERED or bool(endpoints)
         else:
             found = standby.use(border_providers(used(), 5) if kind else {}) if what == "use" else standby.end_drain()
             update, addresses = found or (MembershipUpdate(UpdateKind.FAILED), {})
         if update.kind is not UpdateKind.FAILED:  # the view of the balancer
-            told = told if update.kind is UpdateKind.CHANGES else {}
-            told |= {e.address: e for e in update.endpoints}
+            announced = announced if update.kind is UpdateKind.CHANGES else {}
+            announced |= {e.address: e for e in update.endpoints}
             assert all(e.address in addresses for e in update.endpoints if e.lifecycle is not Lifecycle.GONE)
-        there = {name: e for name, e in told.items() if e.lifecycle is not Lifecycle.GONE}
+        there = {name: e for name, e in announced.items() if e.lifecycle is not Lifecycle.GONE}
         partners = {name: e for name, e in there.items() if e.zone == "partner:bergen"}
-        ready = [e for e in mine.values() if e.lifecycle is Lifecycle.READY]
+        ready = [e for e in own_endpoints.values() if e.lifecycle is Lifecycle.READY]
         assert {n: e for n, e in there.items() if n not in partners} == {
-            n: e for n, e in mine.items() if e.lifecycle is not Lifecycle.GONE
+            n: e for n, e in own_endpoints.items() if e.lifecycle is not Lifecycle.GONE
         }
         assert {e.lifecycle for e in partners.values()} <= ({Lifecycle.DRAINING} if ready else set(Lifecycle))
         assert not partners or listed
