--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -37,7 +37,7 @@
 from loftweir.interface import Effect, Endpoint, Lifecycle, RequestClass, Scope, UpdateKind
 from loftweir.partners.merge import Reason, UnusedRoute
 
-FEW = settings(derandomize=True, max_examples=60, deadline=None)
+FEW_EXAMPLES = settings(derandomize=True, max_examples=60, deadline=None)
 CLAUSES = st.builds(clause, st.sampled_from(Effect), st.sampled_from(Scope), st.integers(0, 3), st.integers(1, 3))
 CONTRACTS = st.dictionaries(st.sampled_from(["read", "write", "pay"]), CLAUSES, max_size=3)
 SHARES = st.sampled_from([None, 0.1, 0.5, 1.0])
@@ -60,7 +60,7 @@
 # ---- names and lookup ----------------------------------------------------------------------------
 
 
-def test_a_host_names_the_service_in_every_form_and_what_is_not_there_says_why():
+def test_a_host_selects_its_service_in_every_form_and_an_unknown_one_has_a_reason():
     left = {"in@bb": {"bb": UnusedRoute(Reason.EXCLUDED)}, "old@bb": {"bb": UnusedRoute(Reason.STALE)}}
     left["odd@bb"] = {"bb": UnusedRoute(Reason.LEAKED, "cc")}
     routes = {name: used(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
@@ -103,20 +103,20 @@
 # ---- contracts -----------------------------------------------------------------------------------
 
 
-@FEW
+@FEW_EXAMPLES
 @given(CLAUSES, CLAUSES, CLAUSES, st.permutations([0, 1, 2]), CONTRACTS, CONTRACTS)
-def test_contracts_meet_to_the_strictest_whatever_the_order(a, b, c, order, one, other):
+def test_contracts_meet_to_the_strictest_in_any_order(a, b, c, order, one, other):
     three = (a, b, c)
     assert a.meet(b) == b.meet(a) and a.meet(a) == a and a.meet(b.meet(c)) == a.meet(b).meet(c)
     met = three[order[0]].meet(three[order[1]]).meet(three[order[2]])
     assert met == a.meet(b).meet(c) == clause(met.effect, met.scope, met.window, met.deadline)  # in canonical form
-    assert (met.effect is Effect.ONCE) == any(word.effect is Effect.ONCE for word in three)
-    assert (met.effect is Effect.REPEATABLE) == all(word.effect is Effect.REPEATABLE for word in three)
-    keyed = [word for word in three if word.effect is Effect.BY_KEY]
+    assert (met.effect is Effect.ONCE) == any(one.effect is Effect.ONCE for one in three)
+    assert (met.effect is Effect.REPEATABLE) == all(one.effect is Effect.REPEATABLE for one in three)
+    keyed = [one for one in three if one.effect is Effect.BY_KEY]
     if met.effect is Effect.BY_KEY:
-        assert met.window == min(word.window for word in keyed)
-        assert (met.scope is Scope.ALL) == all(word.scope is Scope.ALL for word in keyed)
-    assert met.deadline == min(word.deadline for word in three)
+        assert met.window == min(one.window for one in keyed)
+        assert (met.scope is Scope.ALL) == all(one.scope is Scope.ALL for one in keyed)
+    assert met.deadline == min(one.deadline for one in three)
     both = strictest([one, other])
     assert set(both) == set(one) & set(other) and list(both) == list(strictest([other, one]))
     cls = RequestClass("read", Effect.BY_KEY, 1, 2, Scope.ALL, 5)
@@ -144,7 +144,7 @@
         ((ONCE, FREE, KEYED), SiteView("zz", ""), "cc", "", {"aa": 2, "bb": 2}),
     ],
 )
-def test_a_collision_is_decided_by_the_first_rule_that_tells_them_apart(declared, view, leader, joined, lost):
+def test_the_first_rule_that_differs_decides_a_collision(declared, view, leader, joined, lost):
     for number in range(6):
         some = contenders(*declared)
         random.Random(number).shuffle(some)
@@ -156,7 +156,7 @@
     assert tie.leader == "shop@aa" and {rule for _, rule in tie.lost} == {"the mesh's name"}
 
 
-def hostile():
+def check_hostile_mesh():
     """A mesh claims every short name, and offers other meshes' services as its own."""
     table, answers = Claims(Limits(per_mesh=100, total=250)), []
     for n in range(10):
@@ -179,7 +179,7 @@
     assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)
 
 
-def contracts():
+def check_changing_contracts():
     """Three meshes have three contracts for one service; then two of them agree, and one of these changes its contract
     again."""
     same = ("shop@bb", "shop@cc", "shop@dd")
@@ -197,7 +197,7 @@
     assert changed.moved["shop"] == (shop.key, "shop@bb")
 
 
-def flap():
+def check_flapping():
     """A service appears and disappears every second: the log gets one entry, the name stays, and the loser stays
     reachable."""
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
@@ -222,7 +222,7 @@
     assert len(pending_commands(table.table, other, 105, damping)) == 2
 
 
-def test_a_late_release_touches_no_later_claim_and_the_table_comes_back_from_its_dump():
+def test_a_late_release_does_not_affect_a_later_claim_and_the_table_survives_its_dump():
     table = Claims(Limits(2, 3))
     assert (
         table.apply(1, PutClaim("a@bb", Declaration(ONCE)))
@@ -244,7 +244,7 @@
     assert (again.table, again.counts) == (table.table, table.counts) == (dict(kept), {"bb": 1})
 
 
-def test_a_rename_keeps_both_names_until_the_old_claim_goes():
+def test_a_renamed_service_keeps_both_names_until_the_old_claim_is_released():
     catalog = Catalog(HERE, CatalogState({}, {"old@bb": used("old@bb")}, {}, {"old@bb": claim(1)}))
     changed = catalog.update(CatalogState(used={"old@bb": None, "new@bb": used("new@bb")}, claims={"new@bb": claim(2)}))
     assert catalog.find("new").key == "new@bb" and catalog.find("old").reason is UnknownReason.STALE
@@ -256,7 +256,7 @@
 # ---- provider sets -------------------------------------------------------------------------------
 
 
-def test_partners_come_in_only_where_the_own_site_has_none_ready_or_the_service_lives_there():
+def test_partners_are_used_only_without_ready_own_providers_or_for_remote_services():
     catalog = Catalog(HERE, CatalogState({"web@aa": own(2)}, {"web@aa": used("web@aa", "s2")}, {}, {}))
     catalog.site = HERE._replace(meshes={"s2": "aa"})
     web = catalog.find("web")
@@ -272,9 +272,9 @@
     assert len({one.cell for one in found.endpoints.values()}) == 3 and found.endpoints["p0@bb"].zone == "z1@bb"
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.lists(st.tuples(st.sets(st.sampled_from("rwx"), min_size=1), SHARES), max_size=4), st.booleans())
-def test_whatever_is_sent_is_within_the_classes_and_shares_of_every_partner_in_the_set(partners, ready):
+def test_provider_sets_respect_the_classes_and_shares_of_every_partner(partners, ready):
     classes = frozenset("rw")
     routes = [used(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1) for n, (c, s) in enumerate(partners)]
     ends = [({"p": Endpoint("p", "z1", "plain", 1, Lifecycle.READY)}, {"p": "h:1"})] if ready else []
@@ -284,13 +284,13 @@
     )
     whole = sum(one.weight for one in found.endpoints.values())
     for one in routes:
-        mine = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
-        assert not mine or found.classes <= set(one.route.classes) & classes
-        assert found.fraction * sum(mine) <= (one.route.share or 1.0) * whole + 1e-9
+        weights = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
+        assert not weights or found.classes <= set(one.route.classes) & classes
+        assert found.fraction * sum(weights) <= (one.route.share or 1.0) * whole + 1e-9
     assert found.classes == classes if ready else found.classes or not any(c & classes for c, _ in partners)
 
 
-def test_changes_come_as_increments_and_who_leaves_drains_before_it_is_gone():
+def test_updates_are_incremental_and_removed_providers_drain_first():
     catalog = Catalog(HERE, CatalogState({"shop@aa": own(1)}, {"shop@bb": used("shop@bb")}, {}, {"shop@bb": claim(1)}))
     feed, shop = ProviderFeed(10), catalog.find("shop")
     first = feed.step(0, catalog.providers(shop))
@@ -310,9 +310,9 @@
 # ---- shares --------------------------------------------------------------------------------------
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(-9, 9)), max_size=60), st.integers(1, 40))
-def test_no_more_than_the_limit_is_held_and_idle_ones_cost_nothing(steps, total):
+def test_the_limit_is_never_exceeded_and_idle_services_cost_nothing(steps, total):
     shared = SharedLimit(total)
     for who, count in steps:
         if count > 0:
@@ -327,7 +327,7 @@
         shared.release("e")
 
 
-def test_services_that_want_all_leave_room_for_the_next():
+def test_services_that_want_everything_leave_room_for_the_next():
     shared = SharedLimit(1000)
     for _ in range(1000):
         for who in "abcd":
@@ -340,23 +340,23 @@
 # ---- simulated partitions and deliberate defects -------------------------------------------------
 
 
-def worlds():
+def check_simulations():
     repeats = 0
     for seed in range(12):
-        world = World(seed)
-        world.run(60)
-        assert not world.faults(), seed
-        repeats += world.oracle.retries
+        simulation = World(seed)
+        simulation.run(60)
+        assert not simulation.faults(), seed
+        repeats += simulation.oracle.retries
     return repeats
 
 
-def test_a_random_world_has_one_winner_everywhere_and_repeats_nothing_that_is_called_once():
-    assert worlds() > 1000
+def test_random_simulations_have_one_winner_everywhere_and_retry_nothing_declared_once():
+    assert check_simulations() > 1000
 
 
 def test_hard_cases():
-    for scene in (hostile, contracts, flap):
-        scene()
+    for check in (check_hostile_mesh, check_changing_contracts, check_flapping):
+        check()
 
 
 RULES, ABROAD, PUT = collisions.RULES, providers.partner_endpoints, Claims._put
@@ -385,28 +385,37 @@
     return one.declared is not None and other.declared is not None
 
 
-MUTANTS = {
-    "the loosest contract": ([(build, "strictest", loosest)], worlds),
-    "a partner's cell not its own": ([(providers, "_cell", lambda partner, cell: cell)], worlds),
-    "a key's scope over several meshes": ([(build, "across_meshes", dict)], worlds),
-    "one key whatever the meshes": ([(build, "key_of", lambda members: members[0])], worlds),
-    "a new word makes a claim younger": ([(Claims, "_put", younger)], worlds),
-    "the same service with other contracts": ([(collisions, "is_same_service", agree)], contracts),
-    "a partner's zone not its own": ([(providers, "partner_endpoints", unqualified)], contracts),
-    "no limit of a mesh": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], hostile),
-    "any site takes work for any mesh": ([(Catalog, "_usable_route", lambda self, name: self.used.get(name))], hostile),
-    "no damping": ([(Damping, "withdrawn", 0)], flap),
-    "no rule of the own mesh": (by_rules(*RULES[:1], *RULES[2:]), hostile),
-    "no rule of pins": (by_rules(*RULES[1:]), hostile),
-    "no rule of age": (by_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)), hostile),
+DEFECTS = {
+    "contracts merge to the loosest": ([(build, "strictest", loosest)], check_simulations),
+    "a partner's cells are not qualified": ([(providers, "_cell", lambda partner, cell: cell)], check_simulations),
+    "a key's scope spans several meshes": ([(build, "across_meshes", dict)], check_simulations),
+    "the service key does not depend on the meshes": (
+        [(build, "key_of", lambda members: members[0])],
+        check_simulations,
+    ),
+    "a new declaration resets the age of a claim": ([(Claims, "_put", younger)], check_simulations),
+    "services with different contracts join": ([(collisions, "is_same_service", agree)], check_changing_contracts),
+    "a partner's zones are not qualified": ([(providers, "partner_endpoints", unqualified)], check_changing_contracts),
+    "claims of one mesh are not limited": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], check_hostile_mesh),
+    "any site gets requests for any mesh": (
+        [(Catalog, "_usable_route", lambda self, name: self.used.get(name))],
+        check_hostile_mesh,
+    ),
+    "claims are not damped": ([(Damping, "withdrawn", 0)], check_flapping),
+    "the rule of the own mesh is missing": (by_rules(*RULES[:1], *RULES[2:]), check_hostile_mesh),
+    "the rule of pins is missing": (by_rules(*RULES[1:]), check_hostile_mesh),
+    "the rule of age is reversed": (
+        by_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)),
+        check_hostile_mesh,
+    ),
 }
 
 
-@pytest.mark.parametrize("name", MUTANTS)
-def test_a_broken_rule_is_found(name):
-    how, scene = MUTANTS[name]
+@pytest.mark.parametrize("name", DEFECTS)
+def test_a_deliberate_defect_is_detected(name):
+    patches, check = DEFECTS[name]
     with ExitStack() as stack:
-        for patch in [how] if not isinstance(how, list) else [mock.patch.object(*one) for one in how]:
+        for patch in [patches] if not isinstance(patches, list) else [mock.patch.object(*one) for one in patches]:
             stack.enter_context(patch)
         with pytest.raises(AssertionError):
-            scene()
+            check()
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -80,13 +80,13 @@
         self.addCleanup(partner.close)
         return partner
 
-    def party(self, answer=ok):
-        party = Party(answer)
-        self.addCleanup(party.close)
-        return party
+    def provider(self, answer=ok):
+        provider = Party(answer)
+        self.addCleanup(provider.close)
+        return provider
 
     def test_a_host_selects_its_service_and_unavailable_services_are_reported(self):
-        gate, lost = self.party(), LosesResponses()
+        gate, lost = self.provider(), LosesResponses()
         self.addCleanup(lost.close)
         rows = (
             make_route("orders@shop", [gate.address]),
@@ -102,11 +102,11 @@
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
 
         # Each service has its own providers; a Host can be a short or a global name, in any case, with a port.
-        for host, party in (("orders", a), ("Orders.OSLO:80", a), ("orders@oslo", a), ("bills", b)):
+        for host, provider in (("orders", a), ("Orders.OSLO:80", a), ("orders@oslo", a), ("bills", b)):
             before = [len(p.seen) for p in (a, b)]
             self.assertEqual(send_request(f0, host)[0], 200, host)
             seen = [len(p.seen) - n for p, n in zip((a, b), before, strict=True)]
-            self.assertEqual(seen, [p is party for p in (a, b)], host)
+            self.assertEqual(seen, [p is provider for p in (a, b)], host)
         # A short name that both sites have refers to the own service; the global name reaches the partner's.
         before = len(a.seen)
         self.assertEqual([send_request(f0, "orders.shop")[0] for _ in range(3)], [200] * 3)
@@ -147,7 +147,7 @@
         self.assertEqual((status, "in use" in body), (400, True))
 
     def test_no_response_is_lost_while_services_are_renamed_and_withdrawn(self):
-        gate = self.party(lambda head, body: time.sleep(0.02) or ok(head, body))
+        gate = self.provider(lambda head, body: time.sleep(0.02) or ok(head, body))
         bergen = self.fake_partner("bergen", make_route("stock@shop", [gate.address]))
         site = self.site([{"name": "orders", "types": ["a"]}], [("bergen", bergen)])
         f0 = self.begin(site)
@@ -183,7 +183,7 @@
         bergen.replace_routes()
         site.wait(lambda: send_request(f0, "stock.shop")[0] == 503)
         self.assertIn("the name is kept", send_request(f0, "stock")[1])
-        other = self.party()
+        other = self.provider()
         bergen.replace_routes(make_route("stock@shop", [other.address]))
         site.wait(lambda: send_request(f0, "stock.shop")[0] == 200 and other.seen)
         # An invalid file changes nothing.
@@ -216,7 +216,7 @@
         self.assertEqual(ends, [200, 200])
 
     def test_names_keep_their_services_after_a_restart_of_all_without_the_partner(self):
-        gate = self.party()
+        gate = self.provider()
         bergen = self.fake_partner(
             "bergen", make_route("orders@shop", [gate.address]), make_route("stock@shop", [gate.address])
         )
@@ -229,7 +229,7 @@
         (claimed,) = [s.logged("catalog.claimed") for s in site.running() if s.logged("catalog.claimed")]
         self.assertEqual(sorted(r["name"] for r in claimed), ["orders@shop", "stock@shop"])
         bergen.set_silent(True)
-        other = self.fake_partner("trondheim", make_route("stock@mill", [self.party().address]))
+        other = self.fake_partner("trondheim", make_route("stock@mill", [self.provider().address]))
         site.add_neighbour("trondheim", other.address)
         site.write_config()
         for sidecar in site.running():
@@ -269,7 +269,7 @@
     shared = SharedLimit(whole.most)
     pools = [ServicePool(whole, shared, key) for key in "ab"]
     peer = socket.create_server(("127.0.0.1", 0), backlog=64)
-    made, refused = {"a": [], "b": []}, []
+    made, rejected = {"a": [], "b": []}, []
 
     def fill(pool):
         pool.addresses["p"] = address_of(peer)
@@ -277,7 +277,7 @@
             while True:
                 made[pool.key].append((yield from pool.connect("p", loop.time + 5 * SECOND)))
         except NotUp as error:
-            refused.append((pool.key, error.outcome))
+            rejected.append((pool.key, error.outcome))
 
     def run(coroutine):
         task = loop.spawn(coroutine)
@@ -290,7 +290,7 @@
 
     run(fill(pools[0]))
     run(fill(pools[1]))
-    assert refused == [("a", Outcome.NOT_SENT), ("b", Outcome.NOT_SENT)]
+    assert rejected == [("a", Outcome.NOT_SENT), ("b", Outcome.NOT_SENT)]
     assert (len(made["a"]), whole.open) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
     # An idle connection makes room for the next one of its own service, and a connection closed by the sidecar's pool
     # releases its unit.
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -111,12 +111,12 @@
         self.assertEqual(len(provider.seen), before)
 
         # Only changes are written: repeated responses cost at most one note in two seconds.
-        asks, before = (
+        requests, before = (
             len(bergen.requests),
             [key for _, key, _, _ in site.fenced_writes("partner:bergen")].count("note"),
         )
         self.assertLessEqual(before, (time.monotonic() - begun) / 2 + 2)
-        self.assertGreater(asks, 2 * before)
+        self.assertGreater(requests, 2 * before)
 
         # A sidecar that terminates releases its lease at once, and another one continues with the stored table.
         (first,) = site.asking_sidecars("bergen")
@@ -140,7 +140,7 @@
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         site.wait(lambda: shown(address, "trondheim") == {"orders@shop", "b@shop"})
 
-        def refused():
+        def logs():
             return "".join(s.log() for s in site.running())
 
         # A table with any fault is rejected as a whole, with the place of the fault; the last valid one stays in use.
@@ -153,7 +153,7 @@
         ):
             bergen.make_reply = change
             bergen.replace_routes(*routes, make_route("c@shop"))
-            site.wait(lambda place=place: place in refused())
+            site.wait(lambda place=place: place in logs())
             self.assertEqual(site.routes_status(follower)["used"], "2")
             del bergen.make_reply
             bergen.replace_routes(*routes)
@@ -241,7 +241,7 @@
         site.wait(second.ready)
         # Chunks left behind are deleted, and the head names exactly the existing ones.
         head = [
-            value for _, key, value, refused in site.fenced_writes("partner:bergen") if key == "head" and not refused
+            value for _, key, value, rejected in site.fenced_writes("partner:bergen") if key == "head" and not rejected
         ][-1]
         site.wait(
             lambda: site.stored_keys("partner:bergen") - {"note"} == {"head", *msgspec.msgpack.decode(head)["chunks"]}
@@ -257,11 +257,11 @@
             stopped.go_on()
             bergen.replace_routes(*routes, make_route(f"x{time.monotonic_ns()}@shop"))
             site.wait(lambda: len(site.asking_sidecars("bergen")) == 1)
-            acts = site.fenced_writes("partner:bergen")
-            if any(refused for *_, refused in acts):
+            writes = site.fenced_writes("partner:bergen")
+            if any(rejected for *_, rejected in writes):
                 break
-        tokens = [token for token, _, _, refused in acts if not refused]
-        self.assertTrue(any(refused for *_, refused in acts), "the stale token was used")
+        tokens = [token for token, _, _, rejected in writes if not rejected]
+        self.assertTrue(any(rejected for *_, rejected in writes), "the stale token was used")
         self.assertEqual(tokens, sorted(tokens), "one holder after another, never two")
         self.assertGreater(len(set(tokens)), 3)
         site.wait_everywhere(lambda s: site.routes_status(s)["used"] == "3")
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -57,8 +57,8 @@
 SITES = st.builds(SiteSet, st.frozensets(st.sampled_from(NAMES), max_size=3), st.booleans())
 UNKNOWN = st.sampled_from([frozenset(), frozenset(), frozenset(), frozenset(("price",))])
 TERMS = st.builds(Terms, SITES, SITES, st.integers(0, 3), st.sampled_from([5, 20, FOREVER]), UNKNOWN)
-FEW = settings(derandomize=True, max_examples=60, deadline=None)
-S = "s0@aa"
+FEW_EXAMPLES = settings(derandomize=True, max_examples=60, deadline=None)
+SERVICE = "s0@aa"
 
 
 def only(*names):
@@ -86,7 +86,7 @@
             assert b.may_show(site, now) or site in ("aa", "bb") or not on.may_show(site, now)
 
 
-@FEW
+@FEW_EXAMPLES
 @given(TERMS, TERMS, TERMS)
 def test_terms_only_tighten_in_any_order_and_survive_their_json_form(a, b, c):
     check_laws(a, b, c)
@@ -102,8 +102,8 @@
         found = parse_terms({**good, name: value})
         assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
     assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(terms_module.FIELDS)
-    held = {"bb": fresh("bb", {S: route(S, "bb", terms(unknown=frozenset(("price",))))})}
-    assert str(merge(held, Policy("aa"), 0).left[S]["bb"]) == "unknown term price"
+    held = {"bb": fresh("bb", {SERVICE: route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
+    assert str(merge(held, Policy("aa"), 0).left[SERVICE]["bb"]) == "unknown term price"
 
 
 def test_a_leak_is_attributed_to_the_site_that_showed_the_route():
@@ -112,8 +112,8 @@
     assert find_leaker(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
     assert find_leaker(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
     # a site that tightens the terms does not count as leaking
-    word = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
-    assert find_leaker(word, ("bb", "aa"), "cc") == "" and not word.may_show("dd", 0, 1)
+    passed_on = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
+    assert find_leaker(passed_on, ("bb", "aa"), "cc") == "" and not passed_on.may_show("dd", 0, 1)
 
 
 # ---- tables --------------------------------------------------------------------------------------
@@ -181,11 +181,11 @@
     many, three = offer(number=3), Limits(routes=3)
     held = apply_response(None, parse_response(many.response(None), "bb"))
     many.replace({**many.routes, "x@bb": route("x@bb", "bb", OPEN)})
-    for refused in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
+    for rejected in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
                     lambda: parse_response(many.response(None), "bb", three),
                     lambda: parse_response(many.response(None), "bb", Limits(bytes=100))):  # fmt: skip
         with pytest.raises(BadTable, match="at most"):
-            refused()
+            rejected()
     capped = Offer("bb", 1, three)
     assert capped.replace(many.routes) and len(parse_response(capped.response(None), "bb", three).routes) == 3
 
@@ -266,18 +266,18 @@
 
 def routes_of(partner, drawn):
     found = {}
-    for number, (said, path, valid) in drawn.items():
-        made = route(f"s{number}@m", partner, said)
-        found[made.service] = msgspec.structs.replace(made, path=(partner, *path), valid_for=valid)
+    for number, (declared, path, valid) in drawn.items():
+        partner_route = route(f"s{number}@m", partner, declared)
+        found[partner_route.service] = msgspec.structs.replace(partner_route, path=(partner, *path), valid_for=valid)
     return found
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS, TERMS)
-def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, word):
+def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, restriction):
     own = {"s3@m": route("s3@m", "aa", terms(show=only("bb"), until=20))}
     policy = Policy("aa", {"bb": Role.NONE, "cc": Role.PEER, "ff": Role.DOWNSTREAM}, offers=own, gone_after=9,
-                    restrictions={"s1@m": word})  # fmt: skip
+                    restrictions={"s1@m": restriction})  # fmt: skip
     merger, now, partner_states = Merger(policy), 0, {}
     for index, (partner, drawn, freshness, later, same) in enumerate(steps):
         now += later
@@ -307,7 +307,7 @@
 MAPS = st.dictionaries(st.sampled_from(NAMES), TABLES, max_size=3)
 
 
-@FEW
+@FEW_EXAMPLES
 @given(MAPS, MAPS, MAPS)
 def test_newest_tables_depend_neither_on_order_nor_on_repetition(a, b, c):
     assert newest_tables(a, b) == newest_tables(b, a) and newest_tables(a, a) == a
@@ -391,7 +391,7 @@
     for edit, what in ((lambda data: data[:-20], "truncated"), (lambda data: data + b" " * 9000, "at most")):
         partner = Partner(limits=Limits(bytes=8000))
         before = partner.session.table
-        partner.source.replace({S.replace("aa", "bb"): route(S.replace("aa", "bb"), "bb", CLOSED)})
+        partner.source.replace({SERVICE.replace("aa", "bb"): route(SERVICE.replace("aa", "bb"), "bb", CLOSED)})
         partner.edit = edit
         assert partner.run(TIMING.hold - 2 * SECOND) is SessionState.HOLDING and partner.session.table is before
         assert partner.errors and what in str(partner.errors[0]) and partner.errors[0].partner == "bb"
@@ -451,96 +451,108 @@
 # ---- several sites -------------------------------------------------------------------------------
 
 
-def world(links, dishonest="", seed=1, said=OPEN):
+def simulated_sites(links, dishonest="", seed=1, declared=OPEN):
     pairs = [pair.split("-") for pair in links.split()]
-    made = World(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
-    made.declare("aa", S, said)
-    made.start()
-    made.run(5 * SECOND)
-    return made
+    simulation = World(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
+    simulation.declare("aa", SERVICE, declared)
+    simulation.start()
+    simulation.run(5 * SECOND)
+    return simulation
 
 
-def uses(made, site):
-    found = made.sites[site].merger.merged.used.get(S)
+def used_path(simulation, site):
+    found = simulation.sites[site].merger.merged.used.get(SERVICE)
     return found.route.path if found else None
 
 
-def tightened_while_a_link_is_down(terms_then=CLOSED):
-    made = world("aa-bb bb-cc", said=terms(passes=1))
-    assert uses(made, "bb") == ("aa",) and uses(made, "cc") == ("bb", "aa")
-    made.link("aa", "bb", False)
-    made.run(SECOND)
-    made.declare("aa", S, terms_then)
-    made.run(3 * HOP)
-    assert made.found() or (uses(made, "bb"), uses(made, "cc")) == (None, None)
-    made.link("aa", "bb", True)
-    made.run(5 * SECOND)
-    return made
+def tightened_while_a_link_is_down(new_terms=CLOSED):
+    simulation = simulated_sites("aa-bb bb-cc", declared=terms(passes=1))
+    assert used_path(simulation, "bb") == ("aa",) and used_path(simulation, "cc") == ("bb", "aa")
+    simulation.link("aa", "bb", False)
+    simulation.run(SECOND)
+    simulation.declare("aa", SERVICE, new_terms)
+    simulation.run(3 * HOP)
+    assert simulation.found() or (used_path(simulation, "bb"), used_path(simulation, "cc")) == (None, None)
+    simulation.link("aa", "bb", True)
+    simulation.run(5 * SECOND)
+    return simulation
 
 
-@pytest.mark.parametrize("then", [terms(use=only("zz")), None], ids=["tightened", "withdrawn"])
-def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(then):
-    made = tightened_while_a_link_is_down(then)
-    assert not made.found() and uses(made, "bb") is None and made.seen["stale"] and made.seen["gone"]
+@pytest.mark.parametrize("new_terms", [terms(use=only("zz")), None], ids=["tightened", "withdrawn"])
+def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(new_terms):
+    simulation = tightened_while_a_link_is_down(new_terms)
+    assert (
+        not simulation.found()
+        and used_path(simulation, "bb") is None
+        and simulation.seen["stale"]
+        and simulation.seen["gone"]
+    )
 
 
 def test_a_withdrawn_route_does_not_loop_through_three_sites():
-    made = world("aa-bb bb-cc cc-aa dd-cc", said=terms(passes=9))
-    assert uses(made, "bb") == ("aa",) and uses(made, "dd") == ("cc", "aa")
-    made.declare("aa", S, None)
-    made.run(SECOND)
-    assert [uses(made, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not made.found()
-    loop = {"bb": fresh("bb", {S: msgspec.structs.replace(route(S, "bb", OPEN), path=("bb", "cc", "aa"))})}
-    assert merge(loop, Policy("cc"), 0).left[S]["bb"].reason is Reason.LOOP
-
-
-@pytest.mark.parametrize("said", [terms(show=only("bb", "dd")), terms(passes=0)], ids=["show", "passes"])
-def test_a_leak_is_detected_by_the_next_honest_site(said):
-    made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=said)
-    assert uses(made, "cc") is None and uses(made, "dd") is None and made.leakers["bb"] and not made.found()
-    assert str(made.sites["cc"].merger.merged.left[S]["bb"]) == "leaked by bb"
-    assert S not in made.sites["cc"].merger.merged.shown["dd"]
+    simulation = simulated_sites("aa-bb bb-cc cc-aa dd-cc", declared=terms(passes=9))
+    assert used_path(simulation, "bb") == ("aa",) and used_path(simulation, "dd") == ("cc", "aa")
+    simulation.declare("aa", SERVICE, None)
+    simulation.run(SECOND)
+    assert [used_path(simulation, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not simulation.found()
+    loop = {"bb": fresh("bb", {SERVICE: msgspec.structs.replace(route(SERVICE, "bb", OPEN), path=("bb", "cc", "aa"))})}
+    assert merge(loop, Policy("cc"), 0).left[SERVICE]["bb"].reason is Reason.LOOP
+
+
+@pytest.mark.parametrize("declared", [terms(show=only("bb", "dd")), terms(passes=0)], ids=["show", "passes"])
+def test_a_leak_is_detected_by_the_next_honest_site(declared):
+    simulation = simulated_sites("aa-bb bb-cc cc-dd", dishonest="bb", declared=declared)
+    assert (
+        used_path(simulation, "cc") is None
+        and used_path(simulation, "dd") is None
+        and simulation.leakers["bb"]
+        and not simulation.found()
+    )
+    assert str(simulation.sites["cc"].merger.merged.left[SERVICE]["bb"]) == "leaked by bb"
+    assert SERVICE not in simulation.sites["cc"].merger.merged.shown["dd"]
 
 
 def test_replayed_responses_are_rejected():
-    made = world("aa-bb")
-    made.declare("aa", S, terms(use=NO_SITES))
-    made.run(SECOND)
-    made.faults = Faults(repeated=0.7)
-    made.run(20 * SECOND)
-    assert made.seen["OldTable"] and uses(made, "bb") is None
-    made.settle()
-    assert not made.found()
+    simulation = simulated_sites("aa-bb")
+    simulation.declare("aa", SERVICE, terms(use=NO_SITES))
+    simulation.run(SECOND)
+    simulation.faults = Faults(repeated=0.7)
+    simulation.run(20 * SECOND)
+    assert simulation.seen["OldTable"] and used_path(simulation, "bb") is None
+    simulation.settle()
+    assert not simulation.found()
 
 
 def test_two_sites_restarted_without_data_return_by_the_ramp_and_others_are_not_affected():
-    made = world("aa-bb cc-bb")
-    made.declare("cc", "t@cc", OPEN)
-    made.run(SECOND)
-    made.restart(["aa", "bb"], True, SECOND)
-    made.run(1500 * MS)
-    held = made.sites["bb"].disk["aa"]
-    assert uses(made, "bb") == ("aa",) and ramp_factor(held, made.clock.now, TIMING) < 0.3
-    made.faults = Faults(cut=1.0)
-    made.settle()
-    assert not made.found()
-    before = made.sites["cc"].sessions["bb"].since
+    simulation = simulated_sites("aa-bb cc-bb")
+    simulation.declare("cc", "t@cc", OPEN)
+    simulation.run(SECOND)
+    simulation.restart(["aa", "bb"], True, SECOND)
+    simulation.run(1500 * MS)
+    held = simulation.sites["bb"].disk["aa"]
+    assert used_path(simulation, "bb") == ("aa",) and ramp_factor(held, simulation.clock.now, TIMING) < 0.3
+    simulation.faults = Faults(cut=1.0)
+    simulation.settle()
+    assert not simulation.found()
+    before = simulation.sites["cc"].sessions["bb"].since
     for number in range(12):
-        made.link("aa", "bb", number % 2 == 0)
-        made.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
-    assert made.seen["damped"] and made.sites["cc"].sessions["bb"].since == before and not made.found()
-    assert made.sites["bb"].sessions["cc"].state is SessionState.HOLDING and uses(made, "bb") is None
-    made.settle()
-    assert not made.found() and uses(made, "bb") == ("aa",)
+        simulation.link("aa", "bb", number % 2 == 0)
+        simulation.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
+    assert (
+        simulation.seen["damped"] and simulation.sites["cc"].sessions["bb"].since == before and not simulation.found()
+    )
+    assert simulation.sites["bb"].sessions["cc"].state is SessionState.HOLDING and used_path(simulation, "bb") is None
+    simulation.settle()
+    assert not simulation.found() and used_path(simulation, "bb") == ("aa",)
 
 
 def test_random_sites_never_use_or_show_a_route_against_its_terms():
     seen, acts = {}, 0
     for seed in range(200):
-        made = play(seed)
-        assert not made.found(), (seed, made.found()[0])
-        acts += made.oracle.acts
-        for name in made.seen:
+        simulation = play(seed)
+        assert not simulation.found(), (seed, simulation.found()[0])
+        acts += simulation.oracle.acts
+        for name in simulation.seen:
             seen[name] = seen.get(name, 0) + 1
     assert acts > 50_000
     for name in ("BadTable", "OldTable", "LEAKED", "EXPIRED", "EXCLUDED", "WORSE", "stale", "gone", "damped"):
@@ -597,7 +609,7 @@
 }
 
 
-def holds(check):
+def check_holds(check):
     try:
         return not check().found()
     except AssertionError:
@@ -617,41 +629,42 @@
 
 
 def random_days():
-    return next((made for made in map(play, range(40)) if made.found()), NoFindings())
+    return next((simulation for simulation in map(play, range(40)) if simulation.found()), NoFindings())
 
 
 def leak():
-    made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=terms(passes=0))
-    assert uses(made, "cc") is None
-    return made
+    simulation = simulated_sites("aa-bb bb-cc cc-dd", dishonest="bb", declared=terms(passes=0))
+    assert used_path(simulation, "cc") is None
+    return simulation
 
 
 def replay():
-    made = world("aa-bb")
-    made.declare("aa", S, CLOSED)
-    made.faults = Faults(repeated=0.7)
-    made.run(3 * HOP)
-    return made
+    simulation = simulated_sites("aa-bb")
+    simulation.declare("aa", SERVICE, CLOSED)
+    simulation.faults = Faults(repeated=0.7)
+    simulation.run(3 * HOP)
+    return simulation
 
 
 def unknown_term():
-    made = World(1, ["aa", "bb"], [("aa", "bb")])
-    made.declare("aa", S, OPEN)
-    made.start()
-    made.run(2 * SECOND)
-    with mock.patch.object(table_module, "terms_to_json", lambda said: {**terms_to_json(OPEN), "price": 3}):
-        made.declare("aa", S, terms(passes=7))  # is sent with a term that no site knows
-    made.oracle.declare(made.clock.now, "aa", S, terms(use=NO_SITES))  # and this is the meaning of that term
-    made.run(2 * HOP)
-    return made
+    simulation = World(1, ["aa", "bb"], [("aa", "bb")])
+    simulation.declare("aa", SERVICE, OPEN)
+    simulation.start()
+    simulation.run(2 * SECOND)
+    with mock.patch.object(table_module, "terms_to_json", lambda declared: {**terms_to_json(OPEN), "price": 3}):
+        simulation.declare("aa", SERVICE, terms(passes=7))  # is sent with a term that no site knows
+    # The meaning of that term is that no site may use the route.
+    simulation.oracle.declare(simulation.clock.now, "aa", SERVICE, terms(use=NO_SITES))
+    simulation.run(2 * HOP)
+    return simulation
 
 
 def expired_terms():
-    made = world("aa-bb", said=terms(until=BEGIN + 8 * SECOND))
-    assert uses(made, "bb")
-    made.link("aa", "bb", False)
-    made.run(4 * SECOND)
-    return made
+    simulation = simulated_sites("aa-bb", declared=terms(until=BEGIN + 8 * SECOND))
+    assert used_path(simulation, "bb")
+    simulation.link("aa", "bb", False)
+    simulation.run(4 * SECOND)
+    return simulation
 
 
 CHECKS = {"laws": random_laws, "days": random_days, "leak": leak, "replay": replay, "unknown": unknown_term,
@@ -664,8 +677,8 @@
     with ExitStack() as stack:
         for owner, what, value in patches:
             stack.enter_context(mock.patch.object(owner, what, value))
-        assert {check for check in CHECKS if not holds(CHECKS[check])} >= by
+        assert {check for check in CHECKS if not check_holds(CHECKS[check])} >= by
 
 
 def test_the_checks_hold_without_a_defect():
-    assert all(map(holds, CHECKS.values()))
+    assert all(map(check_holds, CHECKS.values()))
