--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -32,7 +32,7 @@
 from loftweir.partners.merge import Merged
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 STATUS = {Why.NAME: 404, Why.UNHELD: 404, Why.EXCLUDED: 403, Why.STALE: 503, Why.UNFIT: 503}
 SWEEP_EVERY = 60 * SECOND
@@ -271,16 +271,16 @@
             self._see(self.merged, self.merged.used.keys())
         for event in self.catalog.collisions.values():
             if before.collisions.get(event.short) != event:
-                say(CATALOG_COLLISION, text=event.text)
+                emit(CATALOG_COLLISION, text=event.text)
         for key, at in list(self.ats.items()):
             at.host.use(self._fitted(at.service))
             self._step(key, at)
 
     def _changed(self, changed: Changed) -> None:
         for short, (before, after) in changed.moved.items():
-            say(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
+            emit(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
         for event in changed.events:
-            say(CATALOG_COLLISION, text=event.text)
+            emit(CATALOG_COLLISION, text=event.text)
         for key in changed.keys | changed.ended:
             at = self.ats.get(key)
             if at is not None:
@@ -372,10 +372,10 @@
                         self.refused.pop(act.name, None)
                         if not isinstance(act, Put):
                             self.seen.pop(act.name, None)
-                        say(CATALOG_CLAIMED, name=act.name, index=result.value, why="")
+                        emit(CATALOG_CLAIMED, name=act.name, index=result.value, why="")
                     else:
                         self.refused[act.name] = self.loop.now() + REFUSED_FOR
-                        say(CATALOG_CLAIMED, name=act.name, index=0, why=result.text)
+                        emit(CATALOG_CLAIMED, name=act.name, index=0, why=result.text)
 
     def _settled(self, name: str) -> bool:
         """Whether the copies have what is seen of a name."""
--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -16,7 +16,7 @@
 from loftweir.core.overload import Overload
 from loftweir.net.loop import Loop
 from loftweir.telemetry.catalogue import DECISION_BROKEN, DECISION_NOTE
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.log import emit, traceback_location
 
 
 class Back(Protocol):
@@ -64,7 +64,7 @@
             api.Watch: lambda a: lists.watch(a.on),
             api.FetchList: lambda a: lists.fetch(),
             api.CloseIdle: lambda a: back.close_idle(a.server),
-            api.Log: lambda a: say(DECISION_NOTE, text=a.text),
+            api.Log: lambda a: emit(DECISION_NOTE, text=a.text),
         }
 
     @property
@@ -101,7 +101,7 @@
 
     def _broken(self, thing: api.Event | api.Action, error: Exception) -> None:
         """A decision that broke, or can't be carried out: what it was about is answered, the rest goes on."""
-        say(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=where(error))
+        emit(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=traceback_location(error))
         invocation = self.invocations.get(getattr(thing, "request_id", getattr(thing, "id", "")))
         if invocation is not None and invocation.open:
             invocation.close(BROKEN)
--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -94,7 +94,7 @@
 
 def say_faults(event: Event, error: Faulty) -> None:
     for fault in error.faults:
-        log.say(event, **fault._asdict())
+        log.emit(event, **fault._asdict())
 
 
 def changes(old: Options, new: Options) -> dict[str, tuple[Any, Any, bool]]:
@@ -132,7 +132,7 @@
         self.loop = Loop()
         self.sidecar = Sidecar(self.loop, of_platform, loaded.options, sites, services)
         self.sidecar.start(self.reload)
-        log.say(
+        log.emit(
             START_LISTENING,
             version=__version__,
             pid=os.getpid(),
@@ -152,14 +152,14 @@
             say_faults(RELOAD_FAULT, error)
             return
         except Exception as error:  # a fault of the program's own must not end it either
-            log.say(RELOAD_FAULT, file="", path="", value=repr(error), expected="to be read at all")
+            log.emit(RELOAD_FAULT, file="", path="", value=repr(error), expected="to be read at all")
             return
         changed = changes(self.configuration.operator.options, new.operator.options)
         self.configuration = new
         use_log(new.operator.options)
         settings = changed_settings(self.sidecar.host.settings, new.platform.settings)
         self.sidecar.use(new.operator.options, new.platform.discovery, new.platform.settings, new.sites, new.services)
-        log.say(
+        log.emit(
             RELOAD_DONE,
             discovery=new.platform.discovery,
             changed=[path for path, (_, _, live) in changed.items() if live],
@@ -182,7 +182,7 @@
         say_faults(START_FAULT, error)
         return UNUSABLE
     except OSError as error:
-        log.say(START_FAILED, why=error)
+        log.emit(START_FAILED, why=error)
         return UNUSABLE
     finally:
         if "daemon" not in locals():
--- a/loftweir/http1/access_trace.py
+++ b/loftweir/http1/access_trace.py
@@ -7,7 +7,7 @@
 from loftweir.net.loop import MS
 from loftweir.telemetry.access import wanted
 from loftweir.telemetry.catalogue import ACCESS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 CLIENT_GONE = 0  # in place of a status: the client went before its answer was written
 OUTCOMES = {CLIENT_GONE: "gone", 200: "served", 503: "rejected"}
@@ -37,7 +37,7 @@
         why = wanted(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
         if not why:
             return
-        say(
+        emit(
             ACCESS,
             id=self.id,
             **{"class": self.class_name},
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -29,7 +29,7 @@
 from loftweir.net.loop import HUNG_UP, MS, READABLE, WOKEN, Coroutine, Task, Wait
 from loftweir.net.stream import READ_SIZE, NoRoom, TookTooLong, hung_up, send, untaken, waited
 from loftweir.telemetry.catalogue import INVOCATION_BROKEN, OVERDUE
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.log import emit, traceback_location
 
 if TYPE_CHECKING:
     from loftweir.http1.front import Front
@@ -247,7 +247,7 @@
         answer = client_error(error, limits.body)
         if answer is None:
             # A fault of the program's own: this request is answered failed, the process lives.
-            say(INVOCATION_BROKEN, error=repr(error), at=where(error))
+            emit(INVOCATION_BROKEN, error=repr(error), at=traceback_location(error))
             answer = plain(500, "failed")
         return Exchange(answer, None, limits.linger_bytes)
 
@@ -340,6 +340,6 @@
             if upload is not None and upload.broken is not None:
                 raise upload.broken
         if invocation.open and event == 0:
-            say(OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
+            emit(OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
             return Final(Kind.LATE)
         return None
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -28,7 +28,7 @@
     DISCOVERY_STANDS,
     DISCOVERY_WATCH,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 PATH = "/catalog/members"
 
@@ -281,7 +281,7 @@
                         self.loop.close(sock)
             except CallFailed as error:
                 self._say_failed(asked, str(error))
-                say(DISCOVERY_LIST, why=error, address=address)
+                emit(DISCOVERY_LIST, why=error, address=address)
                 if not left or (left == listclock.ANEW and not isinstance(error, Silent)):
                     self._fail()
                     return
@@ -345,14 +345,14 @@
 
     def _say_answered(self, asked: Asked, ended: str) -> None:
         after, took = -1 if asked.version is None else asked.version, self.loop.now() - asked.at
-        say(DISCOVERY_CALL, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
+        emit(DISCOVERY_CALL, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
 
     def _say_failed(self, asked: Asked, ended: str) -> None:
         after, took = -1 if asked.version is None else asked.version, self.loop.now() - asked.at
-        say(DISCOVERY_CALL_FAILED, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
+        emit(DISCOVERY_CALL_FAILED, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
 
     def _say_new_watch(self, cause: str) -> None:
-        say(DISCOVERY_NEW_WATCH, cause=cause, age_ms=self._age() // MS, late_calls=len(self.late))
+        emit(DISCOVERY_NEW_WATCH, cause=cause, age_ms=self._age() // MS, late_calls=len(self.late))
 
     def _watch(
         self, place: int, address: str, version: int | None, quiet: bool, until: int, late: LateAnswer | None
@@ -389,7 +389,7 @@
                     # The first answer of a watch is told with or without news: the watch stands.
                     heard = self._hear(asked, answer, not answered)
                     if heard and not answered:
-                        say(DISCOVERY_STANDS, version=answer.update.version, age_ms=age // MS)
+                        emit(DISCOVERY_STANDS, version=answer.update.version, age_ms=age // MS)
                     answered = answered or heard
                     if answered:
                         self.standing = place
@@ -420,7 +420,7 @@
             if not quiet:
                 self._say_failed(asked, str(error))
             if place == self.place and not quiet:
-                say(DISCOVERY_WATCH, why=error, address=address)
+                emit(DISCOVERY_WATCH, why=error, address=address)
             refused = isinstance(error, Refused)
             # One that breaks past its wait had fallen silent before.
             silent = isinstance(error, Silent) or (self.loop.now() >= due and not refused)
--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -16,7 +16,7 @@
 from loftweir.net.loop import EXCLUSIVE, MS, READABLE, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import Room, prepare
 from loftweir.telemetry.catalogue import ACCEPT_FAILED, ROOM_NONE
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 ACCEPTS_A_TURN = 16  # a wave of new connections waits for the answers that are ready
 # Of accept(): the connection that was next is broken, and the one after it may be sound.
@@ -153,7 +153,7 @@
         while True:
             if len(self.clients) >= self.most_clients:
                 yield Wait(listener, ready, None)
-                say(ROOM_NONE, connections=len(self.clients), most=self.most_clients)
+                emit(ROOM_NONE, connections=len(self.clients), most=self.most_clients)
                 yield from self._make_room()
                 continue
             try:
@@ -163,7 +163,7 @@
                 yield Wait(listener, ready, None)
                 continue
             except OSError as error:
-                say(ACCEPT_FAILED, why=error.strerror)
+                emit(ACCEPT_FAILED, why=error.strerror)
                 if error.errno not in BROKEN_CONNECTION:
                     yield from self._wait_for_descriptor(error)
                     continue
--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -27,7 +27,7 @@
 from typing import Any, NamedTuple, Protocol, TypeVar
 
 from loftweir.telemetry.catalogue import COROUTINE_BROKEN, WATCH_FAILED
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.log import emit, traceback_location
 
 T = TypeVar("T")
 MS = 1_000_000
@@ -169,7 +169,7 @@
             self.end()
             self.coroutine.close()
             name = getattr(self.coroutine, "__qualname__", "")
-            say(COROUTINE_BROKEN, coroutine=name, error=repr(error), at=where(error))
+            emit(COROUTINE_BROKEN, coroutine=name, error=repr(error), at=traceback_location(error))
             if self.crashed is not None:
                 self.crashed(error)
 
@@ -249,7 +249,7 @@
             self._try_again(fd, error)
 
     def _try_again(self, fd: int, error: OSError) -> None:
-        say(WATCH_FAILED, why=error.strerror)
+        emit(WATCH_FAILED, why=error.strerror)
         if not self.unheard:
             self.after(RETRY_WATCH, self._register_again)
         self.unheard.add(fd)
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -16,7 +16,7 @@
 from loftweir.interface import Outcome
 from loftweir.net.loop import MS, WRITABLE, Coroutine, Loop, Wait
 from loftweir.telemetry.catalogue import CONNECT_NOT_BEGUN
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 READ_SIZE = 64 * 1024
 SMALL = 64 * 1024  # bytes of a body up to which it is held whole, and may take all the room there is
@@ -184,7 +184,7 @@
         try:
             return (yield from _connect(loop, host, port, up_by, until))
         except LocalFault as fault:
-            say(CONNECT_NOT_BEGUN, why=fault.strerror)
+            emit(CONNECT_NOT_BEGUN, why=fault.strerror)
             if loop.now() + RETRY_CONNECT >= min(up_by, until):
                 raise NotUp(Outcome.NOT_SENT) from None
         yield Wait(None, 0, loop.now() + RETRY_CONNECT)
--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -14,7 +14,7 @@
 from loftweir.net.stream import TookTooLong, send
 from loftweir.operations.calls import LONGEST, Call, No, no, parse, yes
 from loftweir.telemetry.catalogue import OPERATOR_CALL
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 MOST = 16  # callers at a time
 DESCRIPTORS = MOST + 4  # with the listener, the record's lock and file, and the lock of who serves
@@ -98,8 +98,8 @@
             call = parse(line)
             text = yield from self.do(call)
         except No as reason:
-            say(OPERATOR_CALL, call=repr(data[:80])[2:-1], answer="ERR", why=reason)
+            emit(OPERATOR_CALL, call=repr(data[:80])[2:-1], answer="ERR", why=reason)
             return no(reason)
         if call.command.value != "READY":
-            say(OPERATOR_CALL, call=f"{call.command.value} {call.id}".strip(), answer="OK", why="")
+            emit(OPERATOR_CALL, call=f"{call.command.value} {call.id}".strip(), answer="OK", why="")
         return yes(text)
--- a/loftweir/partners/keeping.py
+++ b/loftweir/partners/keeping.py
@@ -14,7 +14,7 @@
 from loftweir.partners import replicated_table
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import PARTNERS_NOT_KEPT
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 WITHIN = 3 * SECOND  # of one write
 AGAIN, AGAIN_MOST = 300 * MS, 5 * SECOND  # after one that failed
@@ -97,7 +97,7 @@
             except NotActing:
                 return  # its end comes
             except LoftweirError as error:
-                say(PARTNERS_NOT_KEPT, duty=self.duty.duty, why=error)
+                emit(PARTNERS_NOT_KEPT, duty=self.duty.duty, why=error)
                 yield Wait(None, 0, self.loop.now() + again)
                 again = min(2 * again, AGAIN_MOST)
 
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -37,7 +37,7 @@
     PARTNERS_REFUSED,
     PARTNERS_STATE,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 PATH = "/routes"
 CONNECT_WITHIN = SECOND
@@ -98,11 +98,11 @@
     # ---- the duty -------------------------------------------------------------------------------
 
     def begin(self, token: int) -> None:
-        say(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
+        emit(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
         self.task = self.loop.spawn(self._run(token), self._crashed)
 
     def end(self) -> None:
-        say(PARTNERS_LET_GO, partner=self.neighbour.name)
+        emit(PARTNERS_LET_GO, partner=self.neighbour.name)
         self.close()
 
     def close(self) -> None:
@@ -157,12 +157,12 @@
                 self.call = self.loop.spawn(self._ask(session, action), self._call_crashed)
             elif isinstance(action, Became):
                 if action.before is not session.state:
-                    say(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
+                    emit(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
             elif isinstance(action, Refused):
-                say(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
+                emit(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
                 self._next_address()
             else:
-                say(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
+                emit(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
                 self._next_address()
         self._keep(session)
         if self.task is not None:
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -24,7 +24,7 @@
 from loftweir.partners.file import Neighbour
 from loftweir.partners.shown import Shown
 from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 PATH = "/routes"
 BACKLOG = 64
@@ -105,11 +105,11 @@
                 break
             except OSError as error:
                 sock.close()
-                say(PARTNERS_LISTENS, address=address, why=error.strerror or str(error))
+                emit(PARTNERS_LISTENS, address=address, why=error.strerror or str(error))
             yield Wait(None, 0, self.loop.now() + TRY_EVERY)
         sock.setblocking(False)
         self.listener = sock
-        say(PARTNERS_LISTENS, address=address, why="")
+        emit(PARTNERS_LISTENS, address=address, why="")
         while True:
             yield Wait(sock, READABLE, None)
             try:
@@ -171,7 +171,7 @@
             return asked.status, f"{asked.wrong}\n".encode(), "text/plain"
         turned = self._turned(asked.site, sock)
         if turned:
-            say(PARTNERS_TURNED, site=asked.site if asked.site.isprintable() else "", why=turned)
+            emit(PARTNERS_TURNED, site=asked.site if asked.site.isprintable() else "", why=turned)
             return 403, f"{turned}\n".encode(), "text/plain"
         until = self.loop.now() + asked.wait
         not_now_at: int | None = None
@@ -182,7 +182,7 @@
                 return 200, offer.answer(asked.after, asked.to), "application/json"
             not_now_at = (not_now_at or now) if why else None
             if not_now_at is not None and now >= not_now_at + min(NOT_NOW_FOR, max(asked.wait, NOT_NOW_FOR // 4)):
-                say(PARTNERS_TURNED, site=asked.site, why=why)
+                emit(PARTNERS_TURNED, site=asked.site, why=why)
                 return 503, f"not now: {why}\n".encode(), "text/plain"
             events = yield from self._wait(sock, asked.site, until if not_now_at is None else now + 50 * MS, more)
             if events not in (0, WOKEN):
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -36,7 +36,7 @@
     PARTNERS_NOT_READ,
     PARTNERS_STANDBY,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 APART = 150 * MS  # from the first voter that asks for a free lease to the next: each partner has its own order of them
 DRAINS_FOR = SECOND  # past the longest deadline, that a partner's providers drain
@@ -225,7 +225,7 @@
                 if not shelf.read(machine.facts, now):
                     continue
             except NotReadable as error:
-                say(PARTNERS_NOT_READ, partner=name, why=error)
+                emit(PARTNERS_NOT_READ, partner=name, why=error)
             self._hold(name, now)
         if self.catalog is not None:
             self.catalog.claimed(machine.claims)
@@ -246,11 +246,11 @@
             used = sum(one.partner == name for one in self.merger.merged.used.values())
             epoch, index = table.mark if table is not None else (0, 0)
             standing, routes = held.standing.value, len(table.routes) if table is not None else 0
-            say(PARTNERS_HELD, partner=name, standing=standing, epoch=epoch, index=index, routes=routes, used=used)
+            emit(PARTNERS_HELD, partner=name, standing=standing, epoch=epoch, index=index, routes=routes, used=used)
             for service in table.routes if table is not None else ():
                 why = left.get(service, {}).get(name)
                 if why is not None and why.reason is Reason.LEAKED:
-                    say(PARTNERS_LEAKED, partner=name, service=service, by=why.who)
+                    emit(PARTNERS_LEAKED, partner=name, service=service, by=why.who)
         self._after(changed)
 
     def _after(self, changed: Changed) -> None:
@@ -309,7 +309,7 @@
 
     def _say_standby(self) -> None:
         if self.service:
-            say(PARTNERS_STANDBY, service=self.service, state=self._state(), providers=sorted(self.standby.offered))
+            emit(PARTNERS_STANDBY, service=self.service, state=self._state(), providers=sorted(self.standby.offered))
 
     def _state(self) -> str:
         if not self.service:
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -31,7 +31,7 @@
 from loftweir.replication.part import Part
 from loftweir.replication.wire import FactOf
 from loftweir.telemetry.catalogue import PARTNERS_NOT_READ, PARTNERS_OFFERED, PARTNERS_OFFERS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 DUTY, EPOCH = "offers", "epoch"
 LOOK_EVERY = 5 * MS
@@ -81,7 +81,7 @@
                 if not shelf.read(machine.facts, self.loop.now()):
                     continue
             except NotReadable as error:
-                say(PARTNERS_NOT_READ, partner=to, why=error)
+                emit(PARTNERS_NOT_READ, partner=to, why=error)
             if shelf.head is None:
                 self.offers.pop(to, None)
             else:
@@ -148,7 +148,7 @@
             self.changed(to)
 
     def begin(self, token: int) -> None:
-        say(PARTNERS_OFFERS, token=token)
+        emit(PARTNERS_OFFERS, token=token)
         self.writer = self.loop.spawn(self._begin(token))
 
     def end(self) -> None:
@@ -208,5 +208,5 @@
     def _aim(self, to: str) -> None:
         routes = capped(self.merger().merged.shown.get(to, {}), self.limits)
         chunks = self.cutters.setdefault(to, Cutter()).cut(routes, {})
-        say(PARTNERS_OFFERED, neighbour=to, routes=len(routes))
+        emit(PARTNERS_OFFERED, neighbour=to, routes=len(routes))
         self.keeps[to].aim(Target(written(Head(chunks=tuple(chunks), routes=len(routes))), chunks))
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -21,7 +21,7 @@
 from loftweir.replication.machine import Machine
 from loftweir.replication.wire import VERSION, Fetch, Follow, Frame, Hello, Kind, News, Whole
 from loftweir.telemetry.catalogue import REPLICATION_FOLLOWS, REPLICATION_LOST
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 SILENT_AFTER = SECOND  # past its wait, until a call for news is given up
 ANSWER_WITHIN = 2 * SECOND  # for a piece of the whole
@@ -112,7 +112,7 @@
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
             self.follows = ""
-            say(REPLICATION_LOST, member=self.member, why=why)
+            emit(REPLICATION_LOST, member=self.member, why=why)
             turn += 1
             if self.loop.now() - begun_at > self.options.follow_wait + SILENT_AFTER:
                 failed, apart = 0, APART  # it worked for a while
@@ -138,7 +138,7 @@
             yield from self._take(line, news, after)
             if first:
                 self.follows = self.member
-                say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
+                emit(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
             first = False
 
     def _next(self, line: Line, within: int) -> Coroutine[Frame]:
@@ -149,14 +149,14 @@
         if news.after != after:
             raise Gap(f"news from behind {news.after}, where {after} was asked", self.member)
         if self.members and members and not self.members & members:
-            say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
+            emit(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
             yield from self._fetch(line, anew=True)
             return
         if news.index < after:
             if not news.leads:
                 raise Behind(f"at index {news.index}, behind {after}", self.member)
             error = OtherCopies(f"its leader is at index {news.index}, and {after} was told", self.member)
-            say(REPLICATION_LOST, member=self.member, why=error)
+            emit(REPLICATION_LOST, member=self.member, why=error)
             yield from self._fetch(line, anew=True)
             return
         if news.whole:
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -13,7 +13,7 @@
 from loftweir.replication.seats import founders, waits_for
 from loftweir.replication.wire import VERSION, Am, Frame, Hello, Join, Joined, Kind, TurnedAway, Who
 from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 ASK_EVERY = 200 * MS  # while it is no member; half as long again at random
 STEP_APART = 30 * MS  # from one step of joining to the next
@@ -68,7 +68,7 @@
             return False
         if self.joins:
             self.joins = False
-            say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
+            emit(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
         self.voted = self.voted or age is not None
         away = age if age is not None else self.loop.now() - self.begun_at
         return away < LONG * voter.options.election
@@ -82,7 +82,7 @@
         if not voter.begun and not voter.lost:
             members = tuple(founders(self.own, min(voter.seats), voter.seats, answers))
             if members:
-                say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
+                emit(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
                 return True
         without = [n for n, (_, am) in answers.items() if am.sure and all(m.id != voter.me for m in am.members)]
@@ -99,10 +99,10 @@
                 if joined.on:
                     self.joins = True
                     return True
-                say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
+                emit(REPLICATION_WAITS, why=f"{name}: {joined.why}")
         if not leaders and self.loop.now() > self.begun_at + SILENT_FOR:
             why = waits_for(voter.name, min(voter.seats), voter.seats, answers)
-            say(REPLICATION_WAITS, why=LOST if voter.lost else why)
+            emit(REPLICATION_WAITS, why=LOST if voter.lost else why)
         return False
 
     def _join(self) -> Join:
@@ -142,13 +142,13 @@
         try:
             line, there = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
-            say(REPLICATION_TURNED, name=name, why=error)
+            emit(REPLICATION_TURNED, name=name, why=error)
             return None
         except NotUp:
             return None
         try:
             if there.name != name:
-                say(REPLICATION_TURNED, name=name, why=f"{there.name} is at {address}")
+                emit(REPLICATION_TURNED, name=name, why=f"{there.name} is at {address}")
                 return None
             line.put(frame)
             answer = yield from line.next(until)
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -49,7 +49,7 @@
 from loftweir.replication.wire import VERSION, Am, Hello, How, News, Told
 from loftweir.replication.wire import Kind as Who
 from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.log import emit, traceback_location
 
 FOUNDS = 0  # the batch that founds; the core counts its own from 1 on
 NEWS_ENTRIES, NEWS_BYTES = 256, 256 * 1024  # of one answer to a follower; the rest comes with the next
@@ -136,7 +136,7 @@
                     self._turn_away(self.pending.popleft())
         except Exception as error:  # a fault of the program's: whatever asked must not end for it, but this part must
             self.steps = False
-            self.end(MemberBroken(repr(error), where(error)))
+            self.end(MemberBroken(repr(error), traceback_location(error)))
         self.steps = False
         self.results.clear()
         self.known_at = max(self.known_at, self.core.quorum_heard_at)  # of one that led the core forgets it
@@ -198,7 +198,7 @@
         self.feed(report)
 
     def _crashed(self, error: Exception) -> None:
-        self.end(MemberBroken(repr(error), where(error)))
+        self.end(MemberBroken(repr(error), traceback_location(error)))
 
     def end(self, why: LoftweirError) -> None:
         """This member's part is over; the sidecar serves on. Whoever owns it is told in a turn of its own, and closes
@@ -284,7 +284,7 @@
             self.keeper.lost()
         elif self.led[0] != action.term:
             self.led = action.term, self.loop.now()
-        say(
+        emit(
             REPLICATION_ROLE,
             role=action.role.value,
             term=action.term,
@@ -301,7 +301,7 @@
         self.pending.append(Compact(self.machine.index, self.machine.dump()))
 
     def _turned(self, id: str, why: str) -> None:
-        say(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
+        emit(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
 
     # ---- what others ask of it ------------------------------------------------------------------
 
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -38,7 +38,7 @@
     REPLICATION_WAITS,
     REPLICATION_WORDS,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 TRY_EVERY = 300 * MS  # for the folder and the address, that the process before this one may hold yet
 SAVE_APART = 100 * MS  # from one writing of what holds to the next, where the next process finds it
@@ -90,7 +90,7 @@
         try:
             found = remembered.load(self.folder, self.options.cluster)
         except (OSError, Damaged) as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_FORGOT, folder=str(self.folder), why=error)
             return
         if found is not None:
             self.index, self.known_at, self.members = found.index, found.known_at, frozenset(found.members)
@@ -119,14 +119,14 @@
         try:
             sock = reception.bound(address)
         except OSError as error:
-            say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
+            emit(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
             self._follow()
             return False
         try:  # second, since reading it takes the loop's time
             disk, kept, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
-            say(REPLICATION_WAITS, why=error)
+            emit(REPLICATION_WAITS, why=error)
             self._follow()
             return False
         except StorageFailed as error:
@@ -135,9 +135,9 @@
             return True
         index = kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot else 0
         folder = options.folder
-        say(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
+        emit(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
-            say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
+            emit(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
         voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._ended)
         listener = Reception(self.loop, voter, options.callers)
         listener.listen(sock)
@@ -154,7 +154,7 @@
 
     def _ended(self, why: LoftweirError) -> None:
         """The member's part is over, the sidecar's is not."""
-        say(REPLICATION_ENDED, why=why, remedy=why.remedy)
+        emit(REPLICATION_ENDED, why=why, remedy=why.remedy)
         self._end_voting()
         if not self.leaves:
             self._follow()
@@ -219,7 +219,7 @@
         self.ahead = {name: index for name, index in self.ahead.items() if index > machine.index}
         said |= {name: self.words[name] for name in self.ahead}  # not undone by an older one on the way
         self.words = said if whole or anew else {**self.words, **said}
-        say(REPLICATION_WORDS, out=self.out(), index=self.index)
+        emit(REPLICATION_WORDS, out=self.out(), index=self.index)
         self.told(said, whole or anew)
         if self.folder is not None and not self.saves:
             self.saves = True
@@ -234,7 +234,7 @@
         try:
             remembered.save(self.folder, Remembered(self.options.cluster, self.index, now, sorted(self.members), words))
         except OSError as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_FORGOT, folder=str(self.folder), why=error)
 
     def out(self) -> list[str]:
         return sorted(name for name, command in self.words.items() if command.on)
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -53,7 +53,7 @@
     written,
 )
 from loftweir.telemetry.catalogue import REPLICATION_TURNED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 BACKLOG = 512  # a voter that comes back is called by many at once
 UNGREETED = 64  # connections that have not said who they are; more wait to be accepted
@@ -160,10 +160,10 @@
                 kept = True
                 self._serve(line, hello)
             else:
-                say(REPLICATION_TURNED, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
+                emit(REPLICATION_TURNED, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
                 yield from self._send_away(line, refused)
         except (BadFrame, TurnedAway) as error:
-            say(REPLICATION_TURNED, name="", why=error)
+            emit(REPLICATION_TURNED, name="", why=error)
             yield from self._send_away(line, Turned(Why.FORM, f"version {VERSION}"))
         except Broken:
             pass
@@ -231,7 +231,7 @@
                     voter.feed(Heard(frame))
         except Broken as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=hello.name, why=error)
+                emit(REPLICATION_TURNED, name=hello.name, why=error)
         finally:
             if self.members.get(hello.id) is line:
                 del self.members[hello.id]
@@ -269,7 +269,7 @@
                     yield Wait(None, 0, self.loop.now())  # the others' turn
         except Broken as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=self.others[line].name, why=error)
+                emit(REPLICATION_TURNED, name=self.others[line].name, why=error)
         finally:
             self.others.pop(line, None)
             self.parked.pop(line, None)
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -35,7 +35,7 @@
     STOP_BEGUN,
     STOP_DONE,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
@@ -141,7 +141,7 @@
                 self.writes = True
                 apart = self.options.state.write_apart
                 self.loop.after(max(0, self.written_at + apart - self.loop.now()), self._write)
-        say(
+        emit(
             DISCOVERY_LIST_IS,
             kind=update.kind.value,
             index=update.version,
@@ -233,9 +233,9 @@
         try:
             snapshot = self.disk.load()
         except Damaged as damaged:
-            say(STATE_DAMAGED, file=str(self.disk.path), at=damaged.at, why=damaged.why)
+            emit(STATE_DAMAGED, file=str(self.disk.path), at=damaged.at, why=damaged.why)
         except OSError as error:
-            say(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
+            emit(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
         now = time.time_ns()
         chosen = choose(given, snapshot, now, self.options.state.trust_for)
         self.holding = Holding(snapshot.epoch if snapshot else 0)
@@ -243,7 +243,7 @@
             given, addresses = snapshot.update()
         age = (now - snapshot.taken_at) // MS if snapshot else 0
         epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, given.version)
-        say(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
+        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
         return given, addresses
 
     def _write(self) -> None:
@@ -253,7 +253,7 @@
         try:
             self.disk.save(self.holding.snapshot(time.time_ns()))
         except OSError as error:
-            say(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
+            emit(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
 
     def _obey(
         self, woken: socket.socket, wakes: socket.socket, came: set[int], reload: Callable[[], None]
@@ -271,7 +271,7 @@
             for number in came - {signal.SIGHUP}:
                 came.discard(number)
                 if self.life.step(Step.END):
-                    say(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
+                    emit(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
                     self.loop.spawn(self._stop(wakes))
             if hears_from is not None and self.loop.now() >= hears_from:
                 hears_from = None
@@ -303,7 +303,7 @@
         return self.front.takes_clients()
 
     def _changed(self, before: State) -> None:
-        say(LIFE_CHANGED, state=self.life.state.value, before=before.value, open=len(self.host.invocations))
+        emit(LIFE_CHANGED, state=self.life.state.value, before=before.value, open=len(self.host.invocations))
         if self.life.state is State.LEAVING:
             self.loop.spawn(self._empty())
 
@@ -344,7 +344,7 @@
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         for number in OBEYED:  # Python's own end takes its handlers away: one that comes then would be the exit code
             signal.signal(number, signal.SIG_IGN)
-        say(STOP_DONE, left=front.close())
+        emit(STOP_DONE, left=front.close())
         if self.partners is not None:
             self.partners.close()
         if self.fleet is not None:
--- a/loftweir/telemetry/log.py
+++ b/loftweir/telemetry/log.py
@@ -1,4 +1,4 @@
-"""The program's log: `say` an event of the catalogue with its fields. Saying something never waits.
+"""The program's log: `emit` an event of the catalogue with its fields. Saying something never waits.
 
 The standard library's logging carries the records (structlog does the same for 7 MB more of resident memory, see
 docs/design/command-line.md); one handler formats them and hands them to the `Writer`.
@@ -72,7 +72,7 @@
     return record
 
 
-def say(event: Event, **fields: Any) -> None:
+def emit(event: Event, **fields: Any) -> None:
     """Logs an event. One that keeps coming is said once in the interval, with `left_out` where some were."""
     if not LOGGER.isEnabledFor(event.level):
         return
@@ -96,7 +96,7 @@
     assert isinstance(key, tuple)
     name, apart = key
     if LOGGER.isEnabledFor(EVENTS[name].level):
-        say(LOG_REPEATS, of=name, apart=" ".join(apart), left_out=left_out)
+        emit(LOG_REPEATS, of=name, apart=" ".join(apart), left_out=left_out)
 
 
 def close() -> None:
@@ -107,7 +107,7 @@
         HANDLER.writer.close(LAST_WORDS)
 
 
-def where(error: BaseException) -> str:
+def traceback_location(error: BaseException) -> str:
     """The innermost line of a traceback, for a log of one line."""
     at = error.__traceback__
     while at is not None and at.tb_next is not None:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -33,11 +33,11 @@
     loop, said = Loop(), []
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
 
-    def say(event, **fields):
+    def emit(event, **fields):
         if event is DISCOVERY_LIST:
             said.append(fields["why"])
 
-    with mock.patch("loftweir.http1.discovery.say", say):
+    with mock.patch("loftweir.http1.discovery.emit", emit):
         Discovery(loop, "nowhere", Options(), lambda *_: setattr(loop, "stopped", True)).fetch()
         loop.run()
     raise said[0]
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -34,11 +34,11 @@
 
 
 def said():
-    """Every call of `say` in the program: the event's constant and the fields given."""
+    """Every call of `emit` in the program: the event's constant and the fields given."""
     for file in (ROOT / "loftweir").rglob("*.py"):
         for node in ast.walk(ast.parse(file.read_text(encoding="utf-8"))):
             called = node.func if isinstance(node, ast.Call) else None
-            if getattr(called, "attr", getattr(called, "id", "")) == "say" and node.args:
+            if getattr(called, "attr", getattr(called, "id", "")) == "emit" and node.args:
                 names = set()
                 for keyword in node.keywords:
                     if keyword.arg is not None:
