--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -18,7 +18,7 @@
 from loftweir import listclock
 from loftweir.config.lists import read_list
 from loftweir.config.model import Options
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.core.host import Host
 from loftweir.core.invocation import Call
 from loftweir.http1.discovery import Discovery
@@ -97,7 +97,7 @@
         self.ask_within = settings.safety.ask_within
         replication = plan.options.replication
         self.follower = Follower(
-            loop, name, secrets.token_hex(8), replication, seats(replication.members), self._applied
+            loop, name, secrets.token_hex(8), replication, parse_members(replication.members), self._applied
         )
         self.discovery = Discovery(loop, plan.discovery, plan.options, self._listed)
         self.host: Host | None = None
--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -28,7 +28,7 @@
 from loftweir.catalog.contract import ONCE, of
 from loftweir.catalog.names import BadName, global_name, mesh_name, parts, short_name
 from loftweir.config.faults import MISSING, Fault, Faulty
-from loftweir.config.operator import LARGEST, nearest, read_table
+from loftweir.config.operator import MAX_FILE_BYTES, read_table, suggest_key
 from loftweir.interface import Endpoint, RequestClass
 
 MOST = 10_000  # services
@@ -89,7 +89,7 @@
 
     for key in data:
         if key not in KEYS:
-            fault(key, data[key], nearest(str(key), KEYS))
+            fault(key, data[key], suggest_key(str(key), KEYS))
     mesh = named(mesh_name, data.get("mesh", site), "mesh")
     meshes: dict[str, str] = {}
     for name, value in _table(data, "meshes", fault).items():
@@ -113,7 +113,7 @@
             continue
         for key in row:
             if key not in OF_SERVICE:
-                fault(f"{place}.{key}", row[key], nearest(str(key), OF_SERVICE))
+                fault(f"{place}.{key}", row[key], suggest_key(str(key), OF_SERVICE))
         name = row.get("name", MISSING)
         if isinstance(name, str) and "@" not in name:
             name = f"{name}@{mesh}"
@@ -141,11 +141,11 @@
 def _json(path: str, faults: list[Fault]) -> dict[str, Any]:
     try:
         with open(path, "rb") as opened:
-            data = opened.read(LARGEST + 1)
-        found = ujson.loads(data.decode("utf-8")) if len(data) <= LARGEST else None
+            data = opened.read(MAX_FILE_BYTES + 1)
+        found = ujson.loads(data.decode("utf-8")) if len(data) <= MAX_FILE_BYTES else None
         if isinstance(found, dict):
             return found
-        faults.append(Fault(path, "", len(data), f"an object, in at most {LARGEST} bytes"))
+        faults.append(Fault(path, "", len(data), f"an object, in at most {MAX_FILE_BYTES} bytes"))
     except OSError as error:
         faults.append(Fault(path, "", error.strerror or str(error), "a file that can be read"))
     except (ValueError, RecursionError) as error:
--- a/loftweir/cli/attempt.py
+++ b/loftweir/cli/attempt.py
@@ -15,7 +15,7 @@
 
 import click
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.standins.toy import Members, configuration, discovery, provider
 
 READY_WITHIN = 10.0  # seconds
@@ -72,7 +72,7 @@
 def ready(sidecar: subprocess.Popen[bytes], listen: str) -> bool:
     until = time.monotonic() + READY_WITHIN
     while time.monotonic() < until and sidecar.poll() is None:
-        client = HTTPConnection(*host_and_port(listen), timeout=1)
+        client = HTTPConnection(*split_host_port(listen), timeout=1)
         try:
             client.request("GET", "/_health")
             if client.getresponse().status == 200:
--- a/loftweir/cli/config.py
+++ b/loftweir/cli/config.py
@@ -10,7 +10,7 @@
 from loftweir.config import operator, platform, reference
 from loftweir.config.faults import Faulty
 from loftweir.config.model import keys
-from loftweir.config.units import written
+from loftweir.config.units import format_quantity
 from loftweir.daemon import changes
 
 
@@ -35,7 +35,7 @@
     rows.append(("known", f"{len(of_platform.known.endpoints)} providers", "file", "platform"))
     for key in keys():
         value = getattr(getattr(loaded.options, key.section), key.name)
-        rows.append((key.path, written(key.spec.unit, value), loaded.sources[key.path], "operator"))
+        rows.append((key.path, format_quantity(key.spec.unit, value), loaded.sources[key.path], "operator"))
     if as_json:
         print_json([dict(zip(("key", "value", "source", "of"), row, strict=True)) for row in rows])
     else:
--- a/loftweir/cli/explain.py
+++ b/loftweir/cli/explain.py
@@ -13,9 +13,9 @@
 
 from loftweir.cli.common import as_json, configured, print_json, print_table, read_or_end, where_from
 from loftweir.config.lists import read_list
-from loftweir.config.model import time as duration
-from loftweir.config.operator import value_of
-from loftweir.config.units import host_and_port
+from loftweir.config.model import duration
+from loftweir.config.operator import convert_value
+from loftweir.config.units import split_host_port
 from loftweir.errors import LoftweirError
 from loftweir.explain import BEHAVIOURS, Explanation, Traffic
 from loftweir.explain import explain as play
@@ -31,11 +31,11 @@
 class Duration(click.ParamType[int]):
     name = "duration"
 
-    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
+    def convert_value(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
         if isinstance(value, int):
             return value
         try:
-            return int(value_of(GAP, value))
+            return int(convert_value(GAP, value))
         except ValueError as error:
             self.fail(f"{value!r} is not {error}", param, ctx)
 
@@ -121,7 +121,7 @@
 
 
 def fetched(address: str) -> MembershipUpdate:
-    host, port = host_and_port(address)
+    host, port = split_host_port(address)
     client = http.client.HTTPConnection(host, port, timeout=ASK_WITHIN)
     try:
         client.request("GET", PATH)
--- a/loftweir/config/model.py
+++ b/loftweir/config/model.py
@@ -15,7 +15,15 @@
 import msgspec
 
 from loftweir import listclock
-from loftweir.config.units import Unit, label, own_address, plain, seats, service, written
+from loftweir.config.units import (
+    Unit,
+    check_address,
+    check_plain_text,
+    format_quantity,
+    parse_label,
+    parse_members,
+    parse_service,
+)
 from loftweir.listclock import ANEW, LEAST
 
 MS, SECOND, MINUTE, HOUR = 1_000_000, 1_000_000_000, 60_000_000_000, 3_600_000_000_000
@@ -31,17 +39,18 @@
     most: float = float("inf")
     live: bool = True
     choices: tuple[str, ...] = ()
-    check: Callable[[str], object] = plain  # of text: a ValueError says what was expected
+    check: Callable[[str], object] = check_plain_text  # of text: a ValueError says what was expected
 
     def expected(self) -> str:
         if self.unit is Unit.TEXT:
             return "text"
         if self.unit is Unit.CHOICE:
             return f"one of {', '.join(self.choices)}"
-        return f"{self.unit.value}, from {written(self.unit, self.least)} to {written(self.unit, self.most)}"
+        least, most = format_quantity(self.unit, self.least), format_quantity(self.unit, self.most)
+        return f"{self.unit.value}, from {least} to {most}"
 
 
-def time(about: str, least: int, most: int, live: bool = True) -> Spec:
+def duration(about: str, least: int, most: int, live: bool = True) -> Spec:
     return Spec(Unit.DURATION, about, least, most, live)
 
 
@@ -61,7 +70,7 @@
     return Spec(Unit.CHOICE, about, live=live, choices=choices)
 
 
-def text(about: str, check: Callable[[str], object] = plain, live: bool = True) -> Spec:
+def text(about: str, check: Callable[[str], object] = check_plain_text, live: bool = True) -> Spec:
     return Spec(Unit.TEXT, about, live=live, check=check)
 
 
@@ -74,38 +83,39 @@
 
     request_within: Annotated[
         int,
-        time(
+        duration(
             "for a request's head: the first on a connection from its opening on, a later one from its first byte on; "
             "a body has at least as long",
             10 * MS,
             HOUR,
         ),
     ] = 2500 * MS
-    idle_for: Annotated[int, time("that a consumer's connection may rest between requests", 10 * MS, 24 * HOUR)] = (
+    idle_for: Annotated[int, duration("that a consumer's connection may rest between requests", 10 * MS, 24 * HOUR)] = (
         5 * SECOND
     )
-    write_within: Annotated[int, time("for a consumer to read a whole answer", 10 * MS, HOUR)] = 5 * SECOND
+    write_within: Annotated[int, duration("for a consumer to read a whole answer", 10 * MS, HOUR)] = 5 * SECOND
     sends_within: Annotated[
-        int, time("in which a new connection is not closed to make room: it has not had its turn to send", 0, MINUTE)
+        int,
+        duration("in which a new connection is not closed to make room: it has not had its turn to send", 0, MINUTE),
     ] = 250 * MS
-    linger_for: Annotated[int, time("to read off what follows a last answer, so that it is not reset", 0, MINUTE)] = (
-        SECOND
-    )
+    linger_for: Annotated[
+        int, duration("to read off what follows a last answer, so that it is not reset", 0, MINUTE)
+    ] = SECOND
     linger_bytes: Annotated[int, size("read off at most behind a last answer", 0, GIB)] = MIB
     body: Annotated[int, size("of one request's body; over it is answered 413", 1, 64 * MIB)] = 32 * MIB
     body_within: Annotated[
-        int, time("for a request's body, beside what its bytes take at `body_rate`", 10 * MS, HOUR)
+        int, duration("for a request's body, beside what its bytes take at `body_rate`", 10 * MS, HOUR)
     ] = SECOND
     body_rate: Annotated[int, size("a second, the least at which a body has to come", 1, GIB)] = 48 * KIB
-    body_silent: Annotated[int, time("with nothing of a body that has begun, until it is given up", 10 * MS, HOUR)] = (
-        2 * SECOND
-    )
+    body_silent: Annotated[
+        int, duration("with nothing of a body that has begun, until it is given up", 10 * MS, HOUR)
+    ] = 2 * SECOND
     held: Annotated[
         int, size("of an answer that are waited for as a whole; a longer one is passed on as it comes", 1, MIB)
     ] = 64 * KIB
-    silent_for: Annotated[int, time("with nothing of a long answer, until its provider is given up", 10 * MS, HOUR)] = (
-        5 * SECOND
-    )
+    silent_for: Annotated[
+        int, duration("with nothing of a long answer, until its provider is given up", 10 * MS, HOUR)
+    ] = 5 * SECOND
     answer: Annotated[
         int, size("of one answer's body; over it the invoker call is an error that may have run", 1, GIB)
     ] = 32 * MIB
@@ -131,9 +141,9 @@
         int, count("descriptors kept from both for the streams, epoll, the listener and discovery", 8, 1024, live=False)
     ] = 16
     backlog: Annotated[int, count("connections that wait in the listener's queue", 1, 65535, live=False)] = 512
-    retry_accept: Annotated[int, time("until accepting is tried again where there is no room", MS, SECOND)] = 5 * MS
+    retry_accept: Annotated[int, duration("until accepting is tried again where there is no room", MS, SECOND)] = 5 * MS
     accept_after_term: Annotated[
-        int, time("that it goes on accepting after SIGTERM: clients learn of a stop later than it does", 0, MINUTE)
+        int, duration("that it goes on accepting after SIGTERM: clients learn of a stop later than it does", 0, MINUTE)
     ] = 700 * MS
 
 
@@ -142,7 +152,7 @@
 
     idle_margin: Annotated[
         int,
-        time(
+        duration(
             "before the platform's `connIdle` that a resting connection is closed: none then crosses a request",
             0,
             MINUTE,
@@ -150,7 +160,7 @@
     ] = 500 * MS
     rest_least: Annotated[
         int,
-        time(
+        duration(
             "that a connection rests before another request goes over it, while others have rested longer: a "
             "provider that closes behind its answer has then shown it",
             0,
@@ -163,26 +173,27 @@
 class Discovery(Section, frozen=True, kw_only=True):
     """Calls to discovery."""
 
-    wait: Annotated[int, time("that discovery may hold a watch with no news", 100 * MS, MINUTE)] = 4 * SECOND
+    wait: Annotated[int, duration("that discovery may hold a watch with no news", 100 * MS, MINUTE)] = 4 * SECOND
     # What a call misses that fails counts as told soon: `listclock` says how these figures fit into that.
     silent_after: Annotated[
-        int, time("past its wait, until a watch with no answer is taken for silent, and asked anew", 50 * MS, MINUTE)
+        int,
+        duration("past its wait, until a watch with no answer is taken for silent, and asked anew", 50 * MS, MINUTE),
     ] = 600 * MS
     answer_within: Annotated[
         int,
-        time("until a call that does not wait is taken for silent, from its connecting on", 50 * MS, MINUTE),
+        duration("until a call that does not wait is taken for silent, from its connecting on", 50 * MS, MINUTE),
     ] = 1400 * MS
     connect_within: Annotated[
-        int, time("for a connection to discovery to be up, as a part of its call's time", 10 * MS, MINUTE)
+        int, duration("for a connection to discovery to be up, as a part of its call's time", 10 * MS, MINUTE)
     ] = SECOND
     # A watch goes on where its next call comes within 200 ms of the last answer: later ones begin anew.
-    calls_apart: Annotated[int, time("from call to call at least", MS, 180 * MS)] = 100 * MS
+    calls_apart: Annotated[int, duration("from call to call at least", MS, 180 * MS)] = 100 * MS
     list_size: Annotated[int, size("of one answer of discovery", KIB, 256 * MIB)] = 4 * MIB
     # Where lists are pushed, the agent beside the sidecar answers at no cost and what it has counts as told: it
     # is watched always, a silent one is soon given up and called again.
-    agent_wait: Annotated[int, time("that the agent that pushes lists may hold a watch", 10 * MS, MINUTE)] = SECOND
+    agent_wait: Annotated[int, duration("that the agent that pushes lists may hold a watch", 10 * MS, MINUTE)] = SECOND
     agent_silent_after: Annotated[
-        int, time("past its wait, until a call to the agent with no answer is taken for failed", 10 * MS, MINUTE)
+        int, duration("past its wait, until a call to the agent with no answer is taken for failed", 10 * MS, MINUTE)
     ] = 250 * MS
 
 
@@ -192,7 +203,7 @@
     format: Annotated[str, choice("of a line on standard error", "json", "logfmt", "console")] = "json"
     level: Annotated[str, choice("the least that is said", "debug", "info", "warning", "error")] = "info"
     repeat_every: Annotated[
-        int, time("in which an event that keeps coming is said once, with the number left out", 0, HOUR)
+        int, duration("in which an event that keeps coming is said once, with the number left out", 0, HOUR)
     ] = 10 * SECOND
     keep: Annotated[
         int, size("of lines kept for a reader that stalls; past it they are dropped and counted", KIB, 64 * MIB)
@@ -207,7 +218,7 @@
             "all",
         ),
     ] = "off"
-    access_slow: Annotated[int, time("from which an invocation counts as slow", MS, HOUR)] = 500 * MS
+    access_slow: Annotated[int, duration("from which an invocation counts as slow", MS, HOUR)] = 500 * MS
     access_sample: Annotated[float, share("of the others that `sampled` says, chosen by id", 0.0, 1.0)] = 0.01
 
 
@@ -215,10 +226,10 @@
     """The snapshot of the list, in `$TMPDIR`, that a start takes where the platform gives an older one or none."""
 
     keep: Annotated[str, choice("the last list held, as a snapshot to start with", "off", "on", live=False)] = "off"
-    trust_for: Annotated[int, time("after it was written, that a snapshot may be started with", SECOND, HOUR)] = (
+    trust_for: Annotated[int, duration("after it was written, that a snapshot may be started with", SECOND, HOUR)] = (
         60 * SECOND
     )
-    write_apart: Annotated[int, time("from one snapshot to the next at least", 10 * MS, MINUTE)] = SECOND
+    write_apart: Annotated[int, duration("from one snapshot to the next at least", 10 * MS, MINUTE)] = SECOND
 
 
 class Replication(Section, frozen=True, kw_only=True):
@@ -229,7 +240,7 @@
         text(
             "the sidecars that vote, by the platform's `name`, each with the address where it listens for the others: "
             '"n0=127.0.0.1:7101, n1=..."; the same in the file of every sidecar; empty: off',
-            seats,
+            parse_members,
             live=False,
         ),
     ] = ""
@@ -241,12 +252,12 @@
             live=False,
         ),
     ] = ""
-    beat: Annotated[int, time("from one sign of life of the leader to the next", 5 * MS, 10 * SECOND, live=False)] = (
-        100 * MS
-    )
+    beat: Annotated[
+        int, duration("from one sign of life of the leader to the next", 5 * MS, 10 * SECOND, live=False)
+    ] = 100 * MS
     election: Annotated[
         int,
-        time(
+        duration(
             "without a leader, from this to twice as long, until another stands; above the longest pause of a disk's "
             "sync and of the network",
             20 * MS,
@@ -256,7 +267,7 @@
     ] = 500 * MS
     write_within: Annotated[
         int,
-        time(
+        duration(
             "for the promise that a word to the fleet is kept; past it the answer is an error",
             100 * MS,
             MINUTE,
@@ -264,7 +275,7 @@
         ),
     ] = 2 * SECOND
     follow_wait: Annotated[
-        int, time("that a call for news may be held where there are none", 50 * MS, MINUTE, live=False)
+        int, duration("that a call for news may be held where there are none", 50 * MS, MINUTE, live=False)
     ] = SECOND
     callers: Annotated[
         int,
@@ -285,7 +296,7 @@
         str,
         text(
             "name of this site, as its neighbours know it; `replication.members` is needed; empty: off",
-            label,
+            parse_label,
             live=False,
         ),
     ] = ""
@@ -300,7 +311,7 @@
         str,
         text(
             "where neighbours ask this sidecar for this site's routes; set it at those that vote; empty: nowhere",
-            own_address,
+            check_address,
             live=False,
         ),
     ] = ""
@@ -309,31 +320,32 @@
         text(
             "the service whose providers this sidecar's discovery lists, as orders@shop: a partner's take their place "
             "while none of them is ready; empty: never",
-            service,
+            parse_service,
             live=False,
         ),
     ] = ""
-    wait: Annotated[int, time("that a call may be held by a partner with no news", 100 * MS, MINUTE, live=False)] = (
-        5 * SECOND
-    )
+    wait: Annotated[
+        int, duration("that a call may be held by a partner with no news", 100 * MS, MINUTE, live=False)
+    ] = 5 * SECOND
     silent_after: Annotated[
-        int, time("past its wait, until a call with no answer is given up and made anew", 50 * MS, MINUTE, live=False)
+        int,
+        duration("past its wait, until a call with no answer is given up and made anew", 50 * MS, MINUTE, live=False),
     ] = SECOND
     hold: Annotated[
         int,
-        time(
+        duration(
             "with no good answer of a partner, until what it told is stale: used as the last choice, shown to nobody",
             SECOND,
             HOUR,
             live=False,
         ),
     ] = 15 * SECOND
-    gone: Annotated[int, time("of being stale, until nothing of a partner is used", 100 * MS, HOUR, live=False)] = (
+    gone: Annotated[int, duration("of being stale, until nothing of a partner is used", 100 * MS, HOUR, live=False)] = (
         30 * SECOND
     )
     lease: Annotated[
         int,
-        time(
+        duration(
             "of the lease under which one sidecar asks a partner: so long after its end the next one begins",
             SECOND,
             MINUTE,
@@ -442,13 +454,13 @@
             yield (
                 f"discovery.{prefix}{name}",
                 (
-                    f"at most {written(Unit.DURATION, most)}: a change counts as told 6 s after discovery had it, and "
-                    "past a call that fell silent there must be time to ask anew"
+                    f"at most {format_quantity(Unit.DURATION, most)}: a change counts as told 6 s after discovery "
+                    "had it, and past a call that fell silent there must be time to ask anew"
                 ),
             )
 
 
-THROUGH_COPIES = 500 * MS  # of `partners.hold`, kept for what is confirmed to reach all sidecars
+REPLICATION_MARGIN = 500 * MS  # of `partners.hold`, kept for what is confirmed to reach all sidecars
 
 
 def _partners_contradict(options: Options) -> Iterator[tuple[str, str]]:
@@ -457,11 +469,11 @@
         yield "partners.site", "empty, or replication.members named: what partners tell is kept in the copies"
     if not partners.file:
         yield "partners.file", "a file, since partners.site names a site"
-    least = partners.wait + partners.silent_after + ANEW * LEAST + THROUGH_COPIES
+    least = partners.wait + partners.silent_after + ANEW * LEAST + REPLICATION_MARGIN
     if partners.hold < least:
         yield (
             "partners.hold",
-            (f"at least {written(Unit.DURATION, least)}: partners.wait, silent_after, and time to ask anew"),
+            (f"at least {format_quantity(Unit.DURATION, least)}: partners.wait, silent_after, and time to ask anew"),
         )
     if partners.hold < 2 * partners.lease:
         yield "partners.hold", "at least twice partners.lease: the next sidecar has to have asked by then"
--- a/loftweir/config/operator.py
+++ b/loftweir/config/operator.py
@@ -12,10 +12,10 @@
 
 from loftweir.config.faults import Fault, Faulty
 from loftweir.config.model import Key, Options, Spec, contradictions, keys, sections
-from loftweir.config.units import Unit, parse, plain, written
+from loftweir.config.units import Unit, check_plain_text, format_quantity, parse_quantity
 
 FILE_VARIABLE = "LOFTWEIR_OPERATOR"
-LARGEST = 1024 * 1024  # bytes of a file that is read at all
+MAX_FILE_BYTES = 1024 * 1024  # bytes of a file that is read at all
 
 
 class Loaded(NamedTuple):
@@ -34,7 +34,7 @@
     for path, raw in flat(table, file, faults):
         key = known.get(path)
         if key is None:
-            faults.append(Fault(file, path, raw, nearest(path, known)))
+            faults.append(Fault(file, path, raw, suggest_key(path, known)))
         else:
             take(key, raw, file, "file", values, sources, faults)
     variables = {key.variable: key for key in known.values()}
@@ -44,7 +44,7 @@
         if variable in variables:
             take(variables[variable], text, "environment", "environment", values, sources, faults, variable)
         else:
-            faults.append(Fault("environment", variable, text, nearest(variable, variables)))
+            faults.append(Fault("environment", variable, text, suggest_key(variable, variables)))
     for path, text in (flags or {}).items():
         take(known[path], text, "command line", "flag", values, sources, faults)
     tables: dict[str, dict[str, Any]] = {name: {} for name in sections()}
@@ -57,7 +57,7 @@
         if path not in wrong:
             section, _, name = path.partition(".")
             got = getattr(getattr(options, section), name)
-            faults.append(Fault(file or "environment", path, written(known[path].spec.unit, got), expected))
+            faults.append(Fault(file or "environment", path, format_quantity(known[path].spec.unit, got), expected))
     if faults:
         raise Faulty(faults)
     return Loaded(options, sources, file)
@@ -68,9 +68,9 @@
 
     try:
         with open(file, "rb") as opened:
-            data = opened.read(LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ValueError(f"it has more than {LARGEST} bytes")
+            data = opened.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"it has more than {MAX_FILE_BYTES} bytes")
         return tomllib.loads(data.decode("utf-8"))
     except OSError as error:
         faults.append(Fault(file, "", error.strerror or str(error), "a file that can be read"))
@@ -84,7 +84,7 @@
     known = sections()
     for name, inner in table.items():
         if name not in known:
-            faults.append(Fault(file, name, inner, nearest(name, known)))
+            faults.append(Fault(file, name, inner, suggest_key(name, known)))
         elif not isinstance(inner, dict):
             faults.append(Fault(file, name, inner, f"a table, [{name}]"))
         else:
@@ -92,7 +92,7 @@
                 yield f"{name}.{key}", value
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def suggest_key(name: str, known: Iterable[str]) -> str:
     from difflib import get_close_matches
 
     close = get_close_matches(name, list(known), 1, 0.5)
@@ -110,13 +110,13 @@
     path: str = "",
 ) -> None:
     try:
-        values[key.path] = value_of(key.spec, raw, loose=source != "file")
+        values[key.path] = convert_value(key.spec, raw, loose=source != "file")
         sources[key.path] = source
     except ValueError as error:
         faults.append(Fault(file, path or key.path, raw, str(error)))
 
 
-def value_of(spec: Spec, raw: Any, loose: bool = False) -> Any:
+def convert_value(spec: Spec, raw: Any, loose: bool = False) -> Any:
     """A value in base units; `loose` takes the text of a variable or flag for a number."""
     if spec.unit is Unit.CHOICE:
         if raw not in spec.choices:
@@ -125,11 +125,13 @@
     if spec.unit is Unit.TEXT:
         if not isinstance(raw, str):
             raise ValueError(spec.expected())
-        plain(raw)
+        check_plain_text(raw)
         spec.check(raw)
         return raw
     try:
-        value = msgspec.convert(raw, int, strict=not loose) if spec.unit is Unit.COUNT else parse(spec.unit, raw)
+        value = (
+            msgspec.convert(raw, int, strict=not loose) if spec.unit is Unit.COUNT else parse_quantity(spec.unit, raw)
+        )
     except (msgspec.ValidationError, ValueError):
         raise ValueError(spec.expected()) from None
     if not spec.least <= value <= spec.most:
--- a/loftweir/config/platform.py
+++ b/loftweir/config/platform.py
@@ -12,7 +12,7 @@
 from loftweir.config.faults import MISSING, Fault, Faulty
 from loftweir.config.lists import NotAList, read_list
 from loftweir.config.model import Options
-from loftweir.config.units import host_and_port, seats
+from loftweir.config.units import parse_members, split_host_port
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.settings import Nested, settings_and_faults
 
@@ -95,7 +95,7 @@
     def address(self, path: str, override: str | None, variable: str) -> tuple[str, str]:
         value = override or self.get(path)
         try:
-            host_and_port(value if isinstance(value, str) else "")
+            split_host_port(value if isinstance(value, str) else "")
         except ValueError:
             at = Fault("environment", variable, value, "") if override else Fault(self.file, path, value, "")
             self.faults.append(at._replace(expected="an address as host:port"))
@@ -174,7 +174,7 @@
     settings = reader.settings()
     known, addresses = reader.known()
     name = str(reader.data.get("name", ""))
-    if name in seats(options.replication.members) and not options.replication.folder:
+    if name in parse_members(options.replication.members) and not options.replication.folder:
         reader.fault("name", "no member of the operator's replication.members while replication.folder is empty", name)
     if settings is not None:
         rests_for = settings.conn_idle - options.providers.idle_margin
--- a/loftweir/config/reference.py
+++ b/loftweir/config/reference.py
@@ -6,14 +6,14 @@
 from inspect import getdoc
 
 from loftweir.config.model import Key, keys, sections
-from loftweir.config.units import Unit, written
+from loftweir.config.units import Unit, format_quantity
 
 WIDTH = 100
 
 
 def example(key: Key) -> str:
     """The default as the file has it: what an example shows is what holds without it."""
-    value = written(key.spec.unit, key.default)
+    value = format_quantity(key.spec.unit, key.default)
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
@@ -22,7 +22,7 @@
         return ", ".join(f"`{choice}`" for choice in key.spec.choices)
     if key.spec.unit is Unit.TEXT:
         return key.spec.expected()
-    return f"{written(key.spec.unit, key.spec.least)} to {written(key.spec.unit, key.spec.most)}"
+    return f"{format_quantity(key.spec.unit, key.spec.least)} to {format_quantity(key.spec.unit, key.spec.most)}"
 
 
 def of(section: str) -> list[Key]:
--- a/loftweir/config/units.py
+++ b/loftweir/config/units.py
@@ -21,7 +21,7 @@
     TEXT = "text"
 
 
-def parse(unit: Unit, text: object) -> int | float:
+def parse_quantity(unit: Unit, text: object) -> int | float:
     """A written quantity in base units (ns, bytes, parts of one); a ValueError says what was expected.
 
     Durations and sizes must come out whole: "0.5ns" is no time that a clock tells.
@@ -45,7 +45,7 @@
     return value
 
 
-def written(unit: Unit, value: object) -> object:
+def format_quantity(unit: Unit, value: object) -> object:
     """A value in base units as the file has it: in the largest unit that keeps it whole."""
     if unit is Unit.SHARE and isinstance(value, float):
         return f"{value * 100:.10g}%"
@@ -58,7 +58,7 @@
     return value
 
 
-def host_and_port(address: str) -> tuple[str, int]:
+def split_host_port(address: str) -> tuple[str, int]:
     """An address as the platform writes it; a ValueError where it is none."""
     host, sign, port = address.rpartition(":")
     if not sign or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
@@ -70,54 +70,54 @@
 NAME = rf"{LABEL}(?:\.{LABEL})*"
 
 
-def label(text: str) -> str:
+def parse_label(text: str) -> str:
     """A site's name, in small letters; empty stays so. A ValueError where it is none."""
     if text and not re.fullmatch(LABEL, text):
         raise ValueError("a label of RFC 1123: letters, digits and hyphens, as bergen")
     return text.lower()
 
 
-def service(text: str) -> str:
+def parse_service(text: str) -> str:
     """A service's name, in small letters; empty stays so. A ValueError where it is none."""
     if text and not re.fullmatch(f"{NAME}@{NAME}", text):
         raise ValueError("a service's name as orders@shop")
     return text.lower()
 
 
-def own_address(text: str) -> str:
+def check_address(text: str) -> str:
     """Where to listen; empty stays so. A ValueError where it is no host:port."""
     if text:
-        host_and_port(text)
+        split_host_port(text)
     return text
 
 
-SEAT = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
-FEWEST, MOST = 3, 5  # seats: fewer keep nothing when one is lost, more make every write slower
+MEMBER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
+MIN_MEMBERS, MAX_MEMBERS = 3, 5  # seats: fewer keep nothing when one is lost, more make every write slower
 
 
-def seats(text: str) -> dict[str, str]:
+def parse_members(text: str) -> dict[str, str]:
     """The members that vote, "n0=127.0.0.1:7101, n1=...": name to address, in the order of names; none: no copies.
     A ValueError names the place that is wrong."""
     found: dict[str, str] = {}
     for part in text.split(",") if text.strip() else ():
         name, _, address = (piece.strip() for piece in part.partition("="))
-        if not SEAT.fullmatch(name):
+        if not MEMBER_NAME.fullmatch(name):
             raise ValueError(f"name=host:port for each member, not {part.strip()[:40]!r}")
         if name in found:
             raise ValueError(f"each member once, {name} is there twice")
         try:
-            host_and_port(address)
+            split_host_port(address)
         except ValueError:
             raise ValueError(f"host:port behind {name}=, not {address[:40]!r}") from None
         if address in found.values():
             raise ValueError(f"an address of its own behind {name}=, {address} is another's")
         found[name] = address
-    if found and not FEWEST <= len(found) <= MOST:
-        raise ValueError(f"{FEWEST} to {MOST} members as name=host:port, not {len(found)}")
+    if found and not MIN_MEMBERS <= len(found) <= MAX_MEMBERS:
+        raise ValueError(f"{MIN_MEMBERS} to {MAX_MEMBERS} members as name=host:port, not {len(found)}")
     return dict(sorted(found.items()))
 
 
-def plain(text: str) -> str:
+def check_plain_text(text: str) -> str:
     """A word for a name or a path; a ValueError where it holds what no line of a log should."""
     if not text.isprintable() or len(text) > 1024:
         raise ValueError("plain text of up to 1024 characters")
--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -12,7 +12,7 @@
 from loftweir.config import operator, platform
 from loftweir.config.faults import Fault, Faulty
 from loftweir.config.model import Log, Options, keys
-from loftweir.config.units import written
+from loftweir.config.units import format_quantity
 from loftweir.interface import Settings
 from loftweir.net.loop import Loop
 from loftweir.sidecar import Sidecar
@@ -103,7 +103,7 @@
     for key in keys():
         values = [getattr(getattr(options, key.section), key.name) for options in (old, new)]
         if values[0] != values[1]:
-            before, after = (written(key.spec.unit, value) for value in values)
+            before, after = (format_quantity(key.spec.unit, value) for value in values)
             found[key.path] = before, after, key.spec.live
     return found
 
--- a/loftweir/emulator/scenario.py
+++ b/loftweir/emulator/scenario.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from loftweir.config.faults import MISSING, Fault, Faulty
-from loftweir.config.model import HOUR, MS, SECOND, Spec, choice, count, share, time
-from loftweir.config.operator import value_of
+from loftweir.config.model import HOUR, MS, SECOND, Spec, choice, count, duration, share
+from loftweir.config.operator import convert_value
 from loftweir.interface import Effect, RequestClass, Safety, Scope, Settings
 
 KINDS = (
@@ -36,12 +36,12 @@
     name: Text
     effect: Annotated[str, choice("", "repeatable", "once", "by_key")]
     scope: Annotated[str, choice("", "all", "zone", "cell")] = "all"
-    window: Annotated[int, time("", 0, HOUR)] = 0
-    aim: Annotated[int, time("", MS, HOUR)] = 600 * MS
-    deadline: Annotated[int, time("", MS, HOUR)] = 3 * SECOND
+    window: Annotated[int, duration("", 0, HOUR)] = 0
+    aim: Annotated[int, duration("", MS, HOUR)] = 600 * MS
+    deadline: Annotated[int, duration("", MS, HOUR)] = 3 * SECOND
     worth: Number = 1.0
     late_worth: Annotated[float, share("", 0.0, 1.0)] = 0.2
-    work: Annotated[int, time("", 1, HOUR)] = 100 * MS  # mean, on a core of speed 1
+    work: Annotated[int, duration("", 1, HOUR)] = 100 * MS  # mean, on a core of speed 1
     cv: Number = 0.5  # of the work's distribution, lognormal; exactly 1 with `exponential`
     law: Annotated[str, choice("", "lognormal", "exponential", "fixed")] = "lognormal"
     part: Number = 1.0  # of the requests, against the other classes'
@@ -71,33 +71,33 @@
     rate: Number = 20.0  # requests a second of each
     rate_cv: Number = 0.0  # of the rates among them, lognormal
     arrivals: Annotated[str, choice("", "poisson", "steady", "bursty", "diurnal")] = "poisson"
-    period: Annotated[int, time("", MS, 24 * HOUR)] = 20 * SECOND  # of bursts and days
+    period: Annotated[int, duration("", MS, 24 * HOUR)] = 20 * SECOND  # of bursts and days
     depth: Annotated[float, share("", 0.0, 1.0)] = 0.5  # how far the rate swings about its mean
     retries: Annotated[int, count("", 0, 10)] = 2
-    back_off: Annotated[int, time("", 0, HOUR)] = 200 * MS  # doubled with each retry, jittered by half
+    back_off: Annotated[int, duration("", 0, HOUR)] = 200 * MS  # doubled with each retry, jittered by half
     obeys: Annotated[float, share("", 0.0, 1.0)] = 1.0  # of clients that wait for Retry-After
     patience: Annotated[float, share("", 0.01, 1.0)] = 0.6  # of the deadline, for one try
-    starts: Annotated[int, time("", 0, HOUR)] = 0  # spread over so long
+    starts: Annotated[int, duration("", 0, HOUR)] = 0  # spread over so long
 
 
 class World(Table, frozen=True, kw_only=True):
     """Delays, discovery and the rules' figures."""
 
-    near: Annotated[int, time("", 0, SECOND)] = MS // 5  # one way
-    far: Annotated[int, time("", 0, SECOND)] = MS
-    connect: Annotated[int, time("", 0, SECOND)] = MS // 2  # for a call that finds no warm connection
-    lag: Annotated[int, time("", 0, HOUR)] = SECOND  # of the list
+    near: Annotated[int, duration("", 0, SECOND)] = MS // 5  # one way
+    far: Annotated[int, duration("", 0, SECOND)] = MS
+    connect: Annotated[int, duration("", 0, SECOND)] = MS // 2  # for a call that finds no warm connection
+    lag: Annotated[int, duration("", 0, HOUR)] = SECOND  # of the list
     discovery_rate: Number = 2000.0  # calls a second that it can take
-    ask_within: Annotated[int, time("", MS, HOUR)] = 5 * SECOND
-    answer_grace: Annotated[int, time("", 0, HOUR)] = 20 * MS
-    drain_grace: Annotated[int, time("", 0, HOUR)] = 750 * MS
+    ask_within: Annotated[int, duration("", MS, HOUR)] = 5 * SECOND
+    answer_grace: Annotated[int, duration("", 0, HOUR)] = 20 * MS
+    drain_grace: Annotated[int, duration("", 0, HOUR)] = 750 * MS
     cold_from: Annotated[float, share("", 0.01, 1.0)] = 0.14
-    warm_within: Annotated[int, time("", MS, HOUR)] = 24 * SECOND
+    warm_within: Annotated[int, duration("", MS, HOUR)] = 24 * SECOND
     fall_multiple: Number = 2.5
-    fall_after: Annotated[int, time("", MS, HOUR)] = SECOND
+    fall_after: Annotated[int, duration("", MS, HOUR)] = SECOND
     max_attempts: Annotated[int, count("", 1, 10)] = 3
-    max_retry_after: Annotated[int, time("", 0, HOUR)] = 2 * SECOND
-    connect_timeout: Annotated[int, time("", MS, HOUR)] = 250 * MS
+    max_retry_after: Annotated[int, duration("", 0, HOUR)] = 2 * SECOND
+    connect_timeout: Annotated[int, duration("", MS, HOUR)] = 250 * MS
     overdue: Annotated[str, choice("", "runs_on", "stops")] = "runs_on"  # work that nobody waits for any more
 
 
@@ -108,7 +108,7 @@
     """
 
     costly: Annotated[str, choice("", "no", "yes")] = "no"
-    work: Annotated[int, time("", 0, SECOND)] = 10 * MS  # of the handshake, on a core of speed 1
+    work: Annotated[int, duration("", 0, SECOND)] = 10 * MS  # of the handshake, on a core of speed 1
     round_trips: Annotated[int, count("", 0, 10)] = 2
     cap_per_core: Annotated[int, count("", 1, 1_000_000)] = 1_000_000  # more are not accepted
     full_tax: Annotated[float, share("", 0.0, 0.99)] = 0.0  # the part of a server's pace that a full table takes
@@ -119,19 +119,19 @@
 
     share: Annotated[float, share("", 0.0, 1.0)] = 0.0  # of the servers that are prone to it
     at: Number = 5.0  # requests held per core: more are too many
-    over: Annotated[int, time("", MS, HOUR)] = 2 * SECOND  # for so long without a break
+    over: Annotated[int, duration("", MS, HOUR)] = 2 * SECOND  # for so long without a break
     slower: Number = 2.5  # how many times longer its work takes then
     below: Annotated[float, share("", 0.0, 1.0)] = 0.3  # of its cores: use that lets it recover
-    rest: Annotated[int, time("", MS, HOUR)] = 4 * SECOND  # over so long
-    most: Annotated[int, time("", MS, HOUR)] = 25 * SECOND  # after so long it recovers anyway
+    rest: Annotated[int, duration("", MS, HOUR)] = 4 * SECOND  # over so long
+    most: Annotated[int, duration("", MS, HOUR)] = 25 * SECOND  # after so long it recovers anyway
 
 
 class InjectedFault(Table, frozen=True, kw_only=True):
     """Something that goes wrong, from `at` for `lasts`."""
 
     kind: Annotated[str, choice("", *KINDS)]
-    at: Annotated[int, time("", 0, 24 * HOUR)]
-    lasts: Annotated[int, time("", 0, 24 * HOUR)] = 10 * SECOND
+    at: Annotated[int, duration("", 0, 24 * HOUR)]
+    lasts: Annotated[int, duration("", 0, 24 * HOUR)] = 10 * SECOND
     zone: Text = ""  # empty: every zone
     part: Annotated[float, share("", 0.0, 1.0)] = 1.0  # of the nodes there
     factor: Number = 1.0  # of speed, rate, or the part of errors
@@ -195,7 +195,7 @@
     base, meta = get_args(hint)[:2]
     try:
         if isinstance(meta, Spec):
-            return value_of(meta, raw)
+            return convert_value(meta, raw)
         return msgspec.convert(raw, base, strict=True)
     except (ValueError, msgspec.ValidationError) as error:
         expected = str(error) if isinstance(meta, Spec) else f"a {meta}" if meta == "number" else "text"
--- a/loftweir/http1/access_trace.py
+++ b/loftweir/http1/access_trace.py
@@ -5,7 +5,7 @@
 from loftweir.config.model import Options
 from loftweir.core.invocation import Invocation
 from loftweir.net.loop import MS
-from loftweir.telemetry.access import wanted
+from loftweir.telemetry.access import access_log_reason
 from loftweir.telemetry.catalogue import ACCESS
 from loftweir.telemetry.log import emit
 
@@ -34,7 +34,7 @@
         """Logs the access line, where one is wanted for this status and time; `CLIENT_GONE` stands for no status."""
         log = options.log
         ms = (now - self.began) / MS
-        why = wanted(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
+        why = access_log_reason(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
         if not why:
             return
         emit(
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -28,7 +28,7 @@
 from loftweir.http1.stage import Stage
 from loftweir.net.loop import HUNG_UP, MS, READABLE, WOKEN, Coroutine, Task, Wait
 from loftweir.net.stream import READ_SIZE, NoRoom, TookTooLong, hung_up, send, untaken, waited
-from loftweir.telemetry.catalogue import INVOCATION_BROKEN, OVERDUE
+from loftweir.telemetry.catalogue import INVOCATION_BROKEN, INVOCATION_OVERDUE
 from loftweir.telemetry.log import emit, traceback_location
 
 if TYPE_CHECKING:
@@ -340,6 +340,6 @@
             if upload is not None and upload.broken is not None:
                 raise upload.broken
         if invocation.open and event == 0:
-            emit(OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
+            emit(INVOCATION_OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
             return Final(Kind.LATE)
         return None
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -23,10 +23,10 @@
 from loftweir.telemetry.catalogue import (
     DISCOVERY_CALL,
     DISCOVERY_CALL_FAILED,
-    DISCOVERY_LIST,
+    DISCOVERY_LIST_FAILED,
     DISCOVERY_NEW_WATCH,
-    DISCOVERY_STANDS,
-    DISCOVERY_WATCH,
+    DISCOVERY_WATCH_FAILED,
+    DISCOVERY_WATCH_STANDS,
 )
 from loftweir.telemetry.log import emit
 
@@ -281,7 +281,7 @@
                         self.loop.close(sock)
             except CallFailed as error:
                 self._say_failed(asked, str(error))
-                emit(DISCOVERY_LIST, why=error, address=address)
+                emit(DISCOVERY_LIST_FAILED, why=error, address=address)
                 if not left or (left == listclock.ANEW and not isinstance(error, Silent)):
                     self._fail()
                     return
@@ -389,7 +389,7 @@
                     # The first answer of a watch is told with or without news: the watch stands.
                     heard = self._hear(asked, answer, not answered)
                     if heard and not answered:
-                        emit(DISCOVERY_STANDS, version=answer.update.version, age_ms=age // MS)
+                        emit(DISCOVERY_WATCH_STANDS, version=answer.update.version, age_ms=age // MS)
                     answered = answered or heard
                     if answered:
                         self.standing = place
@@ -420,7 +420,7 @@
             if not quiet:
                 self._say_failed(asked, str(error))
             if place == self.place and not quiet:
-                emit(DISCOVERY_WATCH, why=error, address=address)
+                emit(DISCOVERY_WATCH_FAILED, why=error, address=address)
             refused = isinstance(error, Refused)
             # One that breaks past its wait had fallen silent before.
             silent = isinstance(error, Silent) or (self.loop.now() >= due and not refused)
--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from loftweir.config.model import Options
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.core.host import Host
 from loftweir.core.life import Life
 from loftweir.http1.client import Client
 from loftweir.http1.connections import Connections
 from loftweir.net.loop import EXCLUSIVE, MS, READABLE, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import Room, prepare
-from loftweir.telemetry.catalogue import ACCEPT_FAILED, ROOM_NONE
+from loftweir.telemetry.catalogue import ACCEPT_FAILED, ACCEPT_NO_ROOM
 from loftweir.telemetry.log import emit
 
 ACCEPTS_A_TURN = 16  # a wave of new connections waits for the answers that are ready
@@ -79,7 +79,7 @@
 
     def listen(self, address: str) -> None:
         """Listens on an address of this process's own."""
-        host, port = host_and_port(address)
+        host, port = split_host_port(address)
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
@@ -153,7 +153,7 @@
         while True:
             if len(self.clients) >= self.most_clients:
                 yield Wait(listener, ready, None)
-                emit(ROOM_NONE, connections=len(self.clients), most=self.most_clients)
+                emit(ACCEPT_NO_ROOM, connections=len(self.clients), most=self.most_clients)
                 yield from self._make_room()
                 continue
             try:
--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -26,7 +26,7 @@
 from socket import socket
 from typing import Any, NamedTuple, Protocol, TypeVar
 
-from loftweir.telemetry.catalogue import COROUTINE_BROKEN, WATCH_FAILED
+from loftweir.telemetry.catalogue import COROUTINE_BROKEN, LOOP_WATCH_FAILED
 from loftweir.telemetry.log import emit, traceback_location
 
 T = TypeVar("T")
@@ -249,7 +249,7 @@
             self._try_again(fd, error)
 
     def _try_again(self, fd: int, error: OSError) -> None:
-        emit(WATCH_FAILED, why=error.strerror)
+        emit(LOOP_WATCH_FAILED, why=error.strerror)
         if not self.unheard:
             self.after(RETRY_WATCH, self._register_again)
         self.unheard.add(fd)
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from typing import Any
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.interface import Outcome
 from loftweir.net.loop import MS, WRITABLE, Coroutine, Loop, Wait
 from loftweir.telemetry.catalogue import CONNECT_NOT_BEGUN
@@ -176,7 +176,7 @@
     again for as long, and `NOT_SENT` is its outcome where that never works.
     """
     try:
-        host, port = host_and_port(address)
+        host, port = split_host_port(address)
     except ValueError:
         raise NotUp(Outcome.CONNECT_FAILED) from None  # the list gave no address that can be called
     up_by = loop.now() + connect_timeout
--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -9,7 +9,7 @@
 import socket
 from collections.abc import Callable
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.net.loop import MS, READABLE, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, send
 from loftweir.operations.calls import LONGEST, Call, No, no, parse, yes
@@ -36,7 +36,7 @@
 
     def listen(self, address: str) -> None:
         """OSError where it can't be had."""
-        host, port = host_and_port(address)
+        host, port = split_host_port(address)
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -14,7 +14,7 @@
 from loftweir.operations.record import LastCommand, Record
 from loftweir.operations.store import Store
 from loftweir.state.sealed import Damaged
-from loftweir.telemetry.catalogue import RECORD_FAILED, RECORD_HELD, RECORD_READ
+from loftweir.telemetry.catalogue import OPERATOR_RECORD, OPERATOR_RECORD_DAMAGED, OPERATOR_RECORD_FAILED
 from loftweir.telemetry.log import emit
 
 LOOK_EVERY = 50 * MS  # at the record: well within the grace that another process's call leaves
@@ -93,7 +93,7 @@
             self.store = Store(Path(folder))
             self.follows = not self.store.alone()
         except OSError as error:
-            emit(RECORD_FAILED, folder=folder, why=error)
+            emit(OPERATOR_RECORD_FAILED, folder=folder, why=error)
             self.begun = True
             return
         if not self._read() and self.follows:
@@ -117,7 +117,7 @@
         try:
             loaded = self.store.load()
         except Damaged as error:
-            emit(RECORD_READ, why=error)
+            emit(OPERATOR_RECORD_DAMAGED, why=error)
             return False
         self.hold(self.overlay.record.merged(loaded))
         self.lacks = self.overlay.record != loaded.pruned(self.loop.now())
@@ -140,7 +140,7 @@
                 except OSError as error:
                     store.seen = None  # looked at again
                     if not isinstance(error, BlockingIOError):
-                        emit(RECORD_FAILED, folder=str(store.path.parent), why=error)
+                        emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
 
     def hold(self, record: Record) -> None:
         """What holds from now on."""
@@ -152,7 +152,7 @@
             self.told(*update)
         if record.drain.on != before.drain.on:
             self.life.step(Step.DRAIN if record.drain.on else Step.UNDRAIN)
-        emit(RECORD_HELD, out=sorted(n for n, w in record.bans.items() if w.on), drain=record.drain.on)
+        emit(OPERATOR_RECORD, out=sorted(n for n, w in record.bans.items() if w.on), drain=record.drain.on)
 
     def _save(self, record: Record) -> Coroutine[Record]:
         """The record as it is in the file then, merged with this one; `No` where it can't be kept."""
@@ -162,7 +162,7 @@
                 return store.save(record)
             except OSError as error:
                 if not isinstance(error, BlockingIOError) or self.loop.now() >= until:
-                    emit(RECORD_FAILED, folder=str(store.path.parent), why=error)
+                    emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
                     raise No(f"it can't be kept: {error.strerror}") from None
             yield Wait(None, 0, self.loop.now() + TRY_EVERY)
         return record
--- a/loftweir/operations/record.py
+++ b/loftweir/operations/record.py
@@ -12,7 +12,7 @@
 
 import ujson
 
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 HEAD = b"loftweir-operators"
 VERSION = 1
@@ -62,11 +62,11 @@
         "drain": list(record.drain),
     }
     body = ujson.dumps(value).encode()
-    return sealed(HEAD, VERSION, body)
+    return seal(HEAD, VERSION, body)
 
 
 def read(data: bytes) -> Record:
-    body = opened(HEAD, VERSION, data)
+    body = unseal(HEAD, VERSION, data)
     try:
         value = ujson.loads(body)
         return Record(
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -25,8 +25,8 @@
 import ujson
 
 from loftweir.config.faults import MISSING, Fault, Faulty
-from loftweir.config.operator import LARGEST, nearest, read_table
-from loftweir.config.units import Unit, host_and_port, label, parse
+from loftweir.config.operator import MAX_FILE_BYTES, read_table, suggest_key
+from loftweir.config.units import Unit, parse_label, parse_quantity, split_host_port
 from loftweir.partners.merge import Role
 from loftweir.partners.table import BadTable, Limits, Route, one_route
 from loftweir.partners.terms import FIELDS, read_terms
@@ -104,9 +104,9 @@
 def _json(path: str, faults: list[Fault]) -> Any:
     try:
         with open(path, "rb") as opened:
-            data = opened.read(LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ValueError(f"it has more than {LARGEST} bytes")
+            data = opened.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"it has more than {MAX_FILE_BYTES} bytes")
         return ujson.loads(data.decode("utf-8"))
     except OSError as error:
         faults.append(Fault(path, "", error.strerror or str(error), "a file that can be read"))
@@ -122,7 +122,7 @@
         return False
     for name in value:
         if name not in KEYS[kind]:
-            fault(f"{place}.{name}".lstrip("."), value[name], nearest(str(name), KEYS[kind]))
+            fault(f"{place}.{name}".lstrip("."), value[name], suggest_key(str(name), KEYS[kind]))
     return True
 
 
@@ -167,7 +167,7 @@
 
 def _label(value: Any) -> bool:
     try:
-        return isinstance(value, str) and bool(label(value))
+        return isinstance(value, str) and bool(parse_label(value))
     except ValueError:
         return False
 
@@ -176,7 +176,7 @@
     if not isinstance(value, list) or len(value) > ADDRESSES or not all(isinstance(one, str) for one in value):
         return False
     try:
-        return all(host_and_port(one)[1] > 0 for one in value)
+        return all(split_host_port(one)[1] > 0 for one in value)
     except ValueError:
         return False
 
@@ -203,12 +203,12 @@
     made = {**row, "path": [site], "valid_for": VALID_FOR}
     try:
         if "valid_for" in row:
-            made["valid_for"] = parse(Unit.DURATION, row["valid_for"])
+            made["valid_for"] = parse_quantity(Unit.DURATION, row["valid_for"])
     except ValueError as error:
         wrong("valid_for", row["valid_for"], str(error))
     try:
         if isinstance(row.get("share"), str):
-            made["share"] = parse(Unit.SHARE, row["share"])
+            made["share"] = parse_quantity(Unit.SHARE, row["share"])
     except ValueError as error:
         wrong("share", row["share"], str(error))
     made["terms"] = _terms(row.get("terms", MISSING), wrong)
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -16,7 +16,7 @@
 
 import h11
 
-from loftweir.config.model import THROUGH_COPIES
+from loftweir.config.model import REPLICATION_MARGIN
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
 from loftweir.http1.strict import Strict
@@ -31,11 +31,11 @@
 from loftweir.replication.machine import Fact
 from loftweir.replication.part import Part
 from loftweir.telemetry.catalogue import (
-    PARTNERS_ASKED,
-    PARTNERS_FAILED,
+    PARTNERS_ASKED_HERE,
+    PARTNERS_CALL_FAILED,
     PARTNERS_LET_GO,
-    PARTNERS_REFUSED,
-    PARTNERS_STATE,
+    PARTNERS_SESSION,
+    PARTNERS_TABLE_REFUSED,
 )
 from loftweir.telemetry.log import emit
 
@@ -80,7 +80,7 @@
         self.fleet = fleet
         self.shelf = shelf  # what the copies hold, as it is read here
         # Its hold time ends a little before that of the sidecars which read from the copies.
-        self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
+        self.timing, self.limits = timing(options, options.hold - REPLICATION_MARGIN), limits(options)
         self.cutter = Cutter()
         self.duty: Duty | None = None
         self.keeping: Keeping | None = None
@@ -98,7 +98,7 @@
     # ---- the duty -------------------------------------------------------------------------------
 
     def begin(self, token: int) -> None:
-        emit(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
+        emit(PARTNERS_ASKED_HERE, partner=self.neighbour.name, token=token)
         self.task = self.loop.spawn(self._run(token), self._crashed)
 
     def end(self) -> None:
@@ -157,12 +157,12 @@
                 self.call = self.loop.spawn(self._ask(session, action), self._call_crashed)
             elif isinstance(action, Became):
                 if action.before is not session.state:
-                    emit(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
+                    emit(PARTNERS_SESSION, partner=name, state=session.state.value, before=action.before.value)
             elif isinstance(action, Refused):
-                emit(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
+                emit(PARTNERS_TABLE_REFUSED, partner=name, address=self._address(), why=action.error)
                 self._next_address()
             else:
-                emit(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
+                emit(PARTNERS_CALL_FAILED, partner=name, address=self._address(), why=action.why)
                 self._next_address()
         self._keep(session)
         if self.task is not None:
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -17,13 +17,13 @@
 
 import h11
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.http1.strict import Strict
 from loftweir.net.loop import MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, send
 from loftweir.partners.file import Neighbour
 from loftweir.partners.shown import Shown
-from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED
+from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED_AWAY
 from loftweir.telemetry.log import emit
 
 PATH = "/routes"
@@ -95,7 +95,7 @@
             task.wake()
 
     def _listen(self, address: str) -> Coroutine[None]:
-        host, port = host_and_port(address)
+        host, port = split_host_port(address)
         while True:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
             try:
@@ -171,7 +171,7 @@
             return asked.status, f"{asked.wrong}\n".encode(), "text/plain"
         turned = self._turned(asked.site, sock)
         if turned:
-            emit(PARTNERS_TURNED, site=asked.site if asked.site.isprintable() else "", why=turned)
+            emit(PARTNERS_TURNED_AWAY, site=asked.site if asked.site.isprintable() else "", why=turned)
             return 403, f"{turned}\n".encode(), "text/plain"
         until = self.loop.now() + asked.wait
         not_now_at: int | None = None
@@ -182,7 +182,7 @@
                 return 200, offer.answer(asked.after, asked.to), "application/json"
             not_now_at = (not_now_at or now) if why else None
             if not_now_at is not None and now >= not_now_at + min(NOT_NOW_FOR, max(asked.wait, NOT_NOW_FOR // 4)):
-                emit(PARTNERS_TURNED, site=asked.site, why=why)
+                emit(PARTNERS_TURNED_AWAY, site=asked.site, why=why)
                 return 503, f"not now: {why}\n".encode(), "text/plain"
             events = yield from self._wait(sock, asked.site, until if not_now_at is None else now + 50 * MS, more)
             if events not in (0, WOKEN):
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -13,7 +13,7 @@
 
 from loftweir.config.model import Options
 from loftweir.config.model import Partners as PartnersOptions
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.interface import MembershipUpdate, Settings
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
@@ -31,10 +31,10 @@
 from loftweir.replication.machine import Machine
 from loftweir.replication.part import Part
 from loftweir.telemetry.catalogue import (
-    PARTNERS_HELD,
     PARTNERS_LEAKED,
-    PARTNERS_NOT_READ,
+    PARTNERS_NOT_READABLE,
     PARTNERS_STANDBY,
+    PARTNERS_TABLE,
 )
 from loftweir.telemetry.log import emit
 
@@ -86,7 +86,7 @@
         self.fleet = fleet
         self.told = told
         self.settings = settings
-        self.seats = seats(options.replication.members)
+        self.seats = parse_members(options.replication.members)
         id = secrets.token_hex(8)
         self.callers = tuple(
             Caller(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
@@ -225,7 +225,7 @@
                 if not shelf.read(machine.facts, now):
                     continue
             except NotReadable as error:
-                emit(PARTNERS_NOT_READ, partner=name, why=error)
+                emit(PARTNERS_NOT_READABLE, partner=name, why=error)
             self._hold(name, now)
         if self.catalog is not None:
             self.catalog.claimed(machine.claims)
@@ -246,7 +246,7 @@
             used = sum(one.partner == name for one in self.merger.merged.used.values())
             epoch, index = table.mark if table is not None else (0, 0)
             standing, routes = held.standing.value, len(table.routes) if table is not None else 0
-            emit(PARTNERS_HELD, partner=name, standing=standing, epoch=epoch, index=index, routes=routes, used=used)
+            emit(PARTNERS_TABLE, partner=name, standing=standing, epoch=epoch, index=index, routes=routes, used=used)
             for service in table.routes if table is not None else ():
                 why = left.get(service, {}).get(name)
                 if why is not None and why.reason is Reason.LEAKED:
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -30,7 +30,7 @@
 from loftweir.replication.machine import Machine
 from loftweir.replication.part import Part
 from loftweir.replication.wire import FactOf
-from loftweir.telemetry.catalogue import PARTNERS_NOT_READ, PARTNERS_OFFERED, PARTNERS_OFFERS
+from loftweir.telemetry.catalogue import PARTNERS_NOT_READABLE, PARTNERS_OFFERED, PARTNERS_OFFERS_HERE
 from loftweir.telemetry.log import emit
 
 DUTY, EPOCH = "offers", "epoch"
@@ -81,7 +81,7 @@
                 if not shelf.read(machine.facts, self.loop.now()):
                     continue
             except NotReadable as error:
-                emit(PARTNERS_NOT_READ, partner=to, why=error)
+                emit(PARTNERS_NOT_READABLE, partner=to, why=error)
             if shelf.head is None:
                 self.offers.pop(to, None)
             else:
@@ -148,7 +148,7 @@
             self.changed(to)
 
     def begin(self, token: int) -> None:
-        emit(PARTNERS_OFFERS, token=token)
+        emit(PARTNERS_OFFERS_HERE, token=token)
         self.writer = self.loop.spawn(self._begin(token))
 
     def end(self) -> None:
--- a/loftweir/partners/table.py
+++ b/loftweir/partners/table.py
@@ -22,7 +22,7 @@
 import msgspec
 from msgspec import Meta
 
-from loftweir.config.units import LABEL, NAME, host_and_port
+from loftweir.config.units import LABEL, NAME, split_host_port
 from loftweir.errors import LoftweirError
 from loftweir.partners.terms import Terms, plain, read_terms
 
@@ -280,7 +280,7 @@
             raise ValueError(f"each name once - at `$.providers[{number}].name`")
         found[name] = msgspec.structs.replace(provider, name=name)
         try:
-            host_and_port(provider.address)
+            split_host_port(provider.address)
         except ValueError:
             raise ValueError(f"an address as host:port - at `$.providers[{number}].address`") from None
     return tuple(found.values())
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -12,7 +12,12 @@
 from loftweir.replication.member import Removed, Voter
 from loftweir.replication.seats import founders, waits_for
 from loftweir.replication.wire import VERSION, Am, Frame, Hello, Join, Joined, Kind, TurnedAway, Who
-from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
+from loftweir.telemetry.catalogue import (
+    REPLICATION_BEGUN,
+    REPLICATION_JOINED,
+    REPLICATION_TURNED_AWAY,
+    REPLICATION_WAITS,
+)
 from loftweir.telemetry.log import emit
 
 ASK_EVERY = 200 * MS  # while it is no member; half as long again at random
@@ -142,13 +147,13 @@
         try:
             line, there = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
-            emit(REPLICATION_TURNED, name=name, why=error)
+            emit(REPLICATION_TURNED_AWAY, name=name, why=error)
             return None
         except NotUp:
             return None
         try:
             if there.name != name:
-                emit(REPLICATION_TURNED, name=name, why=f"{there.name} is at {address}")
+                emit(REPLICATION_TURNED_AWAY, name=name, why=f"{there.name} is at {address}")
                 return None
             line.put(frame)
             answer = yield from line.next(until)
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from loftweir.replication.api import Entry, Hard, Keep, Snapshot, Value
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 VERSION = 1
 LINE = b"loftweir-log %d\n" % VERSION
@@ -268,7 +268,7 @@
 
 
 def identity_written(identity: Identity) -> bytes:
-    return sealed(IDENTITY, VERSION, ENCODER.encode(identity))
+    return seal(IDENTITY, VERSION, ENCODER.encode(identity))
 
 
 def identity_read(data: bytes) -> Identity:
@@ -277,7 +277,7 @@
 
 
 def copy_written(copy: Copy) -> tuple[bytes, Named]:
-    data = sealed(COPY, VERSION, ENCODER.encode(copy))
+    data = seal(COPY, VERSION, ENCODER.encode(copy))
     snapshot = copy.snapshot
     return data, Named(copy.number, snapshot.index, snapshot.term, len(data), crc32(data))
 
@@ -295,12 +295,12 @@
 def mark_written(mark: Mark, identity: Identity) -> bytes:
     """Of the same length always: it is written over the one before."""
     body = b"%020d %020d %020d %08x %s" % (mark.segment, mark.at, mark.index, mark.crc, identity.member.encode())
-    return sealed(MARK, VERSION, body)
+    return seal(MARK, VERSION, body)
 
 
 def mark_read(data: bytes, identity: Identity) -> Mark:
     """`Damaged` where it is not one of this member's."""
-    words = opened(MARK, VERSION, data).split(b" ")
+    words = unseal(MARK, VERSION, data).split(b" ")
     try:
         mark = Mark(int(words[0]), int(words[1]), int(words[2]), int(words[3], 16))
     except (ValueError, IndexError) as error:
@@ -311,8 +311,8 @@
 
 
 def _read(name: bytes, data: bytes, kind: type[Kind]) -> Kind:
-    body = opened(name, VERSION, data)
-    if data != sealed(name, VERSION, body):  # its last newline
+    body = unseal(name, VERSION, data)
+    if data != seal(name, VERSION, body):  # its last newline
         raise Damaged("cut short: its end is missing", len(data))
     try:
         return msgspec.msgpack.decode(body, type=kind)
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -48,7 +48,7 @@
 from loftweir.replication.machine import AnyResult, Machine, Order, written
 from loftweir.replication.wire import VERSION, Am, Hello, How, News, Told
 from loftweir.replication.wire import Kind as Who
-from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED
+from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED_AWAY
 from loftweir.telemetry.log import emit, traceback_location
 
 FOUNDS = 0  # the batch that founds; the core counts its own from 1 on
@@ -301,7 +301,7 @@
         self.pending.append(Compact(self.machine.index, self.machine.dump()))
 
     def _turned(self, id: str, why: str) -> None:
-        emit(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
+        emit(REPLICATION_TURNED_AWAY, name=self.name_of(id) or id, why=why)
 
     # ---- what others ask of it ------------------------------------------------------------------
 
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from loftweir.config.model import Replication
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.operations.calls import Call, Command, No
@@ -33,7 +33,7 @@
 from loftweir.telemetry.catalogue import (
     REPLICATION_DAMAGED,
     REPLICATION_ENDED,
-    REPLICATION_FORGOT,
+    REPLICATION_NOT_REMEMBERED,
     REPLICATION_OPENED,
     REPLICATION_WAITS,
     REPLICATION_WORDS,
@@ -47,7 +47,7 @@
 
 def descriptors(name: str, options: Replication) -> int:
     """How many of the sidecar's descriptors the copies may take."""
-    return FOLLOWERS_OWN + (options.callers + reception.DESCRIPTORS if name in seats(options.members) else 0)
+    return FOLLOWERS_OWN + (options.callers + reception.DESCRIPTORS if name in parse_members(options.members) else 0)
 
 
 class Part:
@@ -62,7 +62,7 @@
         self.name = name
         self.options = options
         self.told = told
-        self.seats = seats(options.members)
+        self.seats = parse_members(options.members)
         self.id = secrets.token_hex(8)  # of this process, where it does not vote
         self.folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
         self.index = 0  # of what holds here
@@ -90,7 +90,7 @@
         try:
             found = remembered.load(self.folder, self.options.cluster)
         except (OSError, Damaged) as error:
-            emit(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
             return
         if found is not None:
             self.index, self.known_at, self.members = found.index, found.known_at, frozenset(found.members)
@@ -234,7 +234,7 @@
         try:
             remembered.save(self.folder, Remembered(self.options.cluster, self.index, now, sorted(self.members), words))
         except OSError as error:
-            emit(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
 
     def out(self) -> list[str]:
         return sorted(name for name, command in self.words.items() if command.on)
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, prepare
 from loftweir.replication.api import Heard, Message
@@ -52,7 +52,7 @@
     turned,
     written,
 )
-from loftweir.telemetry.catalogue import REPLICATION_TURNED
+from loftweir.telemetry.catalogue import REPLICATION_TURNED_AWAY
 from loftweir.telemetry.log import emit
 
 BACKLOG = 512  # a voter that comes back is called by many at once
@@ -71,7 +71,7 @@
 
 def bound(address: str) -> socket.socket:
     """OSError where it can't be had."""
-    host, port = host_and_port(address)
+    host, port = split_host_port(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -160,10 +160,10 @@
                 kept = True
                 self._serve(line, hello)
             else:
-                emit(REPLICATION_TURNED, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
                 yield from self._send_away(line, refused)
         except (BadFrame, TurnedAway) as error:
-            emit(REPLICATION_TURNED, name="", why=error)
+            emit(REPLICATION_TURNED_AWAY, name="", why=error)
             yield from self._send_away(line, Turned(Why.FORM, f"version {VERSION}"))
         except Broken:
             pass
@@ -231,7 +231,7 @@
                     voter.feed(Heard(frame))
         except Broken as error:
             if isinstance(error, BadFrame):
-                emit(REPLICATION_TURNED, name=hello.name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=error)
         finally:
             if self.members.get(hello.id) is line:
                 del self.members[hello.id]
@@ -269,7 +269,7 @@
                     yield Wait(None, 0, self.loop.now())  # the others' turn
         except Broken as error:
             if isinstance(error, BadFrame):
-                emit(REPLICATION_TURNED, name=self.others[line].name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=self.others[line].name, why=error)
         finally:
             self.others.pop(line, None)
             self.parked.pop(line, None)
--- a/loftweir/replication/remembered.py
+++ b/loftweir/replication/remembered.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 NAME, HEAD, VERSION = "loftweir-fleet", b"loftweir-fleet", 1
 LARGEST = 4 * 1024 * 1024
@@ -30,7 +30,7 @@
     """Raises OSError; the file holds the one before then."""
     beside = folder / f"{NAME}.{os.getpid()}"
     try:
-        beside.write_bytes(sealed(HEAD, VERSION, msgspec.json.encode(what)))
+        beside.write_bytes(seal(HEAD, VERSION, msgspec.json.encode(what)))
         os.replace(beside, folder / NAME)
     except OSError:
         with suppress(OSError):
@@ -46,7 +46,7 @@
     except FileNotFoundError:
         return None
     try:
-        found = msgspec.json.decode(opened(HEAD, VERSION, data), type=Remembered)
+        found = msgspec.json.decode(unseal(HEAD, VERSION, data), type=Remembered)
     except msgspec.MsgspecError as error:
         raise Damaged(f"not in its form: {error}") from None
     return found if found.cluster == cluster else None
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -24,10 +24,10 @@
 from loftweir.operations.command_handler import CommandHandler
 from loftweir.state.disk import Disk
 from loftweir.state.sealed import Damaged
-from loftweir.state.snapshot import Choice, Holding, Snapshot, choose
+from loftweir.state.snapshot import ListSource, ListTracker, Snapshot, choose_list
 from loftweir.telemetry import log
 from loftweir.telemetry.catalogue import (
-    DISCOVERY_LIST_IS,
+    DISCOVERY_LIST,
     LIFE_CHANGED,
     STATE_DAMAGED,
     STATE_FAILED,
@@ -115,7 +115,7 @@
             self.catalog.duties = self.partners.duties
             self.front.kind, self.front.also = named.kind(self.catalog), self.catalog.serves
         self.disk: Disk | None = None  # where the snapshot is kept, with `state.keep`
-        self.holding: Holding | None = None
+        self.list_tracker: ListTracker | None = None
         self.written_at = 0  # when the last snapshot was written, by the loop's clock
         self.writes = False  # a write of the snapshot is due
 
@@ -135,14 +135,14 @@
             self.catalog.listed(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
             self.front.open()
-        if self.holding is not None and update.kind is not UpdateKind.FAILED:
-            self.holding.told(update, addresses)
+        if self.list_tracker is not None and update.kind is not UpdateKind.FAILED:
+            self.list_tracker.apply(update, addresses)
             if not self.writes:
                 self.writes = True
                 apart = self.options.state.write_apart
                 self.loop.after(max(0, self.written_at + apart - self.loop.now()), self._write)
         emit(
-            DISCOVERY_LIST_IS,
+            DISCOVERY_LIST,
             kind=update.kind.value,
             index=update.version,
             providers=len(self.back.pool.addresses),
@@ -237,9 +237,9 @@
         except OSError as error:
             emit(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
         now = time.time_ns()
-        chosen = choose(given, snapshot, now, self.options.state.trust_for)
-        self.holding = Holding(snapshot.epoch if snapshot else 0)
-        if snapshot is not None and chosen is Choice.SNAPSHOT:
+        chosen = choose_list(given, snapshot, now, self.options.state.trust_for)
+        self.list_tracker = ListTracker(snapshot.epoch if snapshot else 0)
+        if snapshot is not None and chosen is ListSource.SNAPSHOT:
             given, addresses = snapshot.update()
         age = (now - snapshot.taken_at) // MS if snapshot else 0
         epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, given.version)
@@ -248,10 +248,10 @@
 
     def _write(self) -> None:
         self.writes, self.written_at = False, self.loop.now()
-        if self.disk is None or self.holding is None:
+        if self.disk is None or self.list_tracker is None:
             return
         try:
-            self.disk.save(self.holding.snapshot(time.time_ns()))
+            self.disk.save(self.list_tracker.snapshot(time.time_ns()))
         except OSError as error:
             emit(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
 
--- a/loftweir/state/sealed.py
+++ b/loftweir/state/sealed.py
@@ -24,11 +24,11 @@
         self.what, self.where = why, f"byte {at}"
 
 
-def sealed(name: bytes, version: int, body: bytes) -> bytes:
+def seal(name: bytes, version: int, body: bytes) -> bytes:
     return b"%s %d %08x\n%s\n" % (name, version, crc32(body), body)
 
 
-def opened(name: bytes, version: int, data: bytes) -> bytes:
+def unseal(name: bytes, version: int, data: bytes) -> bytes:
     """The body of a file of this name and version; `Damaged` where it can't be trusted."""
     head, sign, rest = data.partition(b"\n")
     words = head.split(b" ")
--- a/loftweir/state/snapshot.py
+++ b/loftweir/state/snapshot.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 HEAD = b"loftweir-snapshot"
 VERSION = 1
@@ -47,12 +47,12 @@
 
 
 def written(snapshot: Snapshot) -> bytes:
-    return sealed(HEAD, VERSION, msgspec.json.encode(snapshot))
+    return seal(HEAD, VERSION, msgspec.json.encode(snapshot))
 
 
 def read(data: bytes) -> Snapshot:
     """The snapshot in `data`; `Damaged` where it can't be trusted."""
-    body = opened(HEAD, VERSION, data)
+    body = unseal(HEAD, VERSION, data)
     try:
         found = msgspec.json.decode(body, type=Snapshot)
         for entry in found.entries:
@@ -62,27 +62,27 @@
     return found
 
 
-class Choice(Enum):
+class ListSource(Enum):
     GIVEN = "given"  # no snapshot, or the given list is as new
     SNAPSHOT = "snapshot"
     STALE = "stale"  # older than the list that was given
     OLD = "old"  # older than it may be trusted, or of a clock that was put back since
 
 
-def choose(given: MembershipUpdate, snapshot: Snapshot | None, now: int, trust_for: int) -> Choice:
+def choose_list(given: MembershipUpdate, snapshot: Snapshot | None, now: int, trust_for: int) -> ListSource:
     """Which list a start takes: the one the platform gave, or the snapshot where it is newer and young enough."""
     if snapshot is None:
-        return Choice.GIVEN
+        return ListSource.GIVEN
     if given.endpoints and snapshot.index < given.version:
-        return Choice.STALE
+        return ListSource.STALE
     if not 0 <= now - snapshot.taken_at <= trust_for:
-        return Choice.OLD
+        return ListSource.OLD
     if given.endpoints and snapshot.index == given.version:
-        return Choice.GIVEN
-    return Choice.SNAPSHOT
+        return ListSource.GIVEN
+    return ListSource.SNAPSHOT
 
 
-class Holding:
+class ListTracker:
     """The whole list as this sidecar holds it, from the lists and changes that it is told; one owner: the sidecar."""
 
     def __init__(self, epoch: int) -> None:
@@ -90,7 +90,7 @@
         self.index = 0
         self.entries: dict[str, Entry] = {}
 
-    def told(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def apply(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         if update.kind is UpdateKind.FAILED:
             return
         if update.kind is not UpdateKind.CHANGES:
--- a/loftweir/telemetry/access.py
+++ b/loftweir/telemetry/access.py
@@ -7,7 +7,7 @@
 MODES = ("off", "troubled", "sampled", "all")
 
 
-def wanted(mode: str, request_id: str, status: int, ms: float, slow_ms: float, share: float) -> str:
+def access_log_reason(mode: str, request_id: str, status: int, ms: float, slow_ms: float, share: float) -> str:
     """Why this invocation is said: `all`, `slow`, `failed`, `sample`; empty: it is not.
 
     `troubled` says those not served and the slow ones; `sampled` these, and a share of the others, chosen by the
--- a/loftweir/telemetry/catalogue.py
+++ b/loftweir/telemetry/catalogue.py
@@ -87,14 +87,14 @@
     "ERR: `why` says what the call lacks",
     ("call", "why"),
 )
-RECORD_HELD = Event(
+OPERATOR_RECORD = Event(
     "operator.record",
     INFO,
     ("out", "drain"),
     "what operators have said holds now, whichever process they said it to: providers that are out, and the drain",
     told_apart_by=None,
 )
-RECORD_READ = Event(
+OPERATOR_RECORD_DAMAGED = Event(
     "operator.record_damaged",
     WARNING,
     ("why",),
@@ -102,7 +102,7 @@
     "right after an upgrade: ask for the bans in force, and say those again that `operator.record` does not name",
     ("why",),
 )
-RECORD_FAILED = Event(
+OPERATOR_RECORD_FAILED = Event(
     "operator.record_failed",
     ERROR,
     ("folder", "why"),
@@ -118,7 +118,7 @@
     "connection is taken. `open` invocations are under way",
     told_apart_by=None,
 )
-DISCOVERY_WATCH = Event(
+DISCOVERY_WATCH_FAILED = Event(
     "discovery.watch_failed",
     WARNING,
     ("why", "address"),
@@ -127,7 +127,7 @@
     "nothing if rare; else look at discovery. Drains are not seen meanwhile",
     ("why",),
 )
-DISCOVERY_LIST = Event(
+DISCOVERY_LIST_FAILED = Event(
     "discovery.list_failed",
     WARNING,
     ("why", "address"),
@@ -205,7 +205,7 @@
     "the leader took this sidecar in as a member that votes",
     told_apart_by=None,
 )
-REPLICATION_TURNED = Event(
+REPLICATION_TURNED_AWAY = Event(
     "replication.turned_away",
     WARNING,
     ("name", "why"),
@@ -244,7 +244,7 @@
     "what holds for the whole fleet has changed: providers that are out by it",
     told_apart_by=None,
 )
-REPLICATION_FORGOT = Event(
+REPLICATION_NOT_REMEMBERED = Event(
     "replication.not_remembered",
     WARNING,
     ("folder", "why"),
@@ -253,7 +253,7 @@
     "make room in `$TMPDIR`",
     ("why",),
 )
-PARTNERS_ASKED = Event(
+PARTNERS_ASKED_HERE = Event(
     "partners.asked_here",
     INFO,
     ("partner", "token"),
@@ -268,7 +268,7 @@
     "many in a row: this process or the copies stall; see `replication.role`",
     None,
 )
-PARTNERS_STATE = Event(
+PARTNERS_SESSION = Event(
     "partners.session",
     INFO,
     ("partner", "state", "before"),
@@ -277,7 +277,7 @@
     "stale, gone, damped: look at the partner, and at the way there",
     ("partner", "state"),
 )
-PARTNERS_FAILED = Event(
+PARTNERS_CALL_FAILED = Event(
     "partners.call_failed",
     WARNING,
     ("partner", "address", "why"),
@@ -286,7 +286,7 @@
     "nothing if rare; else ask the partner's operators",
     ("partner", "why"),
 )
-PARTNERS_REFUSED = Event(
+PARTNERS_TABLE_REFUSED = Event(
     "partners.table_refused",
     WARNING,
     ("partner", "address", "why"),
@@ -294,7 +294,7 @@
     "tell the partner's operators the places",
     ("partner", "why"),
 )
-PARTNERS_HELD = Event(
+PARTNERS_TABLE = Event(
     "partners.table",
     INFO,
     ("partner", "standing", "epoch", "index", "routes", "used"),
@@ -319,7 +319,7 @@
     "no majority: as for `replication.role`; no room: lower `partners.table_size` or `routes`",
     ("duty",),
 )
-PARTNERS_NOT_READ = Event(
+PARTNERS_NOT_READABLE = Event(
     "partners.not_readable",
     ERROR,
     ("partner", "why"),
@@ -327,7 +327,7 @@
     "run one version in the site",
     ("partner",),
 )
-PARTNERS_OFFERS = Event(
+PARTNERS_OFFERS_HERE = Event(
     "partners.offers_here",
     INFO,
     ("token",),
@@ -349,7 +349,7 @@
     "with `why`, and it goes on: free the address, or name another",
     ("address", "why"),
 )
-PARTNERS_TURNED = Event(
+PARTNERS_TURNED_AWAY = Event(
     "partners.turned_away",
     WARNING,
     ("site", "why"),
@@ -375,7 +375,7 @@
     " news may have been owed for `age_ms`, and `late_calls` calls that were given up are still heard",
     told_apart_by=None,
 )
-DISCOVERY_STANDS = Event(
+DISCOVERY_WATCH_STANDS = Event(
     "discovery.watch_stands",
     INFO,
     ("version", "age_ms"),
@@ -399,14 +399,14 @@
     " the next ones); the rest as above",
     told_apart_by=None,
 )
-DISCOVERY_LIST_IS = Event(
+DISCOVERY_LIST = Event(
     "discovery.list",
     DEBUG,
     ("kind", "index", "providers", "changes"),
     "a list or a change of it was told: its kind, its version, the providers now ready, the entries in it",
     told_apart_by=None,
 )
-ROOM_NONE = Event(
+ACCEPT_NO_ROOM = Event(
     "accept.no_room",
     WARNING,
     ("connections", "most"),
@@ -429,7 +429,7 @@
     "the machine lacks ports, a route, memory or descriptors, by `why`",
     ("why",),
 )
-WATCH_FAILED = Event(
+LOOP_WATCH_FAILED = Event(
     "loop.watch_failed",
     WARNING,
     ("why",),
@@ -437,7 +437,7 @@
     "the machine is short of memory, or of `fs.epoll.max_user_watches`",
     ("why",),
 )
-OVERDUE = Event(
+INVOCATION_OVERDUE = Event(
     "invocation.overdue",
     ERROR,
     ("id", "class"),
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 from loftweir.config import operator, platform, reference, units
 from loftweir.config.faults import MISSING, Faulty
 from loftweir.config.model import Options, keys
-from loftweir.config.units import DURATIONS, SIZES, Unit, parse, written
+from loftweir.config.units import DURATIONS, SIZES, Unit, format_quantity, parse_quantity
 from loftweir.daemon import changes, origin, read
 
 ROOT = Path(__file__).parent.parent
@@ -108,7 +108,7 @@
 def test_a_member_without_a_folder_and_an_election_within_a_beat_are_faults(tmp_path):
     seats = "n2=127.0.0.1:3, n1=127.0.0.1:2, n0=127.0.0.1:1"
     options = load(tmp_path, f'[replication]\nmembers = "{seats}"\n').options
-    assert list(units.seats(options.replication.members)) == ["n0", "n1", "n2"]
+    assert list(units.parse_members(options.replication.members)) == ["n0", "n1", "n2"]
     assert "name" in platform_faults(tmp_path, config(name="n1"), options=options)
     short = '[replication]\nbeat = "100ms"\nelection = "200ms"\n'
     assert "replication.election" in faults_of(lambda: load(tmp_path, short))
@@ -133,12 +133,12 @@
 def test_each_key_takes_its_bounds_and_nothing_beyond(path):
     spec = KEYS[path].spec
     for bound in (spec.least, spec.most):
-        assert operator.value_of(spec, written(spec.unit, bound)) == bound
+        assert operator.convert_value(spec, format_quantity(spec.unit, bound)) == bound
     step = 0.001 if spec.unit is Unit.SHARE else 1
     beyond = [spec.most + step, *([spec.least - step] if spec.least > 0 else [])]
     for value in beyond:
         with pytest.raises(ValueError, match="from"):
-            operator.value_of(spec, written(spec.unit, value))
+            operator.convert_value(spec, format_quantity(spec.unit, value))
 
 
 def test_a_flag_goes_before_a_variable_and_that_before_the_file(tmp_path):
@@ -158,21 +158,21 @@
 @given(st.sampled_from([*DURATIONS, *SIZES]), st.integers(0, 10**9))
 def test_a_quantity_written_reads_back_the_same(suffix, number):
     unit = Unit.DURATION if suffix in DURATIONS else Unit.SIZE
-    value = parse(unit, f"{number}{suffix}")
+    value = parse_quantity(unit, f"{number}{suffix}")
     assert value == number * (DURATIONS | SIZES)[suffix]
-    assert parse(unit, written(unit, value)) == value
+    assert parse_quantity(unit, format_quantity(unit, value)) == value
 
 
 @given(st.integers(0, 10**6), st.integers(0, 999))
 def test_a_broken_number_of_seconds_is_exact(whole, thousandths):
-    assert parse(Unit.DURATION, f"{whole}.{thousandths:03d}s") == (whole * 1000 + thousandths) * 1_000_000
+    assert parse_quantity(Unit.DURATION, f"{whole}.{thousandths:03d}s") == (whole * 1000 + thousandths) * 1_000_000
 
 
 @given(st.one_of(st.text(max_size=12), st.integers(), st.floats(), st.booleans(), st.none()))
 def test_anything_else_is_no_quantity_and_only_that(value):
     for unit in (Unit.DURATION, Unit.SIZE, Unit.SHARE):
         try:
-            assert parse(unit, value) >= 0
+            assert parse_quantity(unit, value) >= 0
         except ValueError as error:
             assert str(error).startswith(unit.value)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -20,8 +20,8 @@
 from loftweir.net.loop import Loop
 from loftweir.operations.calls import No, parse
 from loftweir.settings import WireError
-from loftweir.state.sealed import Damaged, opened
-from loftweir.telemetry.catalogue import DISCOVERY_LIST
+from loftweir.state.sealed import Damaged, unseal
+from loftweir.telemetry.catalogue import DISCOVERY_LIST_FAILED
 
 errors.everything()
 FAMILY = list(errors.types())
@@ -34,7 +34,7 @@
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
 
     def emit(event, **fields):
-        if event is DISCOVERY_LIST:
+        if event is DISCOVERY_LIST_FAILED:
             said.append(fields["why"])
 
     with mock.patch("loftweir.http1.discovery.emit", emit):
@@ -45,7 +45,7 @@
 
 CAUSES = {
     CallFailed: (call_discovery, "not up", ""),
-    Damaged: (lambda: opened(b"kept", 1, b"kept 2 0\n"), "of version 2, this one reads 1, at byte 5", "byte 5"),
+    Damaged: (lambda: unseal(b"kept", 1, b"kept 2 0\n"), "of version 2, this one reads 1, at byte 5", "byte 5"),
     Faulty: (lambda: read(origin({})), "environment: RELAY_CONFIG: got (missing), expected", "environment"),
     No: (lambda: parse(b"DISABLE"), "usage: DISABLE ID", ""),
     NotAList: (lambda: read_list({"endpoints": []}), "index: got '(missing)', expected a whole number", "index"),
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -18,7 +18,7 @@
 from scene import ONCE, Scene, eventually, ok
 
 from loftweir.telemetry import catalogue
-from loftweir.telemetry.access import MODES, wanted
+from loftweir.telemetry.access import MODES, access_log_reason
 from loftweir.telemetry.catalogue import EVENTS
 from loftweir.telemetry.formats import FORMATS, clean
 from loftweir.telemetry.log import record_of
@@ -118,11 +118,14 @@
 
 def test_the_access_line_is_chosen_by_outcome_time_and_id():
     ids = [f"r{n}" for n in range(4000)]
-    assert {wanted("troubled", i, 200, 1, 500, 0.5) for i in ids} == {""}
-    assert wanted("troubled", "r", 503, 1, 500, 0) == "failed" and wanted("troubled", "r", 200, 500, 500, 0) == "slow"
-    share = [wanted("sampled", i, 200, 1, 500, 0.1) for i in ids].count("sample") / len(ids)
+    assert {access_log_reason("troubled", i, 200, 1, 500, 0.5) for i in ids} == {""}
+    assert (
+        access_log_reason("troubled", "r", 503, 1, 500, 0) == "failed"
+        and access_log_reason("troubled", "r", 200, 500, 500, 0) == "slow"
+    )
+    share = [access_log_reason("sampled", i, 200, 1, 500, 0.1) for i in ids].count("sample") / len(ids)
     assert 0.08 < share < 0.12
-    assert {wanted("off", i, 503, 9999, 500, 1.0) for i in ids} == {""} and "off" in MODES
+    assert {access_log_reason("off", i, 503, 9999, 500, 1.0) for i in ids} == {""} and "off" in MODES
 
 
 def test_a_log_is_read_back_filtered_and_counted():
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -318,4 +318,4 @@
         operator.load(str(tmp_path / "loftweir.toml"), {})
     places = {fault.path for fault in caught.value.faults}
     assert places == {f"partners.{name}" for name in ("site", "file", "hold", "service", "listen")}
-    assert Timing(hold=model.Partners().hold - model.THROUGH_COPIES).anew > 0
+    assert Timing(hold=model.Partners().hold - model.REPLICATION_MARGIN).anew > 0
--- a/tests/test_replication_disk.py
+++ b/tests/test_replication_disk.py
@@ -22,7 +22,7 @@
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import Folder, FolderInUse, StorageDamaged, StorageFailed
 from loftweir.replication.reading import read
-from loftweir.state.sealed import opened, sealed
+from loftweir.state.sealed import seal, unseal
 
 OPEN, WRITE, KIND = os.open, os.write, journal.COPY
 MEMBERS = (Member("0" * 32, "m1", "127.0.0.1:1"),)
@@ -122,7 +122,7 @@
     "a longer record": (LAST, lambda d: forged(d, 21), "mark", "no record ends"),
     "another record before": (SECOND, forged, THIRD, "does not follow"),
     "a record left out": (SECOND, lambda d: d[: ends(d)[0]] + d[ends(d)[1] :], SECOND, "checksum is another"),
-    "another snapshot": (COPY, lambda d: sealed(KIND, 1, opened(KIND, 1, d)[:-1] + b"!"), COPY, "not the snapshot"),
+    "another snapshot": (COPY, lambda d: seal(KIND, 1, unseal(KIND, 1, d)[:-1] + b"!"), COPY, "not the snapshot"),
     "foreign version": (LAST, lambda d: d.replace(b"log 1\n", b"log 2\n"), LAST, "version 2, this one reads 1"),
     "foreign identity": ("identity", lambda d: d.replace(b" 1 ", b" 2 "), "identity", "version 2"),
     "another cluster's": (LAST, f"../d/{LAST}", LAST, "another cluster, 'd'"),
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -3,19 +3,19 @@
 import pytest
 
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
-from loftweir.state.sealed import Damaged, opened, sealed
-from loftweir.state.snapshot import Choice, Holding, choose, read, written
+from loftweir.state.sealed import Damaged, seal, unseal
+from loftweir.state.snapshot import ListSource, ListTracker, choose_list, read, written
 
 SECOND = 1_000_000_000
 
 
 def held(*names, index=3, taken_at=100 * SECOND):
-    holding = Holding(epoch=6)
+    tracker = ListTracker(epoch=6)
     ends = tuple(Endpoint(n, "a", "m", 0, Lifecycle.DRAINING if n == "gone-soon" else Lifecycle.READY) for n in names)
-    holding.told(
+    tracker.apply(
         MembershipUpdate(UpdateKind.FULL, ends, index), {n: f"127.0.0.1:{9000 + i}" for i, n in enumerate(names)}
     )
-    return holding.snapshot(taken_at)
+    return tracker.snapshot(taken_at)
 
 
 def test_a_snapshot_comes_back_as_it_was_held_with_a_drain_kept_and_a_greater_epoch():
@@ -30,11 +30,11 @@
 
 
 def test_changes_are_merged_and_one_that_left_is_dropped():
-    holding = Holding(0)
-    holding.told(MembershipUpdate(UpdateKind.FULL, (Endpoint("s1", "a", "m", 0, Lifecycle.READY),), 1), {"s1": "x:1"})
+    tracker = ListTracker(0)
+    tracker.apply(MembershipUpdate(UpdateKind.FULL, (Endpoint("s1", "a", "m", 0, Lifecycle.READY),), 1), {"s1": "x:1"})
     gone, new = Endpoint("s1", "a", "m", 0, Lifecycle.GONE), Endpoint("s2", "b", "m", 1, Lifecycle.READY)
-    holding.told(MembershipUpdate(UpdateKind.CHANGES, (gone, new), 2), {"s2": "x:2"})
-    body = holding.snapshot(0)
+    tracker.apply(MembershipUpdate(UpdateKind.CHANGES, (gone, new), 2), {"s2": "x:2"})
+    body = tracker.snapshot(0)
     assert body.index == 2 and [(e.name, e.address, e.zone) for e in body.entries] == [("s2", "x:2", "b")]
 
 
@@ -48,16 +48,16 @@
     ],
 )
 def test_a_spoilt_file_is_damaged_with_its_place(spoil, why, at):
-    data = sealed(b"kept", 1, b'{"index": 3}')
-    assert opened(b"kept", 1, data) == b'{"index": 3}'
+    data = seal(b"kept", 1, b'{"index": 3}')
+    assert unseal(b"kept", 1, data) == b'{"index": 3}'
     with pytest.raises(Damaged, match=why) as caught:
-        opened(b"kept", 1, spoil(data))
+        unseal(b"kept", 1, spoil(data))
     assert caught.value.at == at
 
 
 def test_a_sound_file_that_is_no_snapshot_is_damaged():
     with pytest.raises(Damaged, match="not in its form"):
-        read(sealed(b"loftweir-snapshot", 1, b'{"epoch": 1}'))
+        read(seal(b"loftweir-snapshot", 1, b'{"epoch": 1}'))
 
 
 def given(index, *names):
@@ -69,14 +69,14 @@
 @pytest.mark.parametrize(
     "platform, now, chosen",
     [
-        (given(0), 110 * SECOND, Choice.SNAPSHOT),  # nothing given: the snapshot
-        (given(2, "s0"), 110 * SECOND, Choice.SNAPSHOT),  # an older list given
-        (given(3, "s0"), 110 * SECOND, Choice.GIVEN),  # as new
-        (given(4, "s0"), 110 * SECOND, Choice.STALE),  # newer than the snapshot
-        (given(0), 161 * SECOND, Choice.OLD),  # past trust_for
-        (given(0), 99 * SECOND, Choice.OLD),  # written before the clock was put back
+        (given(0), 110 * SECOND, ListSource.SNAPSHOT),  # nothing given: the snapshot
+        (given(2, "s0"), 110 * SECOND, ListSource.SNAPSHOT),  # an older list given
+        (given(3, "s0"), 110 * SECOND, ListSource.GIVEN),  # as new
+        (given(4, "s0"), 110 * SECOND, ListSource.STALE),  # newer than the snapshot
+        (given(0), 161 * SECOND, ListSource.OLD),  # past trust_for
+        (given(0), 99 * SECOND, ListSource.OLD),  # written before the clock was put back
     ],
 )
 def test_a_start_takes_the_snapshot_only_where_it_is_newer_and_young_enough(platform, now, chosen):
-    assert choose(platform, read(written(held("s1"))), now, 60 * SECOND) is chosen
-    assert choose(platform, None, now, 60 * SECOND) is Choice.GIVEN
+    assert choose_list(platform, read(written(held("s1"))), now, 60 * SECOND) is chosen
+    assert choose_list(platform, None, now, 60 * SECOND) is ListSource.GIVEN
