--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -12,7 +12,7 @@
 from loftweir.config.units import split_host_port
 from loftweir.net.loop import MS, READABLE, SECOND, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, send
-from loftweir.operations.calls import LONGEST, Call, No, no, parse, yes
+from loftweir.operations.calls import MAX_LINE_BYTES, No, OperatorCommand, error_answer, ok_answer, parse_command
 from loftweir.telemetry.catalogue import OPERATOR_CALL
 from loftweir.telemetry.log import emit
 
@@ -22,15 +22,15 @@
 ANSWER_WITHIN = SECOND  # for it to read the answer
 BACKLOG = 64
 
-Do = Callable[[Call], Coroutine[str]]
+Execute = Callable[[OperatorCommand], Coroutine[str]]
 
 
 class Address:
     """Invariant: `callers` has every connection, the longest there first, each with its coroutine."""
 
-    def __init__(self, loop: Loop, do: Do) -> None:
+    def __init__(self, loop: Loop, execute: Execute) -> None:
         self.loop = loop
-        self.do = do
+        self.execute = execute
         self.callers: dict[socket.socket, Task] = {}
         self.listener: socket.socket | None = None
 
@@ -84,8 +84,8 @@
         data = b""
         try:
             while b"\n" not in data:
-                if len(data) > LONGEST:
-                    parse(data)
+                if len(data) > MAX_LINE_BYTES:
+                    parse_command(data)
                 if not (yield Wait(sock, READABLE, until)):
                     raise No("no end of the line came")
                 read = sock.recv(4096)
@@ -95,11 +95,11 @@
                     return b""
                 data += read
             line = data[: data.index(b"\n")].removesuffix(b"\r")
-            call = parse(line)
-            text = yield from self.do(call)
+            command = parse_command(line)
+            text = yield from self.execute(command)
         except No as reason:
             emit(OPERATOR_CALL, call=repr(data[:80])[2:-1], answer="ERR", why=reason)
-            return no(reason)
-        if call.command.value != "READY":
-            emit(OPERATOR_CALL, call=f"{call.command.value} {call.id}".strip(), answer="OK", why="")
-        return yes(text)
+            return error_answer(reason)
+        if command.verb.value != "READY":
+            emit(OPERATOR_CALL, call=f"{command.verb.value} {command.id}".strip(), answer="OK", why="")
+        return ok_answer(text)
--- a/loftweir/operations/calls.py
+++ b/loftweir/operations/calls.py
@@ -8,10 +8,10 @@
 
 from loftweir.errors import LoftweirError
 
-LONGEST = 1024  # bytes of a line; an id has 64 at most
+MAX_LINE_BYTES = 1024  # bytes of a line; an id has 64 at most
 
 
-class Command(Enum):
+class Verb(Enum):
     READY = "READY"
     DISABLE = "DISABLE"
     ENABLE = "ENABLE"
@@ -25,22 +25,22 @@
 
 
 # The arguments that each command takes; one in brackets may be left out.
-ARGUMENTS: Mapping[Command, tuple[str, ...]] = {
-    Command.READY: (),
-    Command.DISABLE: ("ID",),
-    Command.ENABLE: ("ID",),
-    Command.DRAIN: (),
-    Command.UNDRAIN: (),
-    Command.FLEET: (),
-    Command.FLEET_DISABLE: ("ID",),
-    Command.FLEET_ENABLE: ("ID",),
-    Command.FLEET_REMOVE: ("NAME",),
-    Command.ROUTES: ("[SERVICE]",),
+ARGUMENTS: Mapping[Verb, tuple[str, ...]] = {
+    Verb.READY: (),
+    Verb.DISABLE: ("ID",),
+    Verb.ENABLE: ("ID",),
+    Verb.DRAIN: (),
+    Verb.UNDRAIN: (),
+    Verb.FLEET: (),
+    Verb.FLEET_DISABLE: ("ID",),
+    Verb.FLEET_ENABLE: ("ID",),
+    Verb.FLEET_REMOVE: ("NAME",),
+    Verb.ROUTES: ("[SERVICE]",),
 }
 
 
-class Call(NamedTuple):
-    command: Command
+class OperatorCommand(NamedTuple):
+    verb: Verb
     id: str = ""  # or a member's or service's name
 
 
@@ -53,10 +53,10 @@
     )
 
 
-def parse(line: bytes) -> Call:
+def parse_command(line: bytes) -> OperatorCommand:
     """A line without its end; `No` where it is not a call."""
-    if len(line) > LONGEST:
-        raise No(f"a line has {LONGEST} bytes at most")
+    if len(line) > MAX_LINE_BYTES:
+        raise No(f"a line has {MAX_LINE_BYTES} bytes at most")
     try:
         text = line.decode("utf-8")
     except UnicodeDecodeError:
@@ -65,18 +65,18 @@
         raise No("not plain text")
     name, *arguments = text.split()[:4] or [""]
     try:
-        command = Command(name)
+        command = Verb(name)
     except ValueError:
-        raise No(f"no such call, known are {', '.join(w.value for w in Command)}") from None
+        raise No(f"no such call, known are {', '.join(verb.value for verb in Verb)}") from None
     wanted = ARGUMENTS[command]
     if not sum(not name.startswith("[") for name in wanted) <= len(arguments) <= len(wanted):
         raise No(f"usage: {' '.join((command.value, *wanted))}")
-    return Call(command, *arguments)
+    return OperatorCommand(command, *arguments)
 
 
-def yes(text: str = "") -> bytes:
+def ok_answer(text: str = "") -> bytes:
     return f"OK {text}".strip().encode() + b"\n"
 
 
-def no(reason: No) -> bytes:
+def error_answer(reason: No) -> bytes:
     return b"ERR " + " ".join(str(reason).split()).encode() + b"\n"
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -9,9 +9,9 @@
 from loftweir.core.life import Life, Step
 from loftweir.interface import MembershipUpdate
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.operations.calls import Call, Command, No
+from loftweir.operations.calls import No, OperatorCommand, Verb
 from loftweir.operations.overlay import Overlay
-from loftweir.operations.record import LastCommand, Record
+from loftweir.operations.record import Override, OverrideRecord
 from loftweir.operations.store import Store
 from loftweir.state.sealed import Damaged
 from loftweir.telemetry.catalogue import OPERATOR_RECORD, OPERATOR_RECORD_DAMAGED, OPERATOR_RECORD_FAILED
@@ -27,13 +27,13 @@
 class Fleet(Protocol):
     """This sidecar's part in the replicated state, where the operator's file names members."""
 
-    def do(self, call: Call) -> Coroutine[str]: ...
+    def execute(self, command: OperatorCommand) -> Coroutine[str]: ...
 
 
 class Partners(Protocol):
     """This sidecar's part among the partners, where the operator's file names a site."""
 
-    def do(self, call: Call) -> str: ...
+    def execute(self, command: OperatorCommand) -> str: ...
 
 
 class CommandHandler:
@@ -48,18 +48,18 @@
         self.fleet: Fleet | None = None
         self.partners: Partners | None = None
         self.store: Store | None = None
-        self.follows = False  # another process served when this one began
+        self.found_other_process = False  # another process served when this one began
         self.begun = False  # the record was read, or could not be
         self.lacks = False  # the file, something that this process knows
 
     # ---- discovery ------------------------------------------------------------------------------
 
-    def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         self.told(*self.overlay.update(update, addresses))
 
     # ---- the fleet ------------------------------------------------------------------------------
 
-    def fleet_said(self, commands: Mapping[str, LastCommand], whole: bool) -> None:
+    def apply_fleet(self, commands: Mapping[str, Override], whole: bool) -> None:
         """What holds for the whole fleet; `whole`: nothing else does. Its times are of the clock of whoever said it:
         of one that is ahead of this one's the provider starts now, not in an hour. Once: one that comes again is not
         news."""
@@ -68,19 +68,21 @@
         for name, command in commands.items():
             before = known.get(name)
             if command.at > now:
-                command = before if before is not None and before.on == command.on else LastCommand(now, command.on)
+                command = (
+                    before if before is not None and before.active == command.active else Override(now, command.active)
+                )
             heard[name] = command
-        update = self.overlay.lay(heard, whole)
+        update = self.overlay.apply_fleet(heard, whole)
         if update is not None:
             self.told(*update)
 
-    def _fleet(self, call: Call) -> Coroutine[str]:
+    def _fleet(self, command: OperatorCommand) -> Coroutine[str]:
         if self.fleet is None:
             raise No("replication is off: the operator's file names no replication.members")
         # What this sidecar's list does not name yet, others may serve from: it may be taken out all the same.
-        if call.command is Command.FLEET_ENABLE and not self.overlay.knows(call.id):
+        if command.verb is Verb.FLEET_ENABLE and not self.overlay.knows(command.id):
             raise No("no such upstream")
-        return (yield from self.fleet.do(call))
+        return (yield from self.fleet.execute(command))
 
     # ---- the record -----------------------------------------------------------------------------
 
@@ -91,12 +93,12 @@
             return
         try:
             self.store = Store(Path(folder))
-            self.follows = not self.store.alone()
+            self.found_other_process = not self.store.is_alone()
         except OSError as error:
             emit(OPERATOR_RECORD_FAILED, folder=folder, why=error)
             self.begun = True
             return
-        if not self._read() and self.follows:
+        if not self._read() and self.found_other_process:
             self.loop.after(HEALED_WITHIN, self._give_up_reading)
         else:
             self._begin()
@@ -104,9 +106,9 @@
 
     def _begin(self) -> None:
         self.begun = True
-        if not self.follows and self.overlay.record.drain.on:
+        if not self.found_other_process and self.overlay.record.drain.active:
             # Nobody is left whom it was said to. A ban is of a provider, and holds until it is called back.
-            self.hold(self.overlay.record.drained(False, self.loop.now()))
+            self.apply_record(self.overlay.record.with_drain(False, self.loop.now()))
 
     def _give_up_reading(self) -> None:
         if not self.begun:
@@ -119,7 +121,7 @@
         except Damaged as error:
             emit(OPERATOR_RECORD_DAMAGED, why=error)
             return False
-        self.hold(self.overlay.record.merged(loaded))
+        self.apply_record(self.overlay.record.merged(loaded))
         self.lacks = self.overlay.record != loaded.pruned(self.loop.now())
         return True
 
@@ -129,7 +131,7 @@
         assert store is not None
         while True:
             yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
-            if not store.news():
+            if not store.has_changed():
                 continue
             sound = self._read()
             if sound and not self.begun:
@@ -142,19 +144,19 @@
                     if not isinstance(error, BlockingIOError):
                         emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
 
-    def hold(self, record: Record) -> None:
+    def apply_record(self, record: OverrideRecord) -> None:
         """What holds from now on."""
         before, record = self.overlay.record, record.pruned(self.loop.now())
         if record == before:
             return
-        update = self.overlay.hold(record)
+        update = self.overlay.apply_record(record)
         if update is not None:
             self.told(*update)
-        if record.drain.on != before.drain.on:
-            self.life.step(Step.DRAIN if record.drain.on else Step.UNDRAIN)
-        emit(OPERATOR_RECORD, out=sorted(n for n, w in record.bans.items() if w.on), drain=record.drain.on)
+        if record.drain.active != before.drain.active:
+            self.life.step(Step.DRAIN if record.drain.active else Step.UNDRAIN)
+        emit(OPERATOR_RECORD, out=sorted(n for n, w in record.overrides.items() if w.active), drain=record.drain.active)
 
-    def _save(self, record: Record) -> Coroutine[Record]:
+    def _save(self, record: OverrideRecord) -> Coroutine[OverrideRecord]:
         """The record as it is in the file then, merged with this one; `No` where it can't be kept."""
         store, until = self.store, self.loop.now() + TRY_FOR
         while store is not None:
@@ -169,37 +171,37 @@
 
     # ---- calls ----------------------------------------------------------------------------------
 
-    def do(self, call: Call) -> Coroutine[str]:
+    def execute(self, command: OperatorCommand) -> Coroutine[str]:
         """What is said after OK; a `No` where the call is not done."""
         now, record = self.loop.now(), self.overlay.record
-        if call.command in (Command.FLEET, Command.FLEET_DISABLE, Command.FLEET_ENABLE, Command.FLEET_REMOVE):
-            return (yield from self._fleet(call))
-        if call.command is Command.ROUTES:
+        if command.verb in (Verb.FLEET, Verb.FLEET_DISABLE, Verb.FLEET_ENABLE, Verb.FLEET_REMOVE):
+            return (yield from self._fleet(command))
+        if command.verb is Verb.ROUTES:
             if self.partners is None:
                 raise No("partners are off: the operator's file names no partners.site")
-            return self.partners.do(call)
-        if call.command is Command.READY:
+            return self.partners.execute(command)
+        if command.verb is Verb.READY:
             if self.life.ends:
                 raise No("this process comes to its end")
             if not self.begun or not self.takes_clients():
                 raise No("not yet")
             return ""
-        if call.command in (Command.DRAIN, Command.UNDRAIN):
-            on = call.command is Command.DRAIN
-            self.hold(record.drained(on, now))
+        if command.verb in (Verb.DRAIN, Verb.UNDRAIN):
+            on = command.verb is Verb.DRAIN
+            self.apply_record(record.with_drain(on, now))
             yield from self._keep_command()
             return "draining" if on else "serving"
-        if not self.overlay.knows(call.id):
+        if not self.overlay.knows(command.id):
             raise No("no such upstream")
-        if call.command is Command.DISABLE:
+        if command.verb is Verb.DISABLE:
             # It holds in any case: a time after the call it binds, whatever is answered.
-            self.hold(record.ban(call.id, True, now))
+            self.apply_record(record.with_override(command.id, True, now))
             yield from self._keep_command()
             return "disabled"
-        if record.banned(call.id):
+        if record.is_disabled(command.id):
             # The other way round: none is sent to before it is kept that it may be.
-            self.hold((yield from self._save(record.ban(call.id, False, now))))
+            self.apply_record((yield from self._save(record.with_override(command.id, False, now))))
         return "enabled"
 
     def _keep_command(self) -> Coroutine[None]:
-        self.hold((yield from self._save(self.overlay.record)))
+        self.apply_record((yield from self._save(self.overlay.record)))
--- a/loftweir/operations/overlay.py
+++ b/loftweir/operations/overlay.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
-from loftweir.operations.record import HOUR, LastCommand, Record, changed
+from loftweir.operations.record import HOUR, Override, OverrideRecord, changed_names
 
 
 class Overlay:
@@ -20,18 +20,18 @@
     def __init__(self) -> None:
         self.listed: dict[str, Endpoint] = {}  # as discovery has them, those that are gone left out
         self.addresses: dict[str, str] = {}
-        self.record = Record()
-        self.fleet: dict[str, LastCommand] = {}
+        self.record = OverrideRecord()
+        self.fleet: dict[str, Override] = {}
 
     def knows(self, name: str) -> bool:
-        return name in self.listed or self.record.banned(name) or name in self.fleet
+        return name in self.listed or self.record.is_disabled(name) or name in self.fleet
 
     def effective(self, endpoint: Endpoint) -> Endpoint:
         name = endpoint.address
-        commands = [bans[name] for bans in (self.record.bans, self.fleet) if name in bans]
+        commands = [bans[name] for bans in (self.record.overrides, self.fleet) if name in bans]
         if not commands or endpoint.lifecycle is Lifecycle.GONE:
             return endpoint
-        if any(command.on for command in commands):
+        if any(command.active for command in commands):
             return replace(endpoint, lifecycle=Lifecycle.DRAINING)
         at = max(command.at for command in commands)
         # The fleet's commands are kept for good: a start long after one is not the start that it spoke of.
@@ -50,16 +50,18 @@
                 self.addresses[endpoint.address] = addresses[endpoint.address]
         return replace(update, endpoints=tuple(map(self.effective, update.endpoints))), dict(addresses)
 
-    def hold(self, record: Record) -> tuple[MembershipUpdate, dict[str, str]] | None:
+    def apply_record(self, record: OverrideRecord) -> tuple[MembershipUpdate, dict[str, str]] | None:
         """Another record holds from now on: what the balancer is to be told, if anything."""
-        names = changed(self.record, record)
+        names = changed_names(self.record, record)
         self.record = record
         return self._again(names)
 
-    def lay(self, commands: Mapping[str, LastCommand], whole: bool) -> tuple[MembershipUpdate, dict[str, str]] | None:
+    def apply_fleet(
+        self, commands: Mapping[str, Override], whole: bool
+    ) -> tuple[MembershipUpdate, dict[str, str]] | None:
         """Commands to the fleet hold from now on; `whole`: in place of all before, else beside them."""
         after = dict(commands) if whole else {**self.fleet, **commands}
-        names = changed(Record(self.fleet), Record(after))
+        names = changed_names(OverrideRecord(self.fleet), OverrideRecord(after))
         self.fleet = after
         return self._again(names)
 
--- a/loftweir/operations/record.py
+++ b/loftweir/operations/record.py
@@ -14,75 +14,77 @@
 
 from loftweir.state.sealed import Damaged, seal, unseal
 
-HEAD = b"loftweir-operators"
+FILE_NAME = b"loftweir-operators"
 VERSION = 1
 HOUR = 3_600_000_000_000
 
 
-class LastCommand(NamedTuple):
+class Override(NamedTuple):
     """Later commands are greater, and of two of one time the stricter."""
 
     at: int = 0  # Unix time, ns; 0: nothing was ever said
-    on: bool = False
+    active: bool = False
 
 
-class Record(NamedTuple):
+class OverrideRecord(NamedTuple):
     """All that holds: for each id whether it is out, and whether the sidecar is drained."""
 
-    bans: Mapping[str, LastCommand] = {}
-    drain: LastCommand = LastCommand()
+    overrides: Mapping[str, Override] = {}
+    drain: Override = Override()
 
-    def merged(self, other: Record) -> Record:
-        bans = dict(self.bans)
-        for name, command in other.bans.items():
+    def merged(self, other: OverrideRecord) -> OverrideRecord:
+        bans = dict(self.overrides)
+        for name, command in other.overrides.items():
             bans[name] = max(bans.get(name, command), command)
-        return Record(bans, max(self.drain, other.drain))
+        return OverrideRecord(bans, max(self.drain, other.drain))
 
-    def ban(self, name: str, on: bool, now: int) -> Record:
-        return self._replace(bans={**self.bans, name: LastCommand(after(self.bans.get(name, LastCommand()), now), on)})
+    def with_override(self, name: str, on: bool, now: int) -> OverrideRecord:
+        return self._replace(
+            overrides={**self.overrides, name: Override(next_time(self.overrides.get(name, Override()), now), on)}
+        )
 
-    def drained(self, on: bool, now: int) -> Record:
-        return self._replace(drain=LastCommand(after(self.drain, now), on))
+    def with_drain(self, on: bool, now: int) -> OverrideRecord:
+        return self._replace(drain=Override(next_time(self.drain, now), on))
 
-    def banned(self, name: str) -> bool:
-        return self.bans.get(name, LastCommand()).on
+    def is_disabled(self, name: str) -> bool:
+        return self.overrides.get(name, Override()).active
 
-    def pruned(self, now: int) -> Record:
+    def pruned(self, now: int) -> OverrideRecord:
         """Without ids called back long ago: no process is so far behind."""
-        return self._replace(bans={n: w for n, w in self.bans.items() if w.on or w.at > now - HOUR})
+        return self._replace(overrides={n: w for n, w in self.overrides.items() if w.active or w.at > now - HOUR})
 
 
-def after(command: LastCommand, now: int) -> int:
+def next_time(command: Override, now: int) -> int:
     return max(now, command.at + 1)
 
 
-def written(record: Record) -> bytes:
+def encode(record: OverrideRecord) -> bytes:
     value = {
-        "bans": {name: list(command) for name, command in sorted(record.bans.items())},
+        "bans": {name: list(command) for name, command in sorted(record.overrides.items())},
         "drain": list(record.drain),
     }
     body = ujson.dumps(value).encode()
-    return seal(HEAD, VERSION, body)
+    return seal(FILE_NAME, VERSION, body)
 
 
-def read(data: bytes) -> Record:
-    body = unseal(HEAD, VERSION, data)
+def decode(data: bytes) -> OverrideRecord:
+    body = unseal(FILE_NAME, VERSION, data)
     try:
         value = ujson.loads(body)
-        return Record(
+        return OverrideRecord(
             {str(name): _last_command(pair) for name, pair in value["bans"].items()}, _last_command(value["drain"])
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise Damaged(f"not in its form: {error!r}") from None
 
 
-def _last_command(pair: Any) -> LastCommand:
+def _last_command(pair: Any) -> Override:
     at, on = pair
     if isinstance(at, bool) or not isinstance(at, int) or not isinstance(on, bool):
         raise ValueError(pair)
-    return LastCommand(at, on)
+    return Override(at, on)
 
 
-def changed(old: Record, new: Record) -> Iterable[str]:
+def changed_names(old: OverrideRecord, new: OverrideRecord) -> Iterable[str]:
     """The ids of which something else holds now."""
-    return sorted(n for n in {*old.bans, *new.bans} if old.bans.get(n) != new.bans.get(n))
+    return sorted(n for n in {*old.overrides, *new.overrides} if old.overrides.get(n) != new.overrides.get(n))
--- a/loftweir/operations/store.py
+++ b/loftweir/operations/store.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from loftweir.operations.record import Record, read, written
+from loftweir.operations.record import OverrideRecord, decode, encode
 from loftweir.state.sealed import Damaged
 
 NAME, LOCK, SERVING = "loftweir-operators", "loftweir-operators.lock", "loftweir-serving.lock"
@@ -28,7 +28,7 @@
         self.serving = os.open(folder / SERVING, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.seen: tuple[int, int, int] | None = None  # the file that was read or written last
 
-    def news(self) -> bool:
+    def has_changed(self) -> bool:
         """Whether the file is another than the one seen last."""
         return self._stamp() != self.seen
 
@@ -39,19 +39,19 @@
             return None
         return found.st_ino, found.st_mtime_ns, found.st_size
 
-    def load(self) -> Record:
+    def load(self) -> OverrideRecord:
         """What is in the file; `Damaged` where that can't be trusted. No file: nothing was ever said."""
         self.seen = self._stamp()
         try:
             with open(self.path, "rb") as opened:
                 data = opened.read(LARGEST + 1)
         except FileNotFoundError:
-            return Record()
+            return OverrideRecord()
         except OSError as error:
             raise Damaged(error.strerror or str(error)) from None
-        return read(data)
+        return decode(data)
 
-    def save(self, record: Record) -> Record:
+    def save(self, record: OverrideRecord) -> OverrideRecord:
         """Merges a record into the file, and gives what is in it then. OSError: it is not kept, also where another
         process holds the lock (BlockingIOError: to be tried again)."""
         fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -60,7 +60,7 @@
                 record = record.merged(self.load())
             beside = self.path.with_suffix(f".{os.getpid()}")
             try:
-                beside.write_bytes(written(record))
+                beside.write_bytes(encode(record))
                 os.rename(beside, self.path)
             except OSError:
                 beside.unlink(missing_ok=True)
@@ -72,11 +72,11 @@
 
     # ---- who else is there ----------------------------------------------------------------------
 
-    def serve(self) -> None:
+    def announce_serving(self) -> None:
         """Tells other processes that this one serves, until it ends, whatever its end."""
         fcntl.lockf(self.serving, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
 
-    def alone(self) -> bool:
+    def is_alone(self) -> bool:
         """Whether no other process serves: each has a byte of its own locked, and asking takes no lock."""
         asked = struct.pack(FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
         kind, *_ = struct.unpack(FLOCK, fcntl.fcntl(self.serving, fcntl.F_GETLK, asked))
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -17,7 +17,7 @@
 from loftweir.interface import MembershipUpdate, Settings
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.operations.calls import Call, No
+from loftweir.operations.calls import No, OperatorCommand
 from loftweir.partners.file import Sites
 from loftweir.partners.link import Link, keys_of, limits, timing
 from loftweir.partners.merge import Changed, Merged, Merger, Policy, Reason, Standing
@@ -330,8 +330,8 @@
 
     # ---- operators' calls -----------------------------------------------------------------------
 
-    def do(self, call: Call) -> str:
-        return self._one(call.id.lower()) if call.id else self._all()
+    def execute(self, command: OperatorCommand) -> str:
+        return self._one(command.id.lower()) if command.id else self._all()
 
     def _all(self) -> str:
         merged, helds = self.merger.merged, self.merger.helds
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -14,8 +14,8 @@
 from loftweir.config.units import parse_members
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.operations.calls import Call, Command, No
-from loftweir.operations.record import LastCommand
+from loftweir.operations.calls import No, OperatorCommand, Verb
+from loftweir.operations.record import Override
 from loftweir.replication import reception, remembered
 from loftweir.replication.api import Role
 from loftweir.replication.caller import Caller
@@ -56,7 +56,7 @@
     copies were begun anew."""
 
     def __init__(
-        self, loop: Loop, name: str, options: Replication, told: Callable[[Mapping[str, LastCommand], bool], None]
+        self, loop: Loop, name: str, options: Replication, told: Callable[[Mapping[str, Override], bool], None]
     ) -> None:
         self.loop = loop
         self.name = name
@@ -68,7 +68,7 @@
         self.index = 0  # of what holds here
         self.known_at: int | None = None  # where only what was remembered does: when it was the latest
         self.members: frozenset[str] = frozenset()  # ids of the voters that it is of
-        self.words: dict[str, LastCommand] = {}
+        self.words: dict[str, Override] = {}
         self.machine: Machine | None = None  # the state that holds here; None: none was heard of yet
         self.heard: list[Callable[[Machine], None]] = []  # who else is told of each change of it
         self.ahead: dict[str, int] = {}  # commands answered for, and from which index on the machine has them
@@ -94,7 +94,7 @@
             return
         if found is not None:
             self.index, self.known_at, self.members = found.index, found.known_at, frozenset(found.members)
-            self.words = {name: LastCommand(*command) for name, command in found.words.items()}
+            self.words = {name: Override(*command) for name, command in found.words.items()}
             self.told(self.words, True)
 
     def start(self) -> None:
@@ -215,7 +215,7 @@
             heard(machine)
         if not commands and not whole and not anew:
             return
-        said = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
+        said = {name: Override(command.at, command.out) for name, command in commands.items()}
         self.ahead = {name: index for name, index in self.ahead.items() if index > machine.index}
         said |= {name: self.words[name] for name in self.ahead}  # not undone by an older one on the way
         self.words = said if whole or anew else {**self.words, **said}
@@ -229,7 +229,7 @@
         self.saves, self.saved_at = False, self.loop.now()
         if self.folder is None:
             return
-        words = {name: (command.at, command.on) for name, command in self.words.items()}
+        words = {name: (command.at, command.active) for name, command in self.words.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
             remembered.save(self.folder, Remembered(self.options.cluster, self.index, now, sorted(self.members), words))
@@ -237,7 +237,7 @@
             emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
 
     def out(self) -> list[str]:
-        return sorted(name for name, command in self.words.items() if command.on)
+        return sorted(name for name, command in self.words.items() if command.active)
 
     def age(self) -> int | None:
         """Since what holds here was last known to be all that was promised, ns; None: not known."""
@@ -248,33 +248,33 @@
 
     # ---- operators' calls -----------------------------------------------------------------------
 
-    def do(self, call: Call) -> Coroutine[str]:
+    def execute(self, command: OperatorCommand) -> Coroutine[str]:
         """What is said after OK, which is a promise: a majority has it on stable storage. `No` with a typed error's
         text, within `replication.write_within`."""
-        if call.command is Command.FLEET:
+        if command.verb is Verb.FLEET:
             return self.line()
         until = self.loop.now() + self.options.write_within
         try:
-            if call.command is Command.FLEET_REMOVE:
-                yield from self.caller.remove(call.id, self.options.write_within)
+            if command.verb is Verb.FLEET_REMOVE:
+                yield from self.caller.remove(command.id, self.options.write_within)
                 return "removed"
-            if call.command is Command.FLEET_ENABLE:
-                held = yield from self.caller.read(WordOf(call.id), self.options.write_within)
+            if command.verb is Verb.FLEET_ENABLE:
+                held = yield from self.caller.read(WordOf(command.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
-                    if held.value or call.id in self.out():
-                        self._answered(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
+                    if held.value or command.id in self.out():
+                        self._answered(command.id, Override(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
-            act = Say(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
+            act = Say(command.id, command.verb is Verb.FLEET_DISABLE, self.loop.now())
             result = yield from self.caller.write(act, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
             raise No(result.text)
-        self._answered(call.id, LastCommand(act.at, act.out), result.index)
+        self._answered(command.id, Override(act.at, act.out), result.index)
         return f"{'disabled' if act.out else 'enabled'}, at index {result.index}"
 
-    def _answered(self, name: str, said: LastCommand, index: int) -> None:
+    def _answered(self, name: str, said: Override, index: int) -> None:
         """What is promised at an index holds here by the time of the answer; the machine's state follows."""
         if index > max(self.index, self.ahead.get(name, 0)):
             self.ahead[name] = index
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -77,7 +77,7 @@
         self.life.changed = self._changed
         self.left_at = 0  # when the latest drain began
         self.commands = CommandHandler(loop, self.life, self.listed, self._takes_clients)
-        self.discovery = Discovery(loop, platform.discovery, options, self.commands.listed, platform.seed)
+        self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
         shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
         self.fleet: Part | None = None
@@ -86,7 +86,7 @@
             from loftweir.replication import part
 
             self.fleet = self.commands.fleet = part.Part(
-                loop, platform.name, options.replication, self.commands.fleet_said
+                loop, platform.name, options.replication, self.commands.apply_fleet
             )
             others += part.descriptors(platform.name, options.replication)
         self.partners: Partners | None = None
@@ -198,7 +198,7 @@
             self.commands.begin(os.environ.get("TMPDIR"))
         if self.fleet is not None:
             self.fleet.recall()
-        self.commands.listed(known, addresses)
+        self.commands.update_list(known, addresses)
         if platform.settings.discovery_pushes:
             # What the agent has counts as told from this process's first moment, and the platform's list is older.
             self.front.opens_at = self.loop.now() + LEAST
@@ -207,10 +207,10 @@
         else:
             self.front.inherit(platform.listen_fd)
         if platform.operator:
-            Address(self.loop, self.commands.do).listen(platform.operator)
+            Address(self.loop, self.commands.execute).listen(platform.operator)
         if self.commands.store is not None:
-            self.commands.store.serve()
-        if self.commands.follows:
+            self.commands.store.announce_serving()
+        if self.commands.found_other_process:
             # News bind soon after this process says that it is ready, and there is one of it: no crowd to spread.
             self.discovery.watch(True)
         self.discovery.use(platform.settings.discovery_pushes, platform.settings.balancers)
@@ -333,7 +333,7 @@
         last = now + min(longest, LONGEST_COUNTED) + SECOND
         latest = now + longest + SECOND  # SIGKILL may come far later: what was taken with more time still has it
         front.ends_at = last - ENDS_BEFORE
-        if self.commands.store is not None and not self.commands.store.alone():
+        if self.commands.store is not None and not self.commands.store.is_alone():
             front.stop_accepting()
         yield Wait(None, 0, now + limits.accept_after_term)
         while not front.stop_accepting() and self.loop.now() < front.ends_at:
--- a/loftweir/state/disk.py
+++ b/loftweir/state/disk.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from loftweir.state.sealed import Damaged
-from loftweir.state.snapshot import Snapshot, read, written
+from loftweir.state.snapshot import Snapshot, decode, encode
 
 NAME = "loftweir-snapshot"
 LARGEST = 16 * 1024 * 1024
@@ -22,7 +22,7 @@
         beside = self.path.with_name(f"{NAME}.{os.getpid()}")
         descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            data = memoryview(written(snapshot))
+            data = memoryview(encode(snapshot))
             while data:
                 data = data[os.write(descriptor, data) :]
             os.fsync(descriptor)
@@ -45,7 +45,7 @@
         try:
             if len(data) > LARGEST:
                 raise Damaged("larger than a snapshot may be", LARGEST)
-            return read(data)
+            return decode(data)
         except Damaged:
             os.replace(self.path, self.path.with_name(f"{NAME}.damaged"))
             raise
--- a/loftweir/state/snapshot.py
+++ b/loftweir/state/snapshot.py
@@ -16,7 +16,7 @@
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
 from loftweir.state.sealed import Damaged, seal, unseal
 
-HEAD = b"loftweir-snapshot"
+FILE_NAME = b"loftweir-snapshot"
 VERSION = 1
 
 
@@ -46,13 +46,13 @@
         return MembershipUpdate(UpdateKind.REMEMBERED, endpoints, self.index), {e.name: e.address for e in self.entries}
 
 
-def written(snapshot: Snapshot) -> bytes:
-    return seal(HEAD, VERSION, msgspec.json.encode(snapshot))
+def encode(snapshot: Snapshot) -> bytes:
+    return seal(FILE_NAME, VERSION, msgspec.json.encode(snapshot))
 
 
-def read(data: bytes) -> Snapshot:
+def decode(data: bytes) -> Snapshot:
     """The snapshot in `data`; `Damaged` where it can't be trusted."""
-    body = unseal(HEAD, VERSION, data)
+    body = unseal(FILE_NAME, VERSION, data)
     try:
         found = msgspec.json.decode(body, type=Snapshot)
         for entry in found.entries:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -18,7 +18,7 @@
 from loftweir.http1.discovery import CallFailed, Discovery
 from loftweir.interface import SettingsError
 from loftweir.net.loop import Loop
-from loftweir.operations.calls import No, parse
+from loftweir.operations.calls import No, parse_command
 from loftweir.settings import WireError
 from loftweir.state.sealed import Damaged, unseal
 from loftweir.telemetry.catalogue import DISCOVERY_LIST_FAILED
@@ -47,7 +47,7 @@
     CallFailed: (call_discovery, "not up", ""),
     Damaged: (lambda: unseal(b"kept", 1, b"kept 2 0\n"), "of version 2, this one reads 1, at byte 5", "byte 5"),
     Faulty: (lambda: read(origin({})), "environment: RELAY_CONFIG: got (missing), expected", "environment"),
-    No: (lambda: parse(b"DISABLE"), "usage: DISABLE ID", ""),
+    No: (lambda: parse_command(b"DISABLE"), "usage: DISABLE ID", ""),
     NotAList: (lambda: read_list({"endpoints": []}), "index: got '(missing)', expected a whole number", "index"),
     SettingsError: (lambda: settings(me=7), "settings: me: must be from 0 to balancers - 1", "me"),
     WireError: (lambda: Adapter().run(io.StringIO("TURN\tx\nGO\n"), io.StringIO()), "line 1: TURN: field clock", ""),
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,7 @@
 from benchmarks.faults.schedule import Play, schedule
 from loftweir.config.model import Replication
 from loftweir.net.loop import Loop
-from loftweir.operations.record import LastCommand as Said
+from loftweir.operations.record import Override
 from loftweir.replication.api import Append, Appended, AskVote, Vote
 from loftweir.replication.machine import Acquire, Fenced, Machine, Ok, Order, Word, written
 from loftweir.replication.part import Part
@@ -69,8 +69,8 @@
         members = ", ".join(f"n{n}=127.0.0.1:{n + 1}" for n in range(3))
         part = Part(Loop(), "f0", Replication(members=members), lambda words, whole: None)
         machine, shown = Machine(), []
-        part._answered("s0", Said(0, False), 3)
-        part._answered("s1", Said(0, True), 4)
+        part._answered("s0", Override(0, False), 3)
+        part._answered("s1", Override(0, True), 4)
         for index, out in enumerate((True, True, False, True), 1):
             machine.apply(index, written(Order(f"session {index}", 1, Word("s0" if index < 4 else "s1", out, 0))))
             part._tell(machine, frozenset({"id"}))
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -13,7 +13,7 @@
 
 from scene import ROOT, SETTINGS, Catalog, Party, address_of, as_list, entry, eventually, listener, reply
 
-from loftweir.state.snapshot import Entry, Snapshot, read, written
+from loftweir.state.snapshot import Entry, Snapshot, decode, encode
 
 SIDECARS = 5
 
@@ -80,7 +80,7 @@
 
     def snapshot_index(self, number):
         try:
-            return read((self.folder / f"n{number}" / "loftweir-snapshot").read_bytes()).index
+            return decode((self.folder / f"n{number}" / "loftweir-snapshot").read_bytes()).index
         except (OSError, ValueError):
             return -1
 
@@ -165,7 +165,7 @@
         config = self.config(0)
         config["known"] = json.loads(as_list(5, self.catalog.entries, True))
         entries = [Entry("s-new", self.new.address, "a", "m", 0, "ready", 1.0, 0)]
-        self.started_beside(written(Snapshot(2, 3, time.time_ns(), entries)), config)
+        self.started_beside(encode(Snapshot(2, 3, time.time_ns(), entries)), config)
         self.assertEqual([t["choice"] for t in self.logged(0, "state.taken")], ["stale"])
         self.assertEqual(self.new.seen, [])
 
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -16,8 +16,7 @@
 
 from loftweir.config.model import Replication
 from loftweir.net.loop import MS, SECOND, Loop, Wait
-from loftweir.operations.calls import Call, No
-from loftweir.operations.calls import Command as Say
+from loftweir.operations.calls import No, OperatorCommand, Verb
 from loftweir.replication import api, reception, wire
 from loftweir.replication import member as member_module
 from loftweir.replication import part as part_module
@@ -190,7 +189,7 @@
 
 def test_a_call_that_can_not_be_promised_says_why_and_what_to_do(place):
     place.vote()
-    found = run(place.loop, place.part.do(Call(Say.FLEET_DISABLE, "s0")))
+    found = run(place.loop, place.part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0")))
     assert isinstance(found, No) and str(found).startswith("OutcomeUnknown: ") and "Ask `FLEET`" in str(found)
 
 
@@ -250,7 +249,7 @@
         return [p for p in self.parts.values() if p is not part]
 
     def do(self, part, word, id):
-        return run(self.loop, part.do(Call(word, id)))
+        return run(self.loop, part.execute(OperatorCommand(word, id)))
 
     def close(self):
         for part in self.parts.values():
@@ -268,16 +267,16 @@
 def test_none_is_removed_without_whom_there_is_no_majority(trio):
     leader = trio.leader()
     dead, alive = trio.others(leader)
-    assert str(trio.do(alive, Say.FLEET_DISABLE, "s0")).startswith("disabled")
+    assert str(trio.do(alive, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
     dead.close()
     run_for(trio.loop, SECOND)
     leader = trio.leader()  # a loaded machine may have it changed
     (alive,) = (part for part in trio.others(leader) if part is not dead)
-    found = trio.do(alive, Say.FLEET_REMOVE, alive.name)
+    found = trio.do(alive, Verb.FLEET_REMOVE, alive.name)
     assert isinstance(found, No) and "NotTaken" in str(found) and "majority" in str(found)
-    assert str(trio.do(alive, Say.FLEET_DISABLE, "s1")).startswith("disabled"), "there still is one"
-    assert trio.do(alive, Say.FLEET_REMOVE, dead.name) == "removed"
-    assert str(trio.do(leader, Say.FLEET_DISABLE, "s2")).startswith("disabled")
+    assert str(trio.do(alive, Verb.FLEET_DISABLE, "s1")).startswith("disabled"), "there still is one"
+    assert trio.do(alive, Verb.FLEET_REMOVE, dead.name) == "removed"
+    assert str(trio.do(leader, Verb.FLEET_DISABLE, "s2")).startswith("disabled")
 
 
 def run_for(loop, time):
@@ -334,11 +333,11 @@
 def test_a_word_that_was_promised_here_is_not_taken_back_by_news_from_before_it(place):
     copies, part = Machines(), place.part
     seen = []
-    part.told = lambda words, whole: seen.append({n: w.on for n, w in words.items()})
+    part.told = lambda words, whole: seen.append({n: w.active for n, w in words.items()})
     copies.apply(order_of(1, "s0", True))
     part._tell(copies.machine, frozenset({"a"}))
     part.caller.write = lambda act, within: iter_of(Ok(3))
-    assert run(place.loop, part.do(Call(Say.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
+    assert run(place.loop, part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
     copies.apply(order_of(2, "s0", False))  # another's word, between them in the log
     part._tell(copies.machine, frozenset({"a"}))
     assert part.out() == ["s0"] and not any(said.get("s0") is False for said in seen)
@@ -416,10 +415,13 @@
     part.caller.write = lambda act, within: (written_.append(act), iter_of(Ok(9)))[1]
     for sure, value in ((False, None), (False, [False, 3, 4]), (True, [True, 3, 4])):
         part.caller.read = lambda query, within, it=(sure, value): iter_of(Reading(it[0], 5, None, it[1]))
-        assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
+        assert run(place.loop, part.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
     assert [act.out for act in written_] == [False] * 3
     part.caller.read = lambda query, within: iter_of(Reading(True, 5, 0, None))
-    assert run(place.loop, part.do(Call(Say.FLEET_ENABLE, "s0"))) == "enabled, at index 5" and len(written_) == 3
+    assert (
+        run(place.loop, part.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 5"
+        and len(written_) == 3
+    )
 
 
 def test_a_seat_whose_address_is_anothers_is_no_answer_to_begin_with(place):
@@ -467,7 +469,7 @@
 
 def test_a_leader_that_leaves_hands_over_and_a_member_that_goes_leaves_what_it_promised(trio):
     leader = trio.leader()
-    assert str(trio.do(leader, Say.FLEET_DISABLE, "s0")).startswith("disabled")
+    assert str(trio.do(leader, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
     term, voter = leader.voter.core.term, leader.voter
     leader.leave()
     heirs = trio.others(leader)
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -20,8 +20,7 @@
 from loftweir.interface import Lifecycle
 from loftweir.net.loop import MS, SECOND, Loop, Wait
 from loftweir.operations.overlay import Overlay
-from loftweir.operations.record import HOUR, Record
-from loftweir.operations.record import LastCommand as Said
+from loftweir.operations.record import HOUR, Override, OverrideRecord
 from loftweir.replication import follower as follower_module
 from loftweir.replication import wire
 from loftweir.replication.api import Append, Entry, Kind, LeadNow, Member
@@ -172,22 +171,22 @@
 def test_who_is_out_by_either_word_is_out_and_comes_back_as_of_the_later():
     overlay = Overlay()
     overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
-    update, where = overlay.lay({"s-1": Said(50, True), "s-9": Said(1, True)}, False)
+    update, where = overlay.apply_fleet({"s-1": Override(50, True), "s-9": Override(1, True)}, False)
     assert [e.lifecycle for e in update.endpoints] == [Lifecycle.DRAINING] and where == {"s-1": "a"}
-    overlay.hold(Record().ban("s-1", True, 60))
-    update, _ = overlay.lay({"s-1": Said(70, False)}, False)
+    overlay.apply_record(OverrideRecord().with_override("s-1", True, 60))
+    update, _ = overlay.apply_fleet({"s-1": Override(70, False)}, False)
     assert update.endpoints[0].lifecycle is Lifecycle.DRAINING
-    update, _ = overlay.hold(Record().ban("s-1", True, 60).ban("s-1", False, 65))
+    update, _ = overlay.apply_record(OverrideRecord().with_override("s-1", True, 60).with_override("s-1", False, 65))
     back = update.endpoints[0]
     assert (back.lifecycle, back.started_at, back.called_back) == (Lifecycle.READY, 70, True)
     later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
     assert (back.started_at, back.called_back) == (80 + HOUR, False), "a start that nobody called it back from"
     overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
-    assert overlay.knows("s-9") and overlay.lay({"s-1": Said(70, False)}, False) is None
+    assert overlay.knows("s-9") and overlay.apply_fleet({"s-1": Override(70, False)}, False) is None
     listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
     assert listed.endpoints[0].lifecycle is Lifecycle.DRAINING
-    update, _ = overlay.lay({}, True)
+    update, _ = overlay.apply_fleet({}, True)
     assert {(e.address, e.lifecycle, e.called_back) for e in update.endpoints} == {
         ("s-1", Lifecycle.READY, True),
         ("s-9", Lifecycle.READY, False),
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -4,7 +4,7 @@
 
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
 from loftweir.state.sealed import Damaged, seal, unseal
-from loftweir.state.snapshot import ListSource, ListTracker, choose_list, read, written
+from loftweir.state.snapshot import ListSource, ListTracker, choose_list, decode, encode
 
 SECOND = 1_000_000_000
 
@@ -19,7 +19,7 @@
 
 
 def test_a_snapshot_comes_back_as_it_was_held_with_a_drain_kept_and_a_greater_epoch():
-    snapshot = read(written(held("s1", "gone-soon")))
+    snapshot = decode(encode(held("s1", "gone-soon")))
     update, addresses = snapshot.update()
     assert snapshot.epoch == 7 and update.version == 3 and update.kind is UpdateKind.REMEMBERED
     assert [(e.address, e.lifecycle) for e in update.endpoints] == [
@@ -57,7 +57,7 @@
 
 def test_a_sound_file_that_is_no_snapshot_is_damaged():
     with pytest.raises(Damaged, match="not in its form"):
-        read(seal(b"loftweir-snapshot", 1, b'{"epoch": 1}'))
+        decode(seal(b"loftweir-snapshot", 1, b'{"epoch": 1}'))
 
 
 def given(index, *names):
@@ -78,5 +78,5 @@
     ],
 )
 def test_a_start_takes_the_snapshot_only_where_it_is_newer_and_young_enough(platform, now, chosen):
-    assert choose_list(platform, read(written(held("s1"))), now, 60 * SECOND) is chosen
+    assert choose_list(platform, decode(encode(held("s1"))), now, 60 * SECOND) is chosen
     assert choose_list(platform, None, now, 60 * SECOND) is ListSource.GIVEN
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,7 +13,7 @@
 
 from scene import ONCE, READ, SETTINGS, Scene, address_of, entry, eventually, held, listener, ok
 
-from loftweir.operations.record import Record, read, written
+from loftweir.operations.record import OverrideRecord, decode, encode
 from loftweir.operations.store import NAME
 
 
@@ -73,7 +73,7 @@
         return [len(p.seen) > b for p, b in zip(self.providers, before, strict=True)]
 
     def kept(self):
-        return read((self.shared / NAME).read_bytes())
+        return decode((self.shared / NAME).read_bytes())
 
 
 class AddressTest(OperatorsScene):
@@ -301,11 +301,11 @@
 
     def healed(self):
         with suppress(ValueError, OSError):
-            return self.kept().banned("s0")
+            return self.kept().is_disabled("s0")
         return False
 
     def test_what_processes_long_dead_have_left_keeps_its_bans_and_not_its_drain(self):
-        self.left_behind = written(Record().ban("s0", True, 7).drained(True, 7))
+        self.left_behind = encode(OverrideRecord().with_override("s0", True, 7).with_drain(True, 7))
         self.open(ok, ok)
         self.assertEqual(self.health(), 200)
         self.assertEqual(self.served_by(12), [False, True])
