--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -40,9 +40,9 @@
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
     from loftweir.catalog.hosts import Hosts
-    from loftweir.partners.file import Sites
+    from loftweir.partners.file import PartnersConfig
     from loftweir.partners.part import Partners
-    from loftweir.replication.part import Part
+    from loftweir.replication.part import ReplicationAgent
 
 OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 TICK = SECOND  # how often the log is asked for what it owes
@@ -65,7 +65,7 @@
         loop: Loop,
         platform: Platform,
         options: Options,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """`sites` and `services`: of the files that the operator's names for the partners and the catalog, if any."""
@@ -80,15 +80,15 @@
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
         shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
-        self.fleet: Part | None = None
+        self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Here: a sidecar whose operator names no members has no use for it, and does not pay for it.
             from loftweir.replication import part
 
-            self.fleet = self.commands.fleet = part.Part(
+            self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.apply_fleet
             )
-            others += part.descriptors(platform.name, options.replication)
+            others += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
@@ -130,9 +130,9 @@
         if self.partners is None:
             self.host.listed(update, addresses)
         else:
-            self.host.listed(*self.partners.through(update, addresses))
+            self.host.listed(*self.partners.with_partner_providers(update, addresses))
         if self.catalog is not None:
-            self.catalog.listed(update, addresses)
+            self.catalog.update_membership(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
             self.front.open()
         if self.list_tracker is not None and update.kind is not UpdateKind.FAILED:
@@ -154,7 +154,7 @@
         options: Options,
         discovery: str,
         settings: Settings,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """Other options and settings, whole, from now on; what was spent at the start waits for the next one."""
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -13,13 +13,13 @@
 from fleet_scene import FleetScene
 from scene import Party, reply
 
-from loftweir.partners.table import Offer, one_route
+from loftweir.partners.table import Offer, parse_route
 from loftweir.replication import wire
-from loftweir.replication.machine import Fenced, Machine, Ok, Order
+from loftweir.replication.machine import Command, FencedWrite, Machine, Ok
 
 QUICK = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
-Order_ = msgspec.msgpack.Decoder(Order)
+Order_ = msgspec.msgpack.Decoder(Command)
 GIVEN = set()  # ports
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
@@ -45,7 +45,7 @@
 
     def put(self, *rows):
         with self.news:
-            self.offer.put({r["service"]: one_route({"path": [self.site], **r}, self.site) for r in rows})
+            self.offer.replace({r["service"]: parse_route({"path": [self.site], **r}, self.site) for r in rows})
             self.news.notify_all()
 
     def begin_anew(self, *rows, epoch=1):
@@ -64,11 +64,11 @@
         after = tuple(map(int, query["after"].split("."))) if "after" in query else None
         with self.news:
             self.asks.append((query["to"].partition(".")[0], after))
-            self.news.wait_for(lambda: not self.silent and self.offer.news(after), int(query["wait_ms"]) / 1000)
+            self.news.wait_for(lambda: not self.silent and self.offer.has_changes(after), int(query["wait_ms"]) / 1000)
             if self.silent:
                 self.news.wait_for(lambda: not self.silent, 30)
                 return None
-            return self.change(self.offer.answer(after, query["to"]))
+            return self.change(self.offer.response(after, query["to"]))
 
     def change(self, body):
         return reply(200, body)
@@ -154,12 +154,14 @@
     def fenced(self, duty):
         """The duty's writes in the order of the log: token, key, value, and whether the machine refused each."""
         host, port = self.seats[self.leader().name].split(":")
-        machine, found, reader = Machine(), [], wire.Reader()
+        machine, found, reader = Machine(), [], wire.FrameReader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            sock.sendall(wire.written(wire.Hello(wire.VERSION, "loftweir", "id", "judge", wire.Kind.FOLLOWER)))
+            sock.sendall(
+                wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "id", "judge", wire.ConnectionKind.FOLLOWER))
+            )
             while True:
-                sock.sendall(wire.written(wire.Follow(machine.index, 0)))
-                while not isinstance(news := reader.next(), wire.News):
+                sock.sendall(wire.encode_frame(wire.FollowRequest(machine.index, 0)))
+                while not isinstance(news := reader.next(), wire.FollowResponse):
                     if news is None:
                         reader.feed(sock.recv(65536))
                 if not news.entries:
@@ -169,7 +171,7 @@
                         machine.passed(told.index)
                         continue
                     act, result = Order_.decode(told.data).act, machine.apply(told.index, told.data)
-                    if isinstance(act, Fenced) and act.duty == duty:
+                    if isinstance(act, FencedWrite) and act.duty == duty:
                         found.append((act.token, act.key, act.value, not isinstance(result, Ok)))
 
     def kept(self, duty):
