--- a/loftweir/partners/keeping.py
+++ b/loftweir/partners/keeping.py
@@ -43,9 +43,9 @@
     the table of the stored head.
     """
 
-    def __init__(self, loop: Loop, duty: LeasedTask, prefix: str = "", note_interval: int = 0) -> None:
+    def __init__(self, loop: Loop, leased_task: LeasedTask, prefix: str = "", note_interval: int = 0) -> None:
         self.loop = loop
-        self.duty = duty
+        self.leased_task = leased_task
         self.prefix = prefix
         self.note_interval = note_interval
         self.stored: set[str] = set()
@@ -107,7 +107,7 @@
             except NotActing:
                 return  # the lease ended, and `end` follows
             except LoftweirError as error:
-                emit(PARTNERS_NOT_KEPT, duty=self.duty.duty, why=error)
+                emit(PARTNERS_NOT_KEPT, duty=self.leased_task.duty, why=error)
                 yield Wait(None, 0, self.loop.now() + backoff)
                 backoff = min(2 * backoff, MAX_BACKOFF)
 
@@ -141,9 +141,9 @@
     def _put(self, key: str, value: bytes) -> Coroutine[None]:
         self.stored.discard(key)
         self.possible.add(key)
-        result = yield from self.duty.put(self.prefix + key, value, WRITE_TIMEOUT)
+        result = yield from self.leased_task.put(self.prefix + key, value, WRITE_TIMEOUT)
         if not isinstance(result, Ok):
-            raise NotKept(result.text, f"{self.duty.duty} {self.prefix}{key}")
+            raise NotKept(result.text, f"{self.leased_task.duty} {self.prefix}{key}")
         if value:
             self.stored.add(key)
         else:
--- a/loftweir/partners/replicated_table.py
+++ b/loftweir/partners/replicated_table.py
@@ -38,7 +38,7 @@
 BOUNDARY_MASK = 31  # a chunk ends at names whose hash has all of these bits set: one in 32
 MAX_CHUNK_BYTES = 256 * 1024  # a chunk of at least this many bytes ends, whatever the hash
 
-Facts = Mapping[tuple[str, str], FencedValue]  # by the lease's name and the key
+FencedValues = Mapping[tuple[str, str], FencedValue]  # by the lease's name and the key
 
 
 class NotReadable(LoftweirError):
@@ -127,15 +127,16 @@
 
 class TableReader:
     """The view that one sidecar has of one table in the replicated state. `read` has to be called after each change of
-    the facts.
+    the replicated state.
 
     Invariant: `routes`, `sums` and `table` are those of the whole `head`, and empty if it can't be read. The routes of
     an unchanged chunk stay the same objects.
     """
 
-    def __init__(self, duty: str, prefix: str = "") -> None:
-        self.duty, self.prefix = duty, prefix
-        self.facts: tuple[FencedValue | None, FencedValue | None] = (None, None)  # of head and note, as last read
+    def __init__(self, lease_name: str, prefix: str = "") -> None:
+        self.lease_name, self.prefix = lease_name, prefix
+        # of head and note, as last read
+        self.head_and_note: tuple[FencedValue | None, FencedValue | None] = (None, None)
         self.head: Head | None = None
         self.index = 0  # of the head in the log
         self.chunks: dict[str, list[Row]] = {}
@@ -145,43 +146,48 @@
         self.responded_at = 0  # the partner's last valid response, by the clock of the sidecar that asked it
         self.confirmed_at = 0  # the same, but not later than the time at which it was first read here
 
-    def read(self, facts: Facts, now: int) -> bool:
+    def read(self, fenced_values: FencedValues, now: int) -> bool:
         """Returns whether anything changed. Raises `NotReadable`; then no table is available."""
-        latest = facts.get((self.duty, self.prefix + HEAD)), facts.get((self.duty, self.prefix + NOTE))
-        if latest == self.facts:
+        latest = (
+            fenced_values.get((self.lease_name, self.prefix + HEAD)),
+            fenced_values.get((self.lease_name, self.prefix + NOTE)),
+        )
+        if latest == self.head_and_note:
             return False
-        before, self.facts = self.facts, latest
+        before, self.head_and_note = self.head_and_note, latest
         head, note = latest
         try:
             if head != before[0]:
-                self._load(head, facts)
+                self._load(head, fenced_values)
             responded_at = max(
                 self.head.confirmed_at if self.head else 0, _time_decoder.decode(note.value) if note else 0
             )
         except (msgspec.MsgspecError, ValueError, RecursionError, KeyError) as error:
-            self._load(None, facts)
-            raise NotReadable(f"{type(error).__name__}: {error}", self.duty) from None
+            self._load(None, fenced_values)
+            raise NotReadable(f"{type(error).__name__}: {error}", self.lease_name) from None
         if responded_at != self.responded_at:
             self.responded_at, self.confirmed_at = responded_at, min(responded_at, now)
         return True
 
-    def _load(self, fact: FencedValue | None, facts: Facts) -> None:
+    def _load(self, stored_head: FencedValue | None, fenced_values: FencedValues) -> None:
         self.head, self.routes, self.sums, self.table = None, {}, {}, None
-        if fact is None:
+        if stored_head is None:
             self.index, self.chunks = 0, {}
             return
-        version = _version_decoder.decode(fact.value).version
+        version = _version_decoder.decode(stored_head.value).version
         if version != VERSION:
             raise ValueError(f"version {version}, but this build reads version {VERSION}")
-        head = _head_decoder.decode(fact.value)
+        head = _head_decoder.decode(stored_head.value)
         chunks = {}
         for key in head.chunks:
             rows = self.chunks.get(key)
-            chunks[key] = _rows_decoder.decode(facts[self.duty, self.prefix + key].value) if rows is None else rows
+            chunks[key] = (
+                _rows_decoder.decode(fenced_values[self.lease_name, self.prefix + key].value) if rows is None else rows
+            )
         all_rows = [row for chunk in chunks.values() for row in chunk]
         if len(all_rows) != head.routes:
             raise ValueError(f"{len(all_rows)} routes, but the head has {head.routes}")
-        self.head, self.index, self.chunks = head, fact.order, chunks
+        self.head, self.index, self.chunks = head, stored_head.order, chunks
         self.routes = {row.service: row.route for row in all_rows}
         self.sums = {row.service: row.sum for row in all_rows}
         if head.table is not None:
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -34,7 +34,7 @@
 from loftweir.telemetry.catalogue import PARTNERS_NOT_READABLE, PARTNERS_OFFERED, PARTNERS_OFFERS_HERE
 from loftweir.telemetry.log import emit
 
-DUTY = "offers"  # name of the lease
+LEASE_NAME = "offers"  # name of the lease
 EPOCH = "epoch"  # key of the offered tables' epoch
 POLL_INTERVAL = 5 * MS
 CONFIRM_TIMEOUT = 2 * SECOND
@@ -73,7 +73,7 @@
         # the commit index that was confirmed by a quorum after the last reconnect
         self.confirmed_index: int | None = None
         self.confirming: Task | None = None
-        self.duty: LeasedTask | None = None
+        self.leased_task: LeasedTask | None = None
         self.writers: dict[str, TableWriter] = {}
         self.chunkers: dict[str, Chunker] = {}
         self.starting: Task | None = None
@@ -82,7 +82,7 @@
 
     def on_state_change(self, machine: Machine, neighbours: Iterable[str]) -> None:
         """Reads what changed in the replicated state."""
-        fact = machine.fenced_values.get((DUTY, EPOCH))
+        fact = machine.fenced_values.get((LEASE_NAME, EPOCH))
         epoch = int(fact.value) if fact is not None and fact.value.isdigit() else 0
         if epoch != self.epoch:
             self.epoch, self.readers, self.offers = epoch, {}, {}
@@ -90,7 +90,7 @@
         for to in neighbours:
             reader = self.readers.get(to)
             if reader is None:
-                reader = self.readers[to] = TableReader(DUTY, f"{to}/")
+                reader = self.readers[to] = TableReader(LEASE_NAME, f"{to}/")
             try:
                 if not reader.read(machine.fenced_values, self.loop.now()):
                     continue
@@ -141,7 +141,7 @@
 
     def _confirm_index(self) -> Coroutine[None]:
         try:
-            reading = yield from self.fleet.proposer.read(FencedValueQuery(DUTY, EPOCH), CONFIRM_TIMEOUT)
+            reading = yield from self.fleet.proposer.read(FencedValueQuery(LEASE_NAME, EPOCH), CONFIRM_TIMEOUT)
         except LoftweirError:
             reading = None
         if reading is None or not reading.sure:
@@ -176,15 +176,15 @@
         self.writers = {}
 
     def _begin(self, token: int) -> Coroutine[None]:
-        duty = self.duty
-        assert duty is not None
+        leased_task = self.leased_task
+        assert leased_task is not None
         while self.fleet.machine is None or self.fleet.index < token:
             yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         written = False
         while not self.epoch:
             if not written:
                 try:
-                    yield from duty.put(EPOCH, str(self.loop.now() // SECOND).encode(), WRITE_TIMEOUT)
+                    yield from leased_task.put(EPOCH, str(self.loop.now() // SECOND).encode(), WRITE_TIMEOUT)
                     written = True
                 except LoftweirError:
                     yield Wait(None, 0, self.loop.now() + RETRY_DELAY)  # the write may have been applied nevertheless
@@ -194,31 +194,31 @@
 
     def neighbours(self, names: Iterable[str]) -> None:
         """Sets the neighbours to write tables for, if this sidecar has the lease."""
-        duty, machine, names = self.duty, self.fleet.machine, set(names)
-        if duty is None or machine is None or duty.valid_token() is None or not self.epoch:
+        leased_task, machine, names = self.leased_task, self.fleet.machine, set(names)
+        if leased_task is None or machine is None or leased_task.valid_token() is None or not self.epoch:
             return
         keys: dict[str, list[str]] = {}
-        for key in stored_keys(machine.fenced_values, DUTY):
+        for key in stored_keys(machine.fenced_values, LEASE_NAME):
             to, slash, table_key = key.partition("/")
             if slash:
                 keys.setdefault(to, []).append(table_key)
         for to in self.writers.keys() - names:
             self.writers.pop(to).end()
         for to in names - self.writers.keys():
-            writer = self.writers[to] = TableWriter(self.loop, duty, f"{to}/")
-            head = machine.fenced_values.get((DUTY, f"{to}/{replicated_table.HEAD}"))
+            writer = self.writers[to] = TableWriter(self.loop, leased_task, f"{to}/")
+            head = machine.fenced_values.get((LEASE_NAME, f"{to}/{replicated_table.HEAD}"))
             writer.begin(keys.get(to, ()), head.value if head else None)
             self._set_target(to)
         obsolete = [f"{to}/{key}" for to in keys.keys() - names for key in keys[to]]
         if obsolete:
-            self.loop.spawn(self._clear(duty, obsolete))
+            self.loop.spawn(self._clear(leased_task, obsolete))
 
-    def _clear(self, duty: LeasedTask, keys: list[str]) -> Coroutine[None]:
+    def _clear(self, leased_task: LeasedTask, keys: list[str]) -> Coroutine[None]:
         """Deletes the tables of former neighbours, heads first. What can't be deleted now is left to the next lease
         holder."""
         try:
             for key in sorted(keys, key=lambda key: not key.endswith(replicated_table.HEAD)):
-                yield from duty.put(key, b"", WRITE_TIMEOUT)
+                yield from leased_task.put(key, b"", WRITE_TIMEOUT)
         except LoftweirError:
             return
 
