--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -41,7 +41,7 @@
 from loftweir.partners.merge import MergeResult
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 STATUS_CODES = {
     UnknownReason.NAME: 404,
@@ -311,16 +311,16 @@
             self._observe(self.merged, self.merged.used.keys())
         for event in self.catalog.collisions.values():
             if before.collisions.get(event.short) != event:
-                say(CATALOG_COLLISION, text=event.text)
+                emit(CATALOG_COLLISION, text=event.text)
         for key, balancer in list(self.service_balancers.items()):
             balancer.host.use(self._settings_for(balancer.service))
             self._update_balancer(key, balancer)
 
     def _apply_changes(self, changed: CatalogChanges) -> None:
         for short, (before, after) in changed.moved.items():
-            say(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
+            emit(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
         for event in changed.events:
-            say(CATALOG_COLLISION, text=event.text)
+            emit(CATALOG_COLLISION, text=event.text)
         for key in changed.keys | changed.ended:
             balancer = self.service_balancers.get(key)
             if balancer is not None:
@@ -415,10 +415,10 @@
                         self.rejected_until.pop(command.name, None)
                         if not isinstance(command, PutClaim):
                             self.observed.pop(command.name, None)
-                        say(CATALOG_CLAIMED, name=command.name, index=result.value, why="")
+                        emit(CATALOG_CLAIMED, name=command.name, index=result.value, why="")
                     else:
                         self.rejected_until[command.name] = self.loop.now() + REJECTED_CLAIM_DELAY
-                        say(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
+                        emit(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
 
     def _is_settled(self, name: str) -> bool:
         """Whether the replicated claim of a name matches what was observed."""
--- a/loftweir/http1/access_trace.py
+++ b/loftweir/http1/access_trace.py
@@ -5,9 +5,9 @@
 from loftweir.config.model import Options
 from loftweir.core.invocation import Invocation
 from loftweir.net.loop import MS
-from loftweir.telemetry.access import wanted
+from loftweir.telemetry.access import access_log_reason
 from loftweir.telemetry.catalogue import ACCESS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 CLIENT_GONE = 0  # in place of a status: the client went before its answer was written
 OUTCOMES = {CLIENT_GONE: "gone", 200: "served", 503: "rejected"}
@@ -34,10 +34,10 @@
         """Logs the access line, where one is wanted for this status and time; `CLIENT_GONE` stands for no status."""
         log = options.log
         ms = (now - self.began) / MS
-        why = wanted(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
+        why = access_log_reason(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
         if not why:
             return
-        say(
+        emit(
             ACCESS,
             id=self.id,
             **{"class": self.class_name},
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -26,8 +26,8 @@
 import ujson
 
 from loftweir.config.faults import MISSING, Fault, Faulty
-from loftweir.config.operator import LARGEST, nearest, read_table
-from loftweir.config.units import Unit, host_and_port, label, parse
+from loftweir.config.operator import MAX_FILE_BYTES, read_table, suggest_key
+from loftweir.config.units import Unit, parse_label, parse_quantity, split_host_port
 from loftweir.partners.merge import Role
 from loftweir.partners.table import BadTable, Limits, Route, parse_route
 from loftweir.partners.terms import FIELDS, parse_terms
@@ -109,9 +109,9 @@
 def _read_json(path: str, faults: list[Fault]) -> Any:
     try:
         with open(path, "rb") as opened:
-            data = opened.read(LARGEST + 1)
-        if len(data) > LARGEST:
-            raise ValueError(f"it has more than {LARGEST} bytes")
+            data = opened.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"it has more than {MAX_FILE_BYTES} bytes")
         return ujson.loads(data.decode("utf-8"))
     except OSError as error:
         faults.append(Fault(path, "", error.strerror or str(error), "a file that can be read"))
@@ -127,7 +127,7 @@
         return False
     for name in value:
         if name not in KEYS[kind]:
-            fault(f"{place}.{name}".lstrip("."), value[name], nearest(str(name), KEYS[kind]))
+            fault(f"{place}.{name}".lstrip("."), value[name], suggest_key(str(name), KEYS[kind]))
     return True
 
 
@@ -172,7 +172,7 @@
 
 def _is_label(value: Any) -> bool:
     try:
-        return isinstance(value, str) and bool(label(value))
+        return isinstance(value, str) and bool(parse_label(value))
     except ValueError:
         return False
 
@@ -181,7 +181,7 @@
     if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(one, str) for one in value):
         return False
     try:
-        return all(host_and_port(one)[1] > 0 for one in value)
+        return all(split_host_port(one)[1] > 0 for one in value)
     except ValueError:
         return False
 
@@ -209,12 +209,12 @@
     row_with_defaults = {**row, "path": [site], "valid_for": DEFAULT_VALID_FOR}
     try:
         if "valid_for" in row:
-            row_with_defaults["valid_for"] = parse(Unit.DURATION, row["valid_for"])
+            row_with_defaults["valid_for"] = parse_quantity(Unit.DURATION, row["valid_for"])
     except ValueError as error:
         report("valid_for", row["valid_for"], str(error))
     try:
         if isinstance(row.get("share"), str):
-            row_with_defaults["share"] = parse(Unit.SHARE, row["share"])
+            row_with_defaults["share"] = parse_quantity(Unit.SHARE, row["share"])
     except ValueError as error:
         report("share", row["share"], str(error))
     row_with_defaults["terms"] = _check_terms(row.get("terms", MISSING), report)
--- a/loftweir/partners/keeping.py
+++ b/loftweir/partners/keeping.py
@@ -15,7 +15,7 @@
 from loftweir.partners import replicated_table
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import PARTNERS_NOT_KEPT
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 WRITE_TIMEOUT = 3 * SECOND  # of one write
 MIN_BACKOFF = 300 * MS  # after a failed write; doubles with each failure
@@ -107,7 +107,7 @@
             except NotActing:
                 return  # the lease ended, and `end` follows
             except LoftweirError as error:
-                say(PARTNERS_NOT_KEPT, duty=self.leased_task.duty, why=error)
+                emit(PARTNERS_NOT_KEPT, duty=self.leased_task.duty, why=error)
                 yield Wait(None, 0, self.loop.now() + backoff)
                 backoff = min(2 * backoff, MAX_BACKOFF)
 
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -17,7 +17,7 @@
 
 import h11
 
-from loftweir.config.model import THROUGH_COPIES
+from loftweir.config.model import REPLICATION_MARGIN
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
 from loftweir.http1.strict import Strict
@@ -40,13 +40,13 @@
 from loftweir.replication.machine import FencedValue
 from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
-    PARTNERS_ASKED,
-    PARTNERS_FAILED,
+    PARTNERS_ASKED_HERE,
+    PARTNERS_CALL_FAILED,
     PARTNERS_LET_GO,
-    PARTNERS_REFUSED,
-    PARTNERS_STATE,
+    PARTNERS_SESSION,
+    PARTNERS_TABLE_REFUSED,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 PATH = "/routes"
 CONNECT_TIMEOUT = SECOND
@@ -102,7 +102,7 @@
         self.fleet = fleet
         self.reader = reader  # the replicated table, as read here
         # The session's hold time ends a little earlier than for the sidecars that read the replicated state.
-        self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
+        self.timing, self.limits = timing(options, options.hold - REPLICATION_MARGIN), limits(options)
         self.chunker = Chunker()
         self.leased_task: LeasedTask | None = None
         self.writer: TableWriter | None = None
@@ -122,12 +122,12 @@
 
     def begin(self, token: int) -> None:
         """Starts the session. `token`: the fencing token of the lease."""
-        say(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
+        emit(PARTNERS_ASKED_HERE, partner=self.neighbour.name, token=token)
         self.task = self.loop.spawn(self._run(token), self._crashed)
 
     def end(self) -> None:
         """Ends the session, as the lease ended."""
-        say(PARTNERS_LET_GO, partner=self.neighbour.name)
+        emit(PARTNERS_LET_GO, partner=self.neighbour.name)
         self.close()
 
     def close(self) -> None:
@@ -183,12 +183,12 @@
                 self.request_task = self.loop.spawn(self._request(session, action), self._request_crashed)
             elif isinstance(action, SessionChanged):
                 if action.before is not session.state:
-                    say(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
+                    emit(PARTNERS_SESSION, partner=name, state=session.state.value, before=action.before.value)
             elif isinstance(action, ResponseRejected):
-                say(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
+                emit(PARTNERS_TABLE_REFUSED, partner=name, address=self._address(), why=action.error)
                 self._next_address()
             else:
-                say(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
+                emit(PARTNERS_CALL_FAILED, partner=name, address=self._address(), why=action.why)
                 self._next_address()
         self._store(session)
         if self.task is not None:
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -19,14 +19,14 @@
 
 import h11
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.http1.strict import Strict
 from loftweir.net.loop import MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, send
 from loftweir.partners.file import Neighbour
 from loftweir.partners.shown import NeighbourOffers
-from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED_AWAY
+from loftweir.telemetry.log import emit
 
 PATH = "/routes"
 BACKLOG = 64
@@ -107,7 +107,7 @@
             task.wake()
 
     def _listen(self, address: str) -> Coroutine[None]:
-        host, port = host_and_port(address)
+        host, port = split_host_port(address)
         while True:
             sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
             try:
@@ -117,11 +117,11 @@
                 break
             except OSError as error:
                 sock.close()
-                say(PARTNERS_LISTENS, address=address, why=error.strerror or str(error))
+                emit(PARTNERS_LISTENS, address=address, why=error.strerror or str(error))
             yield Wait(None, 0, self.loop.now() + RETRY_INTERVAL)
         sock.setblocking(False)
         self.listener = sock
-        say(PARTNERS_LISTENS, address=address, why="")
+        emit(PARTNERS_LISTENS, address=address, why="")
         while True:
             yield Wait(sock, READABLE, None)
             try:
@@ -185,7 +185,7 @@
             return request.status, f"{request.error}\n".encode(), "text/plain"
         rejection = self._rejection_reason(request.site, sock)
         if rejection:
-            say(PARTNERS_TURNED, site=request.site if request.site.isprintable() else "", why=rejection)
+            emit(PARTNERS_TURNED_AWAY, site=request.site if request.site.isprintable() else "", why=rejection)
             return 403, f"{rejection}\n".encode(), "text/plain"
         until = self.loop.now() + request.wait
         unavailable_since: int | None = None
@@ -198,7 +198,7 @@
             if unavailable_since is not None and now >= unavailable_since + min(
                 UNAVAILABLE_WAIT, max(request.wait, UNAVAILABLE_WAIT // 4)
             ):
-                say(PARTNERS_TURNED, site=request.site, why=reason)
+                emit(PARTNERS_TURNED_AWAY, site=request.site, why=reason)
                 return 503, f"not now: {reason}\n".encode(), "text/plain"
             events = yield from self._wait_for_change(
                 sock, request.site, until if unavailable_since is None else now + RECHECK_INTERVAL, has_further_request
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -14,11 +14,11 @@
 
 from loftweir.config.model import Options
 from loftweir.config.model import Partners as PartnersOptions
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.interface import MembershipUpdate, Settings
 from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.operations.calls import Call, No
+from loftweir.operations.calls import No, OperatorCommand
 from loftweir.partners.file import PartnersConfig
 from loftweir.partners.link import PartnerClient, limits, stored_keys, timing
 from loftweir.partners.merge import Freshness, MergeChanges, Merger, MergeResult, Policy, Reason
@@ -32,12 +32,12 @@
 from loftweir.replication.machine import Machine
 from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
-    PARTNERS_HELD,
     PARTNERS_LEAKED,
-    PARTNERS_NOT_READ,
+    PARTNERS_NOT_READABLE,
     PARTNERS_STANDBY,
+    PARTNERS_TABLE,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 # ns between the bids of two members for a free lease; the order of members differs for each partner
 BID_INTERVAL = 150 * MS
@@ -91,7 +91,7 @@
         self.fleet = fleet
         self.notify_balancer = notify_balancer
         self.settings = settings
-        self.seats = seats(options.replication.members)
+        self.seats = parse_members(options.replication.members)
         id = secrets.token_hex(8)
         self.proposers = tuple(
             Proposer(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
@@ -236,7 +236,7 @@
                 if not reader.read(machine.fenced_values, now):
                     continue
             except NotReadable as error:
-                say(PARTNERS_NOT_READ, partner=name, why=error)
+                emit(PARTNERS_NOT_READABLE, partner=name, why=error)
             self._update_partner(name, now)
         if self.catalog is not None:
             self.catalog.update_claims(machine.claims)
@@ -257,11 +257,11 @@
             used = sum(one.partner == name for one in self.merger.merged.used.values())
             epoch, index = table.position if table is not None else (0, 0)
             freshness, routes = state.freshness.value, len(table.routes) if table is not None else 0
-            say(PARTNERS_HELD, partner=name, standing=freshness, epoch=epoch, index=index, routes=routes, used=used)
+            emit(PARTNERS_TABLE, partner=name, standing=freshness, epoch=epoch, index=index, routes=routes, used=used)
             for service in table.routes if table is not None else ():
                 unused = left.get(service, {}).get(name)
                 if unused is not None and unused.reason is Reason.LEAKED:
-                    say(PARTNERS_LEAKED, partner=name, service=service, by=unused.who)
+                    emit(PARTNERS_LEAKED, partner=name, service=service, by=unused.who)
         self._apply_changes(changed)
 
     def _apply_changes(self, changed: MergeChanges) -> None:
@@ -322,7 +322,7 @@
 
     def _log_standby(self) -> None:
         if self.service:
-            say(
+            emit(
                 PARTNERS_STANDBY,
                 service=self.service,
                 state=self._standby_state(),
@@ -348,9 +348,9 @@
 
     # ---- operators' commands ---------------------------------------------------------------------
 
-    def do(self, call: Call) -> str:
+    def execute(self, command: OperatorCommand) -> str:
         """Answers the ROUTES command: a summary, or the details of one service."""
-        return self._service_details(call.id.lower()) if call.id else self._summary()
+        return self._service_details(command.id.lower()) if command.id else self._summary()
 
     def _summary(self) -> str:
         merged, partner_states = self.merger.merged, self.merger.partner_states
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -31,8 +31,8 @@
 from loftweir.replication.machine import Machine
 from loftweir.replication.part import ReplicationAgent
 from loftweir.replication.wire import FencedValueQuery
-from loftweir.telemetry.catalogue import PARTNERS_NOT_READ, PARTNERS_OFFERED, PARTNERS_OFFERS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import PARTNERS_NOT_READABLE, PARTNERS_OFFERED, PARTNERS_OFFERS_HERE
+from loftweir.telemetry.log import emit
 
 LEASE_NAME = "offers"  # name of the lease
 EPOCH = "epoch"  # key of the offered tables' epoch
@@ -95,7 +95,7 @@
                 if not reader.read(machine.fenced_values, self.loop.now()):
                     continue
             except NotReadable as error:
-                say(PARTNERS_NOT_READ, partner=to, why=error)
+                emit(PARTNERS_NOT_READABLE, partner=to, why=error)
             if reader.head is None:
                 self.offers.pop(to, None)
             else:
@@ -163,7 +163,7 @@
 
     def begin(self, token: int) -> None:
         """Starts to write, as the lease was granted. `token`: its fencing token."""
-        say(PARTNERS_OFFERS, token=token)
+        emit(PARTNERS_OFFERS_HERE, token=token)
         self.starting = self.loop.spawn(self._begin(token))
 
     def end(self) -> None:
@@ -225,5 +225,5 @@
     def _set_target(self, to: str) -> None:
         routes = limit_routes(self.merger().merged.shown.get(to, {}), self.limits)
         chunks = self.chunkers.setdefault(to, Chunker()).split(routes, {})
-        say(PARTNERS_OFFERED, neighbour=to, routes=len(routes))
+        emit(PARTNERS_OFFERED, neighbour=to, routes=len(routes))
         self.writers[to].set_target(Target(encode_head(Head(chunks=tuple(chunks), routes=len(routes))), chunks))
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -30,7 +30,7 @@
     SnapshotChunk,
 )
 from loftweir.telemetry.catalogue import REPLICATION_FOLLOWS, REPLICATION_LOST
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 RESPONSE_GRACE = SECOND  # past its wait, until a call for news is given up
 CHUNK_TIMEOUT = 2 * SECOND  # for a piece of the whole
@@ -124,7 +124,7 @@
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
             self.follows = ""
-            say(REPLICATION_LOST, member=self.member, why=why)
+            emit(REPLICATION_LOST, member=self.member, why=why)
             turn += 1
             if self.loop.now() - begun_at > self.options.follow_wait + RESPONSE_GRACE:
                 failed, apart = 0, MIN_ROUND_DELAY  # it worked for a while
@@ -150,7 +150,7 @@
             yield from self._take(line, news, after)
             if first:
                 self.follows = self.member
-                say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
+                emit(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
             first = False
 
     def _next(self, line: FrameConnection, within: int) -> Coroutine[Frame]:
@@ -161,14 +161,14 @@
         if news.after != after:
             raise Gap(f"news from behind {news.after}, where {after} was asked", self.member)
         if self.members and members and not self.members & members:
-            say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
+            emit(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
             yield from self._fetch(line, anew=True)
             return
         if news.index < after:
             if not news.leads:
                 raise Behind(f"at index {news.index}, behind {after}", self.member)
             error = OtherCopies(f"its leader is at index {news.index}, and {after} was told", self.member)
-            say(REPLICATION_LOST, member=self.member, why=error)
+            emit(REPLICATION_LOST, member=self.member, why=error)
             yield from self._fetch(line, anew=True)
             return
         if news.whole:
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -22,8 +22,13 @@
     StatusResponse,
     TurnedAway,
 )
-from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import (
+    REPLICATION_BEGUN,
+    REPLICATION_JOINED,
+    REPLICATION_TURNED_AWAY,
+    REPLICATION_WAITS,
+)
+from loftweir.telemetry.log import emit
 
 STATUS_INTERVAL = 200 * MS  # while it is no member; half as long again at random
 STEP_INTERVAL = 30 * MS  # from one step of joining to the next
@@ -78,7 +83,7 @@
             return False
         if self.joins:
             self.joins = False
-            say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
+            emit(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
         self.voted = self.voted or age is not None
         away = age if age is not None else self.loop.now() - self.begun_at
         return away < LEADERLESS_ELECTIONS * voter.options.election
@@ -92,7 +97,7 @@
         if not voter.begun and not voter.lost:
             members = tuple(founding_members(self.own, min(voter.seats), voter.seats, answers))
             if members:
-                say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
+                emit(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
                 return True
         without = [n for n, (_, am) in answers.items() if am.sure and all(m.id != voter.me for m in am.members)]
@@ -109,10 +114,10 @@
                 if joined.on:
                     self.joins = True
                     return True
-                say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
+                emit(REPLICATION_WAITS, why=f"{name}: {joined.why}")
         if not leaders and self.loop.now() > self.begun_at + WAIT_LOG_DELAY:
             why = waiting_reason(voter.name, min(voter.seats), voter.seats, answers)
-            say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.lost else why)
+            emit(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.lost else why)
         return False
 
     def _join(self) -> JoinRequest:
@@ -152,13 +157,13 @@
         try:
             line, there = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
-            say(REPLICATION_TURNED, name=name, why=error)
+            emit(REPLICATION_TURNED_AWAY, name=name, why=error)
             return None
         except NotUp:
             return None
         try:
             if there.name != name:
-                say(REPLICATION_TURNED, name=name, why=f"{there.name} is at {address}")
+                emit(REPLICATION_TURNED_AWAY, name=name, why=f"{there.name} is at {address}")
                 return None
             line.put(frame)
             answer = yield from line.next(until)
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from loftweir.replication.api import Entry, HardState, PersistBatch, Snapshot, StrictStruct
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 VERSION = 1
 FIRST_LINE = b"loftweir-log %d\n" % VERSION
@@ -276,7 +276,7 @@
 
 
 def encode_identity(identity: Identity) -> bytes:
-    return sealed(IDENTITY, VERSION, ENCODER.encode(identity))
+    return seal(IDENTITY, VERSION, ENCODER.encode(identity))
 
 
 def decode_identity(data: bytes) -> Identity:
@@ -285,7 +285,7 @@
 
 
 def encode_snapshot(copy: SnapshotContent) -> tuple[bytes, SnapshotFile]:
-    data = sealed(SNAPSHOT, VERSION, ENCODER.encode(copy))
+    data = seal(SNAPSHOT, VERSION, ENCODER.encode(copy))
     snapshot = copy.snapshot
     return data, SnapshotFile(copy.number, snapshot.index, snapshot.term, len(data), crc32(data))
 
@@ -303,12 +303,12 @@
 def encode_mark(mark: Mark, identity: Identity) -> bytes:
     """Of the same length always: it is written over the one before."""
     body = b"%020d %020d %020d %08x %s" % (mark.segment, mark.at, mark.index, mark.crc, identity.member.encode())
-    return sealed(MARK, VERSION, body)
+    return seal(MARK, VERSION, body)
 
 
 def decode_mark(data: bytes, identity: Identity) -> Mark:
     """`Damaged` where it is not one of this member's."""
-    words = opened(MARK, VERSION, data).split(b" ")
+    words = unseal(MARK, VERSION, data).split(b" ")
     try:
         mark = Mark(int(words[0]), int(words[1]), int(words[2]), int(words[3], 16))
     except (ValueError, IndexError) as error:
@@ -319,8 +319,8 @@
 
 
 def _decode_sealed(name: bytes, data: bytes, kind: type[Decoded]) -> Decoded:
-    body = opened(name, VERSION, data)
-    if data != sealed(name, VERSION, body):  # its last newline
+    body = unseal(name, VERSION, data)
+    if data != seal(name, VERSION, body):  # its last newline
         raise Damaged("cut short: its end is missing", len(data))
     try:
         return msgspec.msgpack.decode(body, type=kind)
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, prepare
 from loftweir.replication.api import Message, MessageReceived
@@ -52,8 +52,8 @@
     encode_frame,
     hello_rejection,
 )
-from loftweir.telemetry.catalogue import REPLICATION_TURNED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import REPLICATION_TURNED_AWAY
+from loftweir.telemetry.log import emit
 
 BACKLOG = 512  # a voter that comes back is called by many at once
 MAX_UNGREETED = 64  # connections that have not said who they are; more wait to be accepted
@@ -73,7 +73,7 @@
 
 def bind_listener(address: str) -> socket.socket:
     """OSError where it can't be had."""
-    host, port = host_and_port(address)
+    host, port = split_host_port(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -164,10 +164,10 @@
                 kept = True
                 self._serve(line, hello)
             else:
-                say(REPLICATION_TURNED, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
                 yield from self._send_away(line, refused)
         except (BadFrame, TurnedAway) as error:
-            say(REPLICATION_TURNED, name="", why=error)
+            emit(REPLICATION_TURNED_AWAY, name="", why=error)
             yield from self._send_away(line, ConnectionRejected(RejectReason.FORM, f"version {VERSION}"))
         except CONNECTION_ERRORS:
             pass
@@ -238,7 +238,7 @@
                     voter.feed(MessageReceived(frame))
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=hello.name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=error)
         finally:
             if self.members.get(hello.id) is line:
                 del self.members[hello.id]
@@ -276,7 +276,7 @@
                     yield Wait(None, 0, self.loop.now())  # the others' turn
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=self.others[line].name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=self.others[line].name, why=error)
         finally:
             self.others.pop(line, None)
             self.parked.pop(line, None)
--- a/loftweir/replication/remembered.py
+++ b/loftweir/replication/remembered.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 FILE_NAME, FILE_MAGIC, VERSION = "loftweir-fleet", b"loftweir-fleet", 1
 MAX_FILE_SIZE = 4 * 1024 * 1024
@@ -30,7 +30,7 @@
     """Raises OSError; the file holds the one before then."""
     beside = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
-        beside.write_bytes(sealed(FILE_MAGIC, VERSION, msgspec.json.encode(what)))
+        beside.write_bytes(seal(FILE_MAGIC, VERSION, msgspec.json.encode(what)))
         os.replace(beside, folder / FILE_NAME)
     except OSError:
         with suppress(OSError):
@@ -46,7 +46,7 @@
     except FileNotFoundError:
         return None
     try:
-        found = msgspec.json.decode(opened(FILE_MAGIC, VERSION, data), type=OverrideCache)
+        found = msgspec.json.decode(unseal(FILE_MAGIC, VERSION, data), type=OverrideCache)
     except msgspec.MsgspecError as error:
         raise Damaged(f"not in its form: {error}") from None
     return found if found.cluster == cluster else None
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -18,10 +18,10 @@
 from loftweir.http1.discovery import CallFailed, Discovery
 from loftweir.interface import SettingsError
 from loftweir.net.loop import Loop
-from loftweir.operations.calls import No, parse
+from loftweir.operations.calls import No, parse_command
 from loftweir.settings import WireError
-from loftweir.state.sealed import Damaged, opened
-from loftweir.telemetry.catalogue import DISCOVERY_LIST
+from loftweir.state.sealed import Damaged, unseal
+from loftweir.telemetry.catalogue import DISCOVERY_LIST_FAILED
 
 errors.everything()
 FAMILY = list(errors.types())
@@ -33,11 +33,11 @@
     loop, said = Loop(), []
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
 
-    def say(event, **fields):
-        if event is DISCOVERY_LIST:
+    def emit(event, **fields):
+        if event is DISCOVERY_LIST_FAILED:
             said.append(fields["why"])
 
-    with mock.patch("loftweir.http1.discovery.say", say):
+    with mock.patch("loftweir.http1.discovery.emit", emit):
         Discovery(loop, "nowhere", Options(), lambda *_: setattr(loop, "stopped", True)).fetch()
         loop.run()
     raise said[0]
@@ -45,9 +45,9 @@
 
 CAUSES = {
     CallFailed: (call_discovery, "not up", ""),
-    Damaged: (lambda: opened(b"kept", 1, b"kept 2 0\n"), "of version 2, this one reads 1, at byte 5", "byte 5"),
+    Damaged: (lambda: unseal(b"kept", 1, b"kept 2 0\n"), "of version 2, this one reads 1, at byte 5", "byte 5"),
     Faulty: (lambda: read(origin({})), "environment: RELAY_CONFIG: got (missing), expected", "environment"),
-    No: (lambda: parse(b"DISABLE"), "usage: DISABLE ID", ""),
+    No: (lambda: parse_command(b"DISABLE"), "usage: DISABLE ID", ""),
     NotAList: (lambda: read_list({"endpoints": []}), "index: got '(missing)', expected a whole number", "index"),
     SettingsError: (lambda: settings(me=7), "settings: me: must be from 0 to balancers - 1", "me"),
     WireError: (lambda: Adapter().run(io.StringIO("TURN\tx\nGO\n"), io.StringIO()), "line 1: TURN: field clock", ""),
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -346,4 +346,4 @@
         operator.load(str(tmp_path / "loftweir.toml"), {})
     places = {fault.path for fault in caught.value.faults}
     assert places == {f"partners.{name}" for name in ("site", "file", "hold", "service", "listen")}
-    assert Timing(hold=model.Partners().hold - model.THROUGH_COPIES).quick_retry_timeout > 0
+    assert Timing(hold=model.Partners().hold - model.REPLICATION_MARGIN).quick_retry_timeout > 0
