--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -72,13 +72,13 @@
 
     reason: UnknownReason
     name: str
-    more: str = ""
+    details: str = ""
 
     @property
     def text(self) -> str:
         """What happened, where, and what to do."""
-        more = f" ({self.more})" if self.more else ""
-        return f"{self.name[:80]!r}: {self.reason.value}{more}; {REMEDIES[self.reason]}"
+        details = f" ({self.details})" if self.details else ""
+        return f"{self.name[:80]!r}: {self.reason.value}{details}; {REMEDIES[self.reason]}"
 
 
 # The reason that is reported for an unused route, by the reason of the merge; others are reported as UNFIT.
@@ -165,40 +165,43 @@
         """Replaces a part of the state. An invalid name of this site raises `BadName` before anything changes; an
         invalid name of a partner's route only disables that route (`rejected_names`)."""
         self._validate(state)
-        touched: dict[str, set[str]] = {short: set() for short in state.pins}
-        held: tuple[tuple[dict[str, Any], Mapping[str, Any]], ...] = (
+        affected: dict[str, set[str]] = {short: set() for short in state.pins}
+        parts: tuple[tuple[dict[str, Any], Mapping[str, Any]], ...] = (
             (self.own, state.own),
             (self.used, state.used),
             (self.left, state.left),
             (self.claims, state.claims),
         )
-        for into, part in held:
-            for name, value in part.items():
-                _set_or_remove(into, name, value)
+        for known, changes in parts:
+            for name, value in changes.items():
+                _set_or_remove(known, name, value)
                 if self._validate_route_name(name):
-                    touched.setdefault(split_name(name)[0], set()).add(name)
+                    affected.setdefault(split_name(name)[0], set()).add(name)
         for short, pin in state.pins.items():
             _set_or_remove(self.pins, short, pin)
         keys: set[str] = set()
         ended: set[str] = set()
         moved: dict[str, tuple[str, str]] = {}
         events: list[Collision] = []
-        for short in sorted(touched):
+        for short in sorted(affected):
             names = self.names_by_short.pop(short, set())
-            was, before = self.entries.pop(short, None), self.collisions.pop(short, None)
-            gone = {_key_of(was), *(_key_of(self.entries.pop(name, None)) for name in names | touched[short])}
-            names = {name for name in names | touched[short] if self._is_known(name)}
+            old_entry, old_collision = self.entries.pop(short, None), self.collisions.pop(short, None)
+            old_keys = {
+                _key_of(old_entry),
+                *(_key_of(self.entries.pop(name, None)) for name in names | affected[short]),
+            }
+            names = {name for name in names | affected[short] if self._is_known(name)}
             if names:
                 self.names_by_short[short] = names
             self._resolve_short_name(short, names)
-            now, after = self.entries.get(short), self.collisions.get(short)
-            there = {_key_of(now), *(_key_of(self.entries[name]) for name in names)}
-            keys |= there
-            ended |= gone - there
-            if _key_of(was) != _key_of(now):
-                moved[short] = (_key_of(was), _key_of(now))
-            if after is not None and after != before:
-                events.append(after)
+            entry, collision = self.entries.get(short), self.collisions.get(short)
+            new_keys = {_key_of(entry), *(_key_of(self.entries[name]) for name in names)}
+            keys |= new_keys
+            ended |= old_keys - new_keys
+            if _key_of(old_entry) != _key_of(entry):
+                moved[short] = (_key_of(old_entry), _key_of(entry))
+            if collision is not None and collision != old_collision:
+                events.append(collision)
         return CatalogChanges(frozenset(keys - {""}), frozenset(ended - {""}), moved, tuple(events))
 
     def _validate(self, state: CatalogState) -> None:
@@ -207,8 +210,10 @@
                 raise BadName(f"{name} is not in lower case", f"services.{name}")
         for short, pin in state.pins.items():
             place = f"pins.{short}"
-            small = short_name(short, place) == short
-            if not small or (pin is not None and (global_name(pin, place) != pin or split_name(pin)[0] != short)):
+            is_lower_case = short_name(short, place) == short
+            if not is_lower_case or (
+                pin is not None and (global_name(pin, place) != pin or split_name(pin)[0] != short)
+            ):
                 raise BadName(f"{pin} is not a service of that name, in lower case", place)
 
     def _validate_route_name(self, name: str) -> bool:
@@ -241,17 +246,17 @@
                 contenders.append(Contender(name, claim.index if claim is not None else NO_CLAIM, declared))
         if not contenders:
             if names:
-                more = f"it is one of {', '.join(sorted(names)[:3])}"
-                self.entries[short] = UnknownService(UnknownReason.UNHELD, short, more)
+                details = f"it is one of {', '.join(sorted(names)[:3])}"
+                self.entries[short] = UnknownService(UnknownReason.UNHELD, short, details)
             return
-        found = resolve(short, contenders, SiteView(self.site.mesh, pin), self.rules)
+        decision = resolve(short, contenders, SiteView(self.site.mesh, pin), self.rules)
         if len(contenders) > 1:
-            self.collisions[short] = found
-        if found.joined:
-            self.entries[short] = self._entry((found.leader, *found.joined), short)
+            self.collisions[short] = decision
+        if decision.joined:
+            self.entries[short] = self._entry((decision.leader, *decision.joined), short)
         else:
-            known = self.entries.get(found.leader)
-            self.entries[short] = known if isinstance(known, Service) else self._entry((found.leader,), short)
+            entry = self.entries.get(decision.leader)
+            self.entries[short] = entry if isinstance(entry, Service) else self._entry((decision.leader,), short)
 
     def _entry(self, members: tuple[str, ...], name: str) -> Service | UnknownService:
         """The service with these members if any of them has providers or a route, else the reason why not."""
@@ -263,16 +268,16 @@
         return Service(key_of(members), members, contract)
 
     def _contracts(self, name: str) -> list[Mapping[str, Clause]]:
-        """All contracts that are declared for the name. While a declaration changes, the strictest one applies."""
+        """All contracts that are declared for the name. While a declaration changes, the strictest source applies."""
         contracts: list[Mapping[str, Clause]] = []
-        for one in (self.own.get(name), self.claims.get(name)):
-            if one is not None and one.declared.contract:
-                contracts.append(one.declared.contract)
+        for source in (self.own.get(name), self.claims.get(name)):
+            if source is not None and source.declared.contract:
+                contracts.append(source.declared.contract)
         route = self._usable_route(name)
         # Another mesh declares its contract by its claim. Without a claim, a copy at this site must not declare it
         # instead.
-        silent = name not in self.claims and split_name(name)[1] != self.site.mesh
-        if route is not None and (silent or not contracts):
+        undeclared = name not in self.claims and split_name(name)[1] != self.site.mesh
+        if route is not None and (undeclared or not contracts):
             contracts.append(once_only(route.route.classes))
         return contracts or [{}]
 
--- a/loftweir/catalog/claims.py
+++ b/loftweir/catalog/claims.py
@@ -41,7 +41,7 @@
     """What a mesh declares about its service."""
 
     contract: dict[str, Clause] = {}
-    # global names in other meshes that it declares to be the same service (KEP-1645: sameness)
+    # Global names in other meshes that it declares to be the same service (KEP-1645: sameness).
     same: tuple[str, ...] = ()
 
 
@@ -102,7 +102,7 @@
         self.limits = limits
         self.table: Table = {}  # by global name
         self.counts: dict[str, int] = {}  # by mesh; meshes without claims are left out
-        # number of commands since the table was made or loaded, not part of the state: lets observers detect changes
+        # Number of commands since the table was made or loaded, not part of the state: lets observers detect changes.
         self.changes = 0
 
     def apply(self, index: int, command: PutClaim | ReleaseClaim) -> ClaimAccepted | ClaimRejected:
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -148,9 +148,9 @@
         self.addresses: dict[str, str] = {}
         self.merged: MergeResult | None = None
         self.claims: Mapping[str, Any] = {}
-        self.claims_read: tuple[Claims | None, int] = (None, 0)
+        self.claims_version: tuple[Claims | None, int] = (None, 0)
         self.leased_tasks: Mapping[str, LeasedTask] = {}  # by partner; the holder of a partner's lease claims its names
-        # by global name: the partner that offers it, and what was observed
+        # By global name: the partner that offers it, and what was observed.
         self.observed: dict[str, tuple[str, ObservedService]] = {}
         self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
         self.unsettled: set[str] = set()  # names whose claim may differ from what was observed
@@ -276,6 +276,7 @@
         return self.catalog.providers(found)
 
     def _sweep(self) -> Coroutine[None]:
+        """Removes idle balancers."""
         while True:
             yield Wait(None, 0, self.loop.now() + SWEEP_INTERVAL)
             due = self.loop.now() - IDLE_TIMEOUT
@@ -293,12 +294,12 @@
         return {name: one.to_service(self.known, self.addresses, classes) for name, one in names.items()}
 
     def _build_catalog(self) -> Catalog:
-        of_file = self.services
+        config = self.services
         used, left = (self.merged.used, self.merged.left) if self.merged is not None else ({}, {})
         state = CatalogState(
-            self._own_services(of_file.services), dict(used), dict(left), dict(self.claims), dict(of_file.pins)
+            self._own_services(config.services), dict(used), dict(left), dict(self.claims), dict(config.pins)
         )
-        return Catalog(LocalSite(of_file.mesh, self.settings.zone, of_file.meshes), state)
+        return Catalog(LocalSite(config.mesh, self.settings.zone, config.meshes), state)
 
     def use(self, services: Services | None) -> None:
         """Applies another file or other settings: the catalog is built again. Requests in flight stay with their
@@ -332,41 +333,45 @@
             return
         if update.kind is not UpdateKind.CHANGES:
             self.known, self.addresses = {}, {}
-        touched = dict(self.services.services)
+        affected = dict(self.services.services)
         if update.kind is UpdateKind.CHANGES:
             changed = [*update.endpoints, *(self.known[e.address] for e in update.endpoints if e.address in self.known)]
-            touched = {name: mine for name, mine in touched.items() if any(map(mine.serves, changed))}
-        for one in update.endpoints:
-            if one.lifecycle is Lifecycle.GONE:
-                self.known.pop(one.address, None)
-                self.addresses.pop(one.address, None)
+            affected = {name: config for name, config in affected.items() if any(map(config.serves, changed))}
+        for endpoint in update.endpoints:
+            if endpoint.lifecycle is Lifecycle.GONE:
+                self.known.pop(endpoint.address, None)
+                self.addresses.pop(endpoint.address, None)
             else:
-                self.known[one.address], self.addresses[one.address] = one, addresses[one.address]
-        now = self._own_services(touched)
+                self.known[endpoint.address], self.addresses[endpoint.address] = endpoint, addresses[endpoint.address]
+        services = self._own_services(affected)
         self._apply_changes(
-            self.catalog.update(CatalogState(own={n: o for n, o in now.items() if self.catalog.own.get(n) != o}))
+            self.catalog.update(
+                CatalogState(
+                    own={name: service for name, service in services.items() if self.catalog.own.get(name) != service}
+                )
+            )
         )
 
     def update_routes(self, merged: MergeResult) -> None:
         """Processes the partners' routes that this site uses."""
-        self.merged, held = merged, self.catalog
-        used = _difference(held.used, merged.used)
-        left = _difference(held.left, merged.left)
+        self.merged, catalog = merged, self.catalog
+        used = _difference(catalog.used, merged.used)
+        left = _difference(catalog.left, merged.left)
         if used or left:
-            self._apply_changes(held.update(CatalogState(used=used, left=left)))
+            self._apply_changes(catalog.update(CatalogState(used=used, left=left)))
             self._observe(merged, used.keys() | left.keys())
 
     def update_claims(self, claims: Claims | None) -> None:
         """Processes the claims in the replicated state."""
-        read = claims, claims.changes if claims is not None else 0
-        if read == self.claims_read:
+        version = claims, claims.changes if claims is not None else 0
+        if version == self.claims_version:
             return
-        self.claims_read = read
+        self.claims_version = version
         self.claims = dict(claims.table) if claims is not None else {}
-        others = _difference(self.catalog.claims, self.claims)
-        if others:
-            self.unsettled |= others.keys() & self.observed.keys()
-            self._apply_changes(self.catalog.update(CatalogState(claims=others)))
+        changes = _difference(self.catalog.claims, self.claims)
+        if changes:
+            self.unsettled |= changes.keys() & self.observed.keys()
+            self._apply_changes(self.catalog.update(CatalogState(claims=changes)))
 
     # ---- claims ----------------------------------------------------------------------------------
 
@@ -383,7 +388,7 @@
                     self.unsettled.add(name)
                 continue
             site = used.route.path[-1]
-            # the own mesh declares its services in the file, and owns its names without a claim
+            # The own mesh declares its services in the file, and owns its names without a claim.
             mesh = split_name(name)[1]
             if mesh == self.services.mesh or meshes.get(site, site) != mesh or name in self.catalog.rejected_names:
                 continue
--- a/loftweir/catalog/oracle.py
+++ b/loftweir/catalog/oracle.py
@@ -60,10 +60,10 @@
     def _check_retry(self, one: StartedRequest, other: Endpoint) -> None:
         where = f"{one.key}: at {one.provider.address}, then {other.address}"
         declared = [one.declared[self.mesh_of(provider)] for provider in (one.provider, other)]
-        if any(word.effect is Effect.ONCE for word in declared):
-            self.breaches.append(f"{where}: twice, where it is called once")
-        elif any(word.effect is Effect.BY_KEY for word in declared):
+        if any(clause.effect is Effect.ONCE for clause in declared):
+            self.breaches.append(f"{where}: executed twice, although a mesh declares it as once")
+        elif any(clause.effect is Effect.BY_KEY for clause in declared):
             if self.mesh_of(one.provider) != self.mesh_of(other):
                 self.breaches.append(f"{where}: in a mesh that does not know its key")
             elif dedup_group(other, declared[0].scope) != dedup_group(one.provider, declared[0].scope):
-                self.breaches.append(f"{where}: outside the scope that drops repeats")
+                self.breaches.append(f"{where}: outside the scope in which duplicates are dropped")
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -59,7 +59,7 @@
 
     name: str
     addresses: tuple[str, ...] = ()  # where this site requests its routes; empty: it only requests ours
-    # networks that its requests have to come from; empty: any address that reaches `listen`
+    # Networks that its requests have to come from; empty: any address that reaches `listen`.
     asks_from: tuple[Network, ...] = ()
     role: Role = Role.NONE
     preference: int = 0
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -52,7 +52,7 @@
 CONNECT_TIMEOUT = SECOND
 MAX_ERROR_BYTES = 300  # of a body that is no table, for the log
 POLL_INTERVAL = 5 * MS
-# ns at least between two notes that a partner responded again; a quarter of the hold time if that is less
+# Least time between two notes that a partner responded again; a quarter of the hold time if that is less.
 NOTE_INTERVAL = 2 * SECOND
 
 
--- a/loftweir/partners/merge.py
+++ b/loftweir/partners/merge.py
@@ -99,7 +99,7 @@
     roles: Mapping[str, Role] = {}  # of each neighbour that is shown a table
     preference: Mapping[str, int] = {}  # by partner; the greater is preferred
     offers: Mapping[str, Route] = {}  # this site's own routes, each with the path (site,)
-    # by service: restrictions that this site adds to the terms of a route that it passes on
+    # By service: restrictions that this site adds to the terms of a route that it passes on.
     restrictions: Mapping[str, Terms] = msgspec.field(default_factory=dict, name="words")
     border: tuple[Provider, ...] = ()  # replace the providers of a route that is passed on; empty: its providers stay
     gone_after: int = 30_000_000_000  # ns in the stale state after which no route of the partner is used
--- a/loftweir/partners/oracle.py
+++ b/loftweir/partners/oracle.py
@@ -25,7 +25,7 @@
 class Breach(NamedTuple):
     """An action that the terms of a site on the path exclude."""
 
-    at: int
+    at: int  # ns
     act: str  # "used" or "shown"
     site: str  # the site that used or showed the route
     to: str  # the site that was shown the route; the same as `site` if it was used
@@ -34,8 +34,11 @@
     by: str  # the site whose terms exclude the action
 
     def __str__(self) -> str:
-        way = " ".join(self.path)
-        return f"at {self.at}: {self.service} by {way}: {self.act} by {self.site} ({self.to}), excluded by {self.by}"
+        path = " ".join(self.path)
+        return (
+            f"at {self.at}: {self.service} with path {path}: {self.act} by {self.site} ({self.to}), "
+            f"excluded by {self.by}"
+        )
 
 
 class Oracle:
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -39,9 +39,9 @@
 )
 from loftweir.telemetry.log import emit
 
-# ns between the bids of two members for a free lease; the order of members differs for each partner
+# Between the bids of two members for a free lease; the order of members differs for each partner.
 BID_INTERVAL = 150 * MS
-DRAIN_MARGIN = SECOND  # ns beyond the longest deadline that a partner's providers drain
+DRAIN_MARGIN = SECOND  # beyond the longest deadline that a partner's providers drain
 CLEAR_TIMEOUT = SECOND
 OWN_DESCRIPTORS = 8  # two cluster clients, and the sockets between a closed and a new connection
 SPARE_NEIGHBOURS = 16  # for neighbours that a reload adds
@@ -161,7 +161,7 @@
         self.merger = Merger(self._policy(), self.loop.now(), self.merger.partner_states)
         if self.listener is not None:
             self.listener.set_neighbours(sites.neighbours)
-        self.shown.neighbours(sites.neighbours)
+        self.shown.set_neighbours(sites.neighbours)
         self.shown.refresh(sites.neighbours)
         self._update_standby()
         if self.catalog is not None:
--- a/loftweir/partners/replicated_table.py
+++ b/loftweir/partners/replicated_table.py
@@ -135,7 +135,7 @@
 
     def __init__(self, lease_name: str, prefix: str = "") -> None:
         self.lease_name, self.prefix = lease_name, prefix
-        # of head and note, as last read
+        # Of head and note, as last read.
         self.head_and_note: tuple[FencedValue | None, FencedValue | None] = (None, None)
         self.head: Head | None = None
         self.index = 0  # of the head in the log
--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -403,8 +403,8 @@
         if self.state is SessionState.HOLDING and STATE_TRAITS[before].away:
             self.back_at = now
         if self.state is SessionState.GONE:
-            # and with it the position: from now on a lower epoch is accepted, which a partner has after it lost its
-            # disk
+            # The position goes with it: from now on a lower epoch is accepted, which a partner has after it lost its
+            # disk.
             self.table = None
         actions.append(SessionChanged(before, table))
         return True
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -68,9 +68,9 @@
         self.epoch = 0
         self.readers: dict[str, TableReader] = {}
         self.offers: dict[str, Offer] = {}
-        # by neighbour: Unix time in ns until which the replicated table may be shown, if this was computed
+        # By neighbour: Unix time in ns until which the replicated table may be shown, if this was computed.
         self.valid_until: dict[str, int] = {}
-        # the commit index that was confirmed by a quorum after the last reconnect
+        # The commit index that was confirmed by a quorum after the last reconnect.
         self.confirmed_index: int | None = None
         self.confirming: Task | None = None
         self.leased_task: LeasedTask | None = None
@@ -82,8 +82,8 @@
 
     def on_state_change(self, machine: Machine, neighbours: Iterable[str]) -> None:
         """Reads what changed in the replicated state."""
-        fact = machine.fenced_values.get((LEASE_NAME, EPOCH))
-        epoch = int(fact.value) if fact is not None and fact.value.isdigit() else 0
+        stored_epoch = machine.fenced_values.get((LEASE_NAME, EPOCH))
+        epoch = int(stored_epoch.value) if stored_epoch is not None and stored_epoch.value.isdigit() else 0
         if epoch != self.epoch:
             self.epoch, self.readers, self.offers = epoch, {}, {}
         site = self.options.site.lower()
@@ -190,9 +190,9 @@
                     yield Wait(None, 0, self.loop.now() + RETRY_DELAY)  # the write may have been applied nevertheless
             else:
                 yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
-        self.neighbours(self.merger().policy.roles)
+        self.set_neighbours(self.merger().policy.roles)
 
-    def neighbours(self, names: Iterable[str]) -> None:
+    def set_neighbours(self, names: Iterable[str]) -> None:
         """Sets the neighbours to write tables for, if this sidecar has the lease."""
         leased_task, machine, names = self.leased_task, self.fleet.machine, set(names)
         if leased_task is None or machine is None or leased_task.valid_token() is None or not self.epoch:
--- a/loftweir/partners/standby.py
+++ b/loftweir/partners/standby.py
@@ -95,7 +95,7 @@
         # A start without a remembered list knows nothing yet; discovery's list arrives soon.
         self.known = self.known or update.kind is not UpdateKind.REMEMBERED or bool(update.endpoints)
         for endpoint in update.endpoints:
-            # the name now belongs to the site's own provider, or is free again and announced anew
+            # The name now belongs to the site's own provider, or is free again and announced anew.
             self.announced.pop(endpoint.address, None)
             if endpoint.lifecycle is Lifecycle.GONE:
                 self.own.pop(endpoint.address, None)
--- a/loftweir/partners/table.py
+++ b/loftweir/partners/table.py
@@ -213,7 +213,7 @@
     routes: dict[str, Route] = {}
     sums: dict[str, int] = {}
     withdrawn = tuple(name.lower() for name in response.withdrawn)
-    # most routes of a partner have the same providers and one of few terms, so each is parsed once
+    # Most routes of a partner have the same providers and one of few terms, so each is parsed once.
     parsed: dict[bytes, Any] = {}
     for number, row in enumerate(response.routes):
         try:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -175,7 +175,7 @@
     assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is UnknownReason.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
     assert why(catalog, "pay@bb") is UnknownReason.UNFIT
-    # another mesh can still claim names
+    # Another mesh can still claim names.
     assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)
 
 
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -111,7 +111,7 @@
     assert find_leaker(terms(show=only("cc")), ("bb", "aa"), "cc") == "aa"
     assert find_leaker(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
     assert find_leaker(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
-    # a site that tightens the terms does not count as leaking
+    # A site that tightens the terms does not count as leaking.
     passed_on = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
     assert find_leaker(passed_on, ("bb", "aa"), "cc") == "" and not passed_on.may_show("dd", 0, 1)
 
@@ -363,7 +363,7 @@
         and ramp_factor(partner.session.partner_state(), partner.now, TIMING) == 1
     )
     partner.up = False
-    # the request timed out; the first one without a wait is in flight
+    # The request timed out; the first one without a wait is in flight.
     partner.run(TIMING.wait + TIMING.silent_after + 10 * MS)
     partner.up = True
     assert partner.run(SECOND) is SessionState.HOLDING and SessionState.STALE not in partner.seen
@@ -376,7 +376,7 @@
     parts = [ramp_factor(held, held.back_at + n * TIMING.ramp_within // 4, TIMING) for n in range(5)]
     assert parts[0] == TIMING.ramp_from and parts[4] == 1 and parts == sorted(parts) and parts[1] < 0.3
     handed = Session("bb", "other", lambda: 0.5, TIMING)
-    # another sidecar gets the lease: the ramp continues, since the partner was never away
+    # Another sidecar gets the lease: the ramp continues, since the partner was never away.
     handed.start(partner.now, held)
     assert handed.state is SessionState.HOLDING and handed.partner_state().back_at == held.back_at
     after = (0, TIMING.hold, TIMING.hold + TIMING.gone)
@@ -426,7 +426,7 @@
 
 def test_changes_that_follow_another_table_cause_a_request_for_the_whole():
     partner = Partner()
-    # the table at this position is another one than the stored one
+    # The table at this position is another one than the stored one.
     partner.source.encoded["s0@bb"], partner.source.sum = b"{}", 7
     good = offer(number=2)
     good.index, good.changed = 9, dict.fromkeys(good.changed, 9)
