--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -166,7 +166,7 @@
         """The sidecars that report to have the session with a partner."""
         return [s.name for s in self.running() if partner in self.routes_status(s).get("asks", "").split(",")]
 
-    def fenced_writes(self, duty):
+    def fenced_writes(self, lease_name):
         """The lease's fenced writes in log order: token, key, value, and whether the state machine rejected it."""
         host, port = self.seats[self.leader().name].split(":")
         machine, found, reader = Machine(), [], wire.FrameReader()
@@ -176,23 +176,23 @@
             )
             while True:
                 sock.sendall(wire.encode_frame(wire.FollowRequest(machine.index, 0)))
-                while not isinstance(news := reader.next(), wire.FollowResponse):
-                    if news is None:
+                while not isinstance(response := reader.next(), wire.FollowResponse):
+                    if response is None:
                         reader.feed(sock.recv(65536))
-                if not news.entries:
+                if not response.entries:
                     return found
-                for entry in news.entries:
+                for entry in response.entries:
                     if not entry.data:
                         machine.passed(entry.index)
                         continue
-                    act, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
-                    if isinstance(act, FencedWrite) and act.duty == duty:
-                        found.append((act.token, act.key, act.value, not isinstance(result, Ok)))
+                    command, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
+                    if isinstance(command, FencedWrite) and command.duty == lease_name:
+                        found.append((command.token, command.key, command.value, not isinstance(result, Ok)))
 
-    def stored_keys(self, duty):
+    def stored_keys(self, lease_name):
         """The keys that exist under a lease."""
-        held = {key: bool(value) for _, key, value, refused in self.fenced_writes(duty) if not refused}
-        return {key for key, there in held.items() if there}
+        present = {key: bool(value) for _, key, value, rejected in self.fenced_writes(lease_name) if not rejected}
+        return {key for key, is_present in present.items() if is_present}
 
 
 def request_routes(address, site, after=None, wait_ms=0, timeout=5, source="127.0.0.1"):
@@ -210,11 +210,11 @@
         client.close()
 
 
-def position(answer):
+def position(response):
     """The epoch and index of a response, as a request gives them."""
-    return f"{answer['epoch']}.{answer['index']}"
+    return f"{response['epoch']}.{response['index']}"
 
 
-def service_names(answer):
+def service_names(response):
     """The services of a response."""
-    return {r["service"] for r in answer["routes"]}
+    return {r["service"] for r in response["routes"]}
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -130,8 +130,8 @@
     )
     list(TableWriter(None, lease)._write(target(Chunker(), {}, 100 * SECOND)))
     assert reader.read(lease.facts, 100 * SECOND)
-    stands = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
-    assert stands == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
+    states = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
+    assert states == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
     assert [reader.next_change_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
     lease.facts[DUTY, "note"] = FencedValue(replicated_table.encode_note(5000 * SECOND), 1, 9)
     assert reader.read(lease.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
@@ -150,11 +150,11 @@
 
 def test_each_error_is_raised():
     loop = Loop()
-    duty = LeasedTask(
+    leased_task = LeasedTask(
         loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None
     )
     with pytest.raises(NotActing, match="its lease is over"):
-        next(duty.put("head", b"x", SECOND))
+        next(leased_task.put("head", b"x", SECOND))
     lease = FakeLease()
     lease.put = lambda *_: (yield from ()) or CapacityExceeded(1, "fenced values", 10)
     with pytest.raises(NotKept, match="no room"):
@@ -162,45 +162,45 @@
     client = PartnerClient(loop, "oslo", file.Neighbour("bergen", ("nowhere",)), model.Partners(), None, None)
     with pytest.raises(NotAnswered, match="not up"):
         next(client._fetch(SendRequest(1, "x.1", None, 0, SECOND)))
-    answer = {"site": "bergen", "epoch": 1, "index": 1, "snapshot": True, "sum": "0" * 16}
+    response = {"site": "bergen", "epoch": 1, "index": 1, "snapshot": True, "sum": "0" * 16}
     with pytest.raises(BadTable, match="site: oslo"):
-        parse_response(json.dumps(answer).encode(), "oslo")
+        parse_response(json.dumps(response).encode(), "oslo")
     with pytest.raises(OldTable, match="later than 1.2"):
-        check_order(Table("bergen", 1, 2), parse_response(json.dumps(answer).encode(), "bergen"))
+        check_order(Table("bergen", 1, 2), parse_response(json.dumps(response).encode(), "bergen"))
 
 
 def test_a_write_rejected_for_its_token_is_the_last_one_under_that_token():
     loop, sent, events = Loop(), [], []
-    answers = {AcquireLease: Ok(5, 5), FencedWrite: StaleToken(6, 5, 6), ReleaseLease: LeaseNotHeld(7, 5)}
+    results = {AcquireLease: Ok(5, 5), FencedWrite: StaleToken(6, 5, 6), ReleaseLease: LeaseNotHeld(7, 5)}
 
     class FakeCluster:
         writes = type("W", (), {"busy": False})
 
-        def write(self, act, within):
-            sent.append(type(act))
+        def write(self, command, within):
+            sent.append(type(command))
             yield Wait(None, 0, loop.now())
-            return answers[type(act)]
+            return results[type(command)]
 
-    def act():
+    def run():
         while not events:
             yield Wait(None, 0, loop.now() + 1_000_000)
         with pytest.raises(NotActing):
-            yield from duty.put("head", b"x", SECOND)
-        events.append(duty.valid_token())
-        duty.machine_changed(held)
+            yield from leased_task.put("head", b"x", SECOND)
+        events.append(leased_task.valid_token())
+        leased_task.machine_changed(held)
         yield Wait(None, 0, loop.now() + SECOND // 5)
         loop.stopped = True
 
-    duty = LeasedTask(
+    leased_task = LeasedTask(
         loop, "n0", DUTY, SECOND, (FakeCluster(), FakeCluster()), events.append, lambda: events.append("end")
     )
     held = Machine()
     held.leases[DUTY] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
-    loop.spawn(act())
-    duty.set_wanted(True)
-    assert duty.valid_token() is None and sent == []  # the state of the lease is not known yet
-    duty.machine_changed(Machine())
+    loop.spawn(run())
+    leased_task.set_wanted(True)
+    assert leased_task.valid_token() is None and sent == []  # the state of the lease is not known yet
+    leased_task.machine_changed(Machine())
     loop.run()
     assert (events, sent) == ([5, None, "end"], [AcquireLease, FencedWrite, ReleaseLease])
 
