--- a/loftweir/adapter.py
+++ b/loftweir/adapter.py
@@ -52,7 +52,7 @@
     return api.Request(
         id=f[1],
         class_name=f[2],
-        patience=integer("patienceLeft", f[5]),
+        time_left=integer("patienceLeft", f[5]),
         tenant=None if f[3] in ("-", "0") else f[3],
         key=None if f[4] == "-" else f[4],
         cost_hint=integer("sizeHint", f[6]) if marks & MARKS_COST_HINT else 0,
@@ -65,10 +65,10 @@
     return api.AttemptEnded(
         request_id=f[1],
         attempt=integer("try", f[6]),
-        server=f[5],
+        provider=f[5],
         outcome=OUTCOMES.get(f[3], api.Outcome.UNKNOWN),
         elapsed=integer("costTime", f[2]),
-        request_over=f[4] == "1",
+        request_ended=f[4] == "1",
         load=load_report(f[7]),
     )
 
@@ -94,7 +94,7 @@
     "REQUEST": (7, read_request),
     "DONE": (7, read_done),
     "STREAMING": (4, read_streaming),
-    "CANCELLED_BY_CLIENT": (1, lambda f: api.ClientGone(f[1])),
+    "CANCELLED_BY_CLIENT": (1, lambda f: api.RequestCancelled(f[1])),
     "PROBE_DONE": (4, read_probe),
     "WHISPER": (2, read_whisper),
 }
@@ -118,15 +118,15 @@
 # ---- actions ------------------------------------------------------------------------------------
 
 WRITERS: dict[type, Callable[..., str]] = {
-    api.Attempt: lambda a: f"ATTEMPT\t{a.request_id}\t{a.server}\t{a.give_up_at}\n",
-    api.Refuse: lambda a: f"SAY_NO\t{a.request_id}\t{a.retry_after}\n",
+    api.Attempt: lambda a: f"ATTEMPT\t{a.request_id}\t{a.provider}\t{a.give_up_at}\n",
+    api.Reject: lambda a: f"SAY_NO\t{a.request_id}\t{a.retry_after}\n",
     api.Fail: lambda a: f"SURRENDER\t{a.request_id}\n",
     api.Cancel: lambda a: f"ABANDON\t{a.request_id}\t{a.attempt}\n",
     api.Timer: lambda a: f"TIMER\t{a.delay}\t{a.tag}\n",
     api.Watch: lambda a: f"FOLLOW\t{int(a.on)}\n",
     api.FetchList: lambda a: "READ_LIST\n",
-    api.Probe: lambda a: f"SOUND_OUT\t{a.server}\n",
-    api.CloseIdle: lambda a: f"RELEASE\t{a.server}\n",
+    api.Probe: lambda a: f"SOUND_OUT\t{a.provider}\n",
+    api.CloseIdle: lambda a: f"RELEASE\t{a.provider}\n",
     api.SendPeer: lambda a: f"SIGNAL\t{'*' if a.to is None else a.to}\t{a.data.hex() or '-'}\n",
     api.Log: lambda a: f"JOURNAL_LINE\t{' '.join(a.text.split())}\n",
 }
--- a/loftweir/balance.py
+++ b/loftweir/balance.py
@@ -18,7 +18,6 @@
     Action,
     Attempt,
     AttemptEnded,
-    ClientGone,
     Effect,
     Endpoint,
     Event,
@@ -26,8 +25,9 @@
     Lifecycle,
     MembershipUpdate,
     Outcome,
-    Refuse,
+    Reject,
     Request,
+    RequestCancelled,
     RequestClass,
     Scope,
     Settings,
@@ -103,7 +103,7 @@
             self.records, self.told_at = {}, now
         self.cell = endpoint.cell
         self.weight = endpoint.weight
-        self.called_back = endpoint.called_back
+        self.called_back = endpoint.reenabled
         self.listed_start = endpoint.started_at
         self.ready = endpoint.lifecycle is Lifecycle.READY
 
@@ -146,7 +146,7 @@
     def __init__(self, request: Request, cls: RequestClass, now: int) -> None:
         self.id = request.id
         self.cls = cls
-        self.deadline = now + request.patience
+        self.deadline = now + request.time_left
         if not (cls.late_worth or cls.aim_stretch or cls.stream):  # nothing is left to win, but a server's time
             self.deadline = min(self.deadline, now + cls.aim)
         self.tries: list[Try] = []
@@ -219,7 +219,7 @@
                 self._timer(event.tag)
             elif isinstance(event, StreamStarted):
                 self._stream_started(event)
-            elif isinstance(event, ClientGone):
+            elif isinstance(event, RequestCancelled):
                 self._forget(event.request_id)
             elif isinstance(event, SettingsChanged):
                 self._use(event.settings)
@@ -246,7 +246,8 @@
         ask = self.settings.safety.ask_within
         if update.kind is UpdateKind.FAILED:
             self.asking, self.failures_to_ask = False, self.failures_to_ask + 1
-            self._ask_in(*backoff(ask, self.failures_to_ask, update.age, self.settings.balancers, update.heard))
+            callers, pending = self.settings.balancers, update.response_pending
+            self._ask_in(*backoff(ask, self.failures_to_ask, update.list_age, callers, pending))
             return
         if update.kind is UpdateKind.REMEMBERED:
             # Many balancers start together and discovery answers in turn: spread the first asks.
@@ -574,7 +575,7 @@
     # ---- attempts, retries, refusals ------------------------------------------------------------
 
     def _request(self, request: Request) -> None:
-        cls = request.cls or self.settings.classes[request.class_name]
+        cls = request.request_class or self.settings.classes[request.class_name]
         warmth, fall_after = (self.near if self.near.servers else self.far).warmth, self.settings.safety.fall_after
         self.began = self.began or self.now
         # Beside cold servers what is turned away comes again: the traffic that is spread is that of before.
@@ -588,8 +589,8 @@
         self._take_step()
         self.retry_budget = min(RETRY_BURST, self.retry_budget + RETRY_PART)
         # Too old when it was read, or more than this process can carry: no server has seen it, all may come again.
-        if request.patience <= 0 or self._sheds(cls, request.shed):
-            self.actions.append(Refuse(request.id, self._come_back(cls)))
+        if request.time_left <= 0 or self._sheds(cls, request.reject_share):
+            self.actions.append(Reject(request.id, self._come_back(cls)))
             return
         call = self.calls[request.id] = Call(request, cls, self.now)
         self._serve(call)
@@ -656,7 +657,7 @@
             self._overrun(done.server, done.cls)
         done.out = False
         done.never_ran = event.outcome.never_ran
-        if event.request_over or event.outcome is Outcome.OK:
+        if event.request_ended or event.outcome is Outcome.OK:
             self._forget(call.id)
         elif not call.is_out() and not self._retry(call):
             self._end(call)
@@ -720,8 +721,8 @@
     def _end(self, call: Call) -> None:
         """The final answer where none was served: a refusal where it is harmless, else a failure."""
         ran = call.may_have_run()
-        harmless = ran is None or call.cls.repeats_anywhere
-        self.actions.append(Refuse(call.id, self._come_back(call.cls)) if harmless else Fail(call.id))
+        harmless = ran is None or call.cls.retryable_anywhere
+        self.actions.append(Reject(call.id, self._come_back(call.cls)) if harmless else Fail(call.id))
         self._forget(call.id)
 
     def _come_back(self, cls: RequestClass) -> int:
--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -57,13 +57,13 @@
         self.telling = False
         self.carry_out: dict[type, Callable[[Any], None]] = {
             api.Attempt: self._attempt,
-            api.Refuse: self._reject,
+            api.Reject: self._reject,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.Timer: self._timer,
             api.Watch: lambda a: lists.watch(a.on),
             api.FetchList: lambda a: lists.fetch(),
-            api.CloseIdle: lambda a: back.close_idle(a.server),
+            api.CloseIdle: lambda a: back.close_idle(a.provider),
             api.Log: lambda a: say(DECISION_NOTE, text=a.text),
         }
 
@@ -105,7 +105,7 @@
         invocation = self.invocations.get(getattr(thing, "request_id", getattr(thing, "id", "")))
         if invocation is not None and invocation.open:
             invocation.close(BROKEN)
-            self.events.append(api.ClientGone(invocation.id))
+            self.events.append(api.RequestCancelled(invocation.id))
 
     def take(self, invocation: Invocation, age: int = 0, unread: int = 0) -> None:
         """An invocation whose last byte came `age` ns ago: from now on it is owed its answer, by what is left of its
@@ -124,7 +124,7 @@
         would stop no work, and read to its end its connection can be used again."""
         if invocation.open:
             invocation.close(None)
-            self.tell(api.ClientGone(invocation.id))
+            self.tell(api.RequestCancelled(invocation.id))
         self._forget(invocation)
 
     def _forget(self, invocation: Invocation) -> None:
@@ -163,9 +163,9 @@
         invocation = self.invocations[action.request_id]
         if not invocation.wanted():
             number, none = len(invocation.calls), api.Outcome.NOT_SENT
-            self.tell(api.AttemptEnded(invocation.id, number, action.server, none, 0, True))
+            self.tell(api.AttemptEnded(invocation.id, number, action.provider, none, 0, True))
             return
-        call = Call(invocation, action.server, action.give_up_at, self.loop.time, action.send_by)
+        call = Call(invocation, action.provider, action.give_up_at, self.loop.time, action.send_by)
         invocation.calls.append(call)
         self.back.begin(call)
 
@@ -181,7 +181,7 @@
         if invocation is not None and invocation.open:
             self.tell(api.TimerFired(tag))
 
-    def _reject(self, action: api.Refuse) -> None:
+    def _reject(self, action: api.Reject) -> None:
         """A rejection says that trying again is harmless, and after how long it may help."""
         after = min(action.retry_after, self.settings.max_retry_after)
         self._close(action.request_id, Final(Kind.REJECTED, after=after))
--- a/loftweir/core/invocation.py
+++ b/loftweir/core/invocation.py
@@ -109,11 +109,11 @@
             self.id,
             self.cls.name,
             self.patience,
-            cls=self.cls,
+            request_class=self.cls,
             key=self.key,
             client_retry=self.client_retry,
             write=self.write,
-            shed=shed,
+            reject_share=shed,
         )
 
     def wanted(self) -> bool:
--- a/loftweir/core/overload.py
+++ b/loftweir/core/overload.py
@@ -8,7 +8,7 @@
     part  +=  GAIN * clamp((least age - TARGET) / TARGET, -1, 1)        once in an INTERVAL
 
 So it rises by at most GAIN in an interval while the queue stands, and falls alike once it doesn't. The decision module
-weighs it by worth (`Request.shed`): it alone turns anything away.
+weighs it by worth (`Request.reject_share`): it alone turns anything away.
 """
 
 from __future__ import annotations
--- a/loftweir/emulator/baselines.py
+++ b/loftweir/emulator/baselines.py
@@ -31,14 +31,14 @@
             if isinstance(event, api.Request):
                 self._request(now, event, actions)
             elif isinstance(event, api.AttemptEnded):
-                self.out[event.server] = self.out.get(event.server, 0) - 1
-                if self.open.pop(event.request_id, None) is not None and not event.request_over:
+                self.out[event.provider] = self.out.get(event.provider, 0) - 1
+                if self.open.pop(event.request_id, None) is not None and not event.request_ended:
                     harmless = event.outcome.never_ran
-                    end = api.Refuse(event.request_id) if harmless else api.Fail(event.request_id)
+                    end = api.Reject(event.request_id) if harmless else api.Fail(event.request_id)
                     actions.append(end)
             elif isinstance(event, api.MembershipUpdate):
                 self._membership(event, actions)
-            elif isinstance(event, api.ClientGone):
+            elif isinstance(event, api.RequestCancelled):
                 self.open.pop(event.request_id, None)
             elif isinstance(event, api.TimerFired) and event.tag == DISCOVERY:
                 actions.append(api.Watch())
@@ -46,13 +46,13 @@
 
     def _request(self, now: int, request: api.Request, actions: list[api.Action]) -> None:
         ready = [name for name, e in self.servers.items() if e.lifecycle is api.Lifecycle.READY]
-        if not ready or request.patience <= 0:
-            actions.append(api.Refuse(request.id))
+        if not ready or request.time_left <= 0:
+            actions.append(api.Reject(request.id))
             return
         server = self.pick(ready)
         self.open[request.id] = request
         self.out[server] = self.out.get(server, 0) + 1
-        actions.append(api.Attempt(request.id, server, now + request.patience))
+        actions.append(api.Attempt(request.id, server, now + request.time_left))
 
     def _membership(self, update: api.MembershipUpdate, actions: list[api.Action]) -> None:
         if update.kind in (api.UpdateKind.FAILED, api.UpdateKind.REMEMBERED):
@@ -110,7 +110,7 @@
                 fails = [a for a in actions if isinstance(a, api.Fail) and a.request_id == event.request_id]
                 for fail in fails:
                     actions.remove(fail)
-                    ready = [s.address for s in self.servers.values() if s.ready and s.address != event.server]
+                    ready = [s.address for s in self.servers.values() if s.ready and s.address != event.provider]
                     if ready:
                         actions.append(api.Attempt(event.request_id, self.random.choice(ready), now + 10**9))
         return actions
@@ -121,14 +121,14 @@
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
-        return actions + [a for a in actions if isinstance(a, api.Refuse | api.Fail)]
+        return actions + [a for a in actions if isinstance(a, api.Reject | api.Fail)]
 
 
 class NeverAnswers(Balancer):
     """Drops its final answers."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        return [a for a in super().handle(now, events) if not isinstance(a, api.Refuse | api.Fail)]
+        return [a for a in super().handle(now, events) if not isinstance(a, api.Reject | api.Fail)]
 
 
 class IgnoresDrains(Balancer):
@@ -155,7 +155,7 @@
         newest = max(ready, key=lambda s: s.started_at, default=None)
         for action in actions:
             if isinstance(action, api.Attempt) and newest is not None:
-                action.server = newest.address
+                action.provider = newest.address
         return actions
 
 
@@ -172,7 +172,7 @@
             heard.append(event)
         actions = super().handle(now, heard)
         return actions + [
-            api.Attempt(a.request_id, a.server, a.give_up_at) for a in actions if isinstance(a, api.Attempt)
+            api.Attempt(a.request_id, a.provider, a.give_up_at) for a in actions if isinstance(a, api.Attempt)
         ]
 
 
--- a/loftweir/emulator/instance.py
+++ b/loftweir/emulator/instance.py
@@ -133,7 +133,7 @@
             clock.after(action.delay, self._due, self.life, action.tag, action.request_id)
         elif isinstance(action, api.Attempt):
             self._attempt(action)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, api.Reject):
             self._final(action.request_id, "refused", action.retry_after)
         elif isinstance(action, api.Fail):
             self._final(action.request_id, "failed", 0)
@@ -170,7 +170,7 @@
         if life == self.life and call is not None and call.open:
             call.open = False
             self.clients.no_answer(self, call)
-            self.tell(api.ClientGone(request_id))
+            self.tell(api.RequestCancelled(request_id))
             self._forget(call)
 
     def _final(self, request_id: str, how: str, after: int) -> None:
@@ -197,15 +197,15 @@
             call.open = False
         number = call.tries
         call.tries += 1
-        call.outs[number] = action.server
+        call.outs[number] = action.provider
         context.attempts += 1
-        context.oracle.sent(call.id, self.number, action.server, now)
+        context.oracle.sent(call.id, self.number, action.provider, now)
         until = min(action.give_up_at or call.deadline, call.deadline)
-        node = context.nodes.get(action.server)
+        node = context.nodes.get(action.provider)
         if node is None:
             delay = context.delay(self.zone, self.zone)
             failed = api.Outcome.CONNECT_FAILED
-            context.clock.after(delay, self.attempt_ended, self.life, call, number, action.server, failed, now)
+            context.clock.after(delay, self.attempt_ended, self.life, call, number, action.provider, failed, now)
         else:
             OutgoingAttempt(self, call, number, node, until).begin()
 
--- a/loftweir/explain.py
+++ b/loftweir/explain.py
@@ -111,8 +111,8 @@
         if isinstance(action, api.Timer):
             self.put(now + action.delay, api.TimerFired(action.tag))
         elif isinstance(action, api.Attempt):
-            self.decide(now, action.request_id, "attempt", action.server, cls)
-            outcome, at_once = BEHAVIOURS.get(self.behaves.get(action.server, ""), (api.Outcome.OK, False))
+            self.decide(now, action.request_id, "attempt", action.provider, cls)
+            outcome, at_once = BEHAVIOURS.get(self.behaves.get(action.provider, ""), (api.Outcome.OK, False))
             silent = outcome is api.Outcome.TIMED_OUT
             ends = action.give_up_at if silent else now + (MS if at_once else traffic.answer)
             late = ends >= action.give_up_at
@@ -121,11 +121,11 @@
             if late:
                 ends, outcome = action.give_up_at, api.Outcome.TIMED_OUT
             served = outcome is api.Outcome.OK
-            self.put(ends, api.AttemptEnded(action.request_id, number, action.server, outcome, ends - now, served))
+            self.put(ends, api.AttemptEnded(action.request_id, number, action.provider, outcome, ends - now, served))
             if served:
                 self.over[action.request_id] = "served"
-        elif isinstance(action, api.Refuse | api.Fail):
-            what = "rejected" if isinstance(action, api.Refuse) else "failed"
+        elif isinstance(action, api.Reject | api.Fail):
+            what = "rejected" if isinstance(action, api.Reject) else "failed"
             self.over[action.request_id] = what
             self.decide(now, action.request_id, what, "", cls)
 
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -194,7 +194,8 @@
         self._fail()
 
     def _fail(self) -> None:
-        self.told(MembershipUpdate(UpdateKind.FAILED, age=self._age(), heard=self._may_be_answered()), {})
+        pending = self._may_be_answered()
+        self.told(MembershipUpdate(UpdateKind.FAILED, list_age=self._age(), response_pending=pending), {})
 
     def _may_be_answered(self) -> bool:
         """Whether discovery may not have got yet to a call that was given up. To a watch that fell silent it has."""
--- a/loftweir/operations/overlay.py
+++ b/loftweir/operations/overlay.py
@@ -35,7 +35,7 @@
             return replace(endpoint, lifecycle=Lifecycle.DRAINING)
         at = max(command.at for command in commands)
         # The fleet's commands are kept for good: a start long after one is not the start that it spoke of.
-        return replace(endpoint, started_at=max(endpoint.started_at, at), called_back=endpoint.started_at <= at + HOUR)
+        return replace(endpoint, started_at=max(endpoint.started_at, at), reenabled=endpoint.started_at <= at + HOUR)
 
     def update(self, update: MembershipUpdate, addresses: Mapping[str, str]) -> tuple[MembershipUpdate, dict[str, str]]:
         """Discovery's list, as the balancer is to have it."""
--- a/tests/cold_scene.py
+++ b/tests/cold_scene.py
@@ -213,7 +213,7 @@
             elif isinstance(action, api.Timer):
                 if not action.request_id or (n, life, action.request_id) in self.calls:
                     self.after(action.delay, self.timer, n, life, action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.answered(n, life, action)
 
     def timer(self, n, life, action):
@@ -223,7 +223,7 @@
     def answered(self, n, life, action):
         name, end, begun, tries, _ = self.calls.pop((n, life, action.request_id))
         self.refused += 1
-        if self.case.again and isinstance(action, api.Refuse) and tries < 4:
+        if self.case.again and isinstance(action, api.Reject) and tries < 4:
             away = max(action.retry_after, 100 * MS) * (1 + 0.3 * self.random.random())
             self.after(away, self.request, n, name, end, begun, tries + 1)
 
@@ -231,7 +231,7 @@
 
     def attempt(self, n, life, action):
         call = self.calls[n, life, action.request_id]
-        number, server = call[4], self.servers[action.server]
+        number, server = call[4], self.servers[action.provider]
         call[4] += 1
         self.sent += 1
         near = server.zone == self.zones[n % len(self.zones)]
--- a/tests/support.py
+++ b/tests/support.py
@@ -72,7 +72,7 @@
 def ended(attempt, outcome, number=0, over=False, elapsed=10 * MS):
     """The outcome of an Attempt action."""
     over = over or outcome is Outcome.OK
-    return AttemptEnded(attempt.request_id, number, attempt.server, outcome, elapsed, over)
+    return AttemptEnded(attempt.request_id, number, attempt.provider, outcome, elapsed, over)
 
 
 def of(kind, actions):
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -18,7 +18,7 @@
     UsualTime,
     step_length,
 )
-from loftweir.interface import Effect, Fail, Outcome, Refuse, RequestClass, TimerFired
+from loftweir.interface import Effect, Fail, Outcome, Reject, RequestClass, TimerFired
 
 AIM = 1000 * MS
 USUAL = 100 * MS
@@ -218,7 +218,7 @@
     for n in range(40):  # a0 answers none, within a time in which that is no fault; all others at once
         now += MS
         (attempt,) = attempts(balancer.handle(now, [request(f"r{n}")]))
-        if attempt.server == "a0":
+        if attempt.provider == "a0":
             held.append(attempt)
         else:
             balancer.handle(now + MS // 2, [ended(attempt, Outcome.OK, elapsed=MS // 2)])
@@ -226,8 +226,8 @@
     for n in range(12):  # nobody answers any more: it takes its part
         now += MS
         held += attempts(balancer.handle(now, [request(f"s{n}")]))
-    assert max(sum(attempt.server == f"a{n}" for attempt in held) for n in range(PEERS)) <= 6
-    assert sum(attempt.server == "a0" for attempt in held) > 2
+    assert max(sum(attempt.provider == f"a{n}" for attempt in held) for n in range(PEERS)) <= 6
+    assert sum(attempt.provider == "a0" for attempt in held) > 2
 
 
 def classes(late_worth):
@@ -260,8 +260,8 @@
                 balancer.handle(now, [ended(attempt, Outcome.OK, elapsed=end - began)])
         out = [call for call in out if call[0] > now]
         for attempt in attempts(balancer.handle(now, [request(f"r{n}", patience=3 * AIM)])):
-            sent.append(attempt.server)
-            out.append((now + (8 * USUAL if attempt.server == "a0" else USUAL), now, attempt))
+            sent.append(attempt.provider)
+            out.append((now + (8 * USUAL if attempt.provider == "a0" else USUAL), now, attempt))
     assert sent.count("a0") < 20, "an even share were 67"
     assert len(sent) == 400
 
@@ -275,7 +275,7 @@
             began, attempt = out.pop(0)
             balancer.handle(now, [ended(attempt, Outcome.OK, elapsed=now - began)])
         actions = balancer.handle(now, [request(f"r{n}", patience=3 * AIM)])
-        refused += len(of(Refuse, actions))
+        refused += len(of(Reject, actions))
         out += [(now, attempt) for attempt in attempts(actions)]
     assert refused > 100
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -2,7 +2,7 @@
 
 from support import MS, SECOND, attempts, ended, endpoint, full, make, of, request
 
-from loftweir.interface import Effect, Outcome, Refuse, RequestClass, Timer, TimerFired
+from loftweir.interface import Effect, Outcome, Reject, RequestClass, Timer, TimerFired
 
 NEAR = tuple(endpoint(f"a{i}") for i in range(6))
 FAR = tuple(endpoint(f"b{i}", zone="b") for i in range(6))
@@ -26,13 +26,13 @@
             self.now += gap
             self.count += 1
             actions = self.balancer.handle(self.now, [request(f"r{self.count}", class_name)])
-            self.refused += len(of(Refuse, actions))
-            sent += [a.server for a in attempts(actions)]
+            self.refused += len(of(Reject, actions))
+            sent += [a.provider for a in attempts(actions)]
             number = 0
             while attempts(actions):
                 (attempt,) = attempts(actions)
                 timers = of(Timer, actions)
-                outcome = self.fate(attempt.server)
+                outcome = self.fate(attempt.provider)
                 if outcome is Outcome.TIMED_OUT:
                     for timer in timers:  # of a call that is out: the clock goes on to each
                         self.now += timer.delay
@@ -145,7 +145,7 @@
     told = []  # the pressure at a refusal, and the wait that it named
 
     def take(actions):
-        told.extend((play.balancer.near.crowding.pressure, refusal.retry_after) for refusal in of(Refuse, actions))
+        told.extend((play.balancer.near.crowding.pressure, refusal.retry_after) for refusal in of(Reject, actions))
 
     for number in range(400):
         actions = play.balancer.handle(play.now, [request(f"r{number}")])
@@ -164,7 +164,7 @@
     balancer = make(max_attempts=1)
     balancer.handle(0, [full(endpoint("a1"))])
     (first,) = attempts(balancer.handle(SECOND, [request("r")]))
-    assert of(Refuse, balancer.handle(SECOND + MS, [ended(first, Outcome.FULL)])) == [Refuse("r", 0)]
+    assert of(Reject, balancer.handle(SECOND + MS, [ended(first, Outcome.FULL)])) == [Reject("r", 0)]
 
 
 def test_what_is_worth_most_is_not_queued_past_where_it_would_be_late():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from support import MS, SECOND, attempts, changes, ended, endpoint, full, make, of, request
 
 from loftweir.explain import why_not
-from loftweir.interface import Effect, Lifecycle, Outcome, Refuse, RequestClass
+from loftweir.interface import Effect, Lifecycle, Outcome, Reject, RequestClass
 
 NEAR = tuple(endpoint(f"a{i}") for i in range(10))
 FAR = tuple(endpoint(f"b{i}", zone="b") for i in range(10))
@@ -26,8 +26,8 @@
         now += gap
         actions = balancer.handle(now, [request(f"r{now}-{i}", class_name)])
         for n, attempt in enumerate(attempts(actions)):
-            sent.append(attempt.server)
-            outcome, elapsed = fate(attempt.server)
+            sent.append(attempt.provider)
+            outcome, elapsed = fate(attempt.provider)
             balancer.handle(now, [ended(attempt, outcome, n, over=True, elapsed=elapsed)])
     return sent
 
@@ -123,8 +123,8 @@
     refused = Counter()
     for i in range(2000):
         name = "cheap" if i % 2 else "dear"
-        actions = balancer.handle(START + i * MS, [request(f"r{i}", name, shed=0.1)])
-        refused[name] += len(of(Refuse, actions))
+        actions = balancer.handle(START + i * MS, [request(f"r{i}", name, reject_share=0.1)])
+        refused[name] += len(of(Reject, actions))
         for attempt in attempts(actions):
             balancer.handle(START + i * MS, [ended(attempt, Outcome.OK)])
     assert refused["dear"] == 0
@@ -136,14 +136,14 @@
     for called_back in (False, True):
         balancer = make(balancers=3)
         near = [endpoint(f"a{n}") for n in range(3)]
-        cold = replace(endpoint("b0", "b", started_at=SECOND), called_back=called_back)
+        cold = replace(endpoint("b0", "b", started_at=SECOND), reenabled=called_back)
         balancer.handle(SECOND, [full(*near, cold)])
         sent = []
         for n in range(400):  # 50 a second
             now = SECOND + n * 20 * MS
             for kind in ("read", "push"):
                 (attempt,) = attempts(balancer.handle(now, [request(f"{kind}{n}", kind)]))
-                sent.append((n, kind, attempt.server))
+                sent.append((n, kind, attempt.provider))
                 balancer.handle(now + MS, [ended(attempt, Outcome.OK, elapsed=MS)])
         fed = [(n, kind) for n, kind, server in sent if server == "b0"]
         assert {kind for _, kind in fed} == ({"read"} if called_back else set())
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -227,7 +227,7 @@
 
     monkeypatch.setattr("loftweir.http1.discovery.connect", connect)
     clock, told = Clock(), []
-    caller = Discovery(clock, "here", Options(), lambda update, _: told.append((clock.now(), update.age)))
+    caller = Discovery(clock, "here", Options(), lambda update, _: told.append((clock.now(), update.list_age)))
     for start in (10 * SECOND, 20 * SECOND):
         clock.time = start
         caller.watch(True)
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -66,8 +66,8 @@
         for action in actions:
             if isinstance(action, api.Attempt):
                 self.sent += 1
-                heappush(self.answers, (self.now + ANSWER, action.request_id, action.server))
-            elif isinstance(action, api.Refuse | api.Fail):
+                heappush(self.answers, (self.now + ANSWER, action.request_id, action.provider))
+            elif isinstance(action, api.Reject | api.Fail):
                 self.refused += 1
         return spent
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,7 +12,7 @@
     balancer.handle(0, [full(endpoint("a1"), endpoint("a2"), endpoint("b1", zone="b"))])
     seen = Counter()
     for i in range(20):
-        seen.update(a.server for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
+        seen.update(a.provider for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
     assert seen == {"a1": 10, "a2": 10}
 
 
@@ -22,5 +22,5 @@
     balancer.handle(0, [full(draining, endpoint("b1", zone="b"), endpoint("c1", zone="c"))])
     seen = Counter()
     for i in range(20):
-        seen.update(a.server for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
+        seen.update(a.provider for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
     assert seen == {"b1": 10, "c1": 10}
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -105,7 +105,7 @@
     assert told(overlay, changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.hold(record.ban("s-1", False, 99))
     (back,) = update.endpoints
-    assert (back.lifecycle, back.started_at, back.called_back) == (Lifecycle.READY, 99, True)
+    assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 99, True)
     assert told(overlay, full(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
 
 
@@ -122,7 +122,7 @@
     balancer.handle(SECOND, [overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
     record = Record().ban("s-1", True, SECOND)
     balancer.handle(SECOND, [overlay.hold(record)[0]])
-    servers = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].server for n in range(20)]
+    servers = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].provider for n in range(20)]
     assert set(servers) == {"s-2"}
     balancer.handle(SECOND, [overlay.hold(record.ban("s-2", True, SECOND))[0]])
     assert not attempts(balancer.handle(2 * SECOND, [request("none")]))  # the last one: nobody is sent to
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -8,14 +8,14 @@
     Attempt,
     AttemptEnded,
     Cancel,
-    ClientGone,
     Effect,
     Fail,
     Lifecycle,
     MembershipUpdate,
     Outcome,
-    Refuse,
+    Reject,
     Request,
+    RequestCancelled,
     Scope,
     Timer,
     TimerFired,
@@ -66,7 +66,7 @@
         elif isinstance(action, Attempt):
             assert action.request_id in self.open, "an attempt for a request that is over"
             cls, deadline, tries = self.open[action.request_id]
-            assert action.server in self.ready, "an attempt to a server not listed as ready"
+            assert action.provider in self.ready, "an attempt to a server not listed as ready"
             assert len(tries) < MAX_ATTEMPTS
             assert self.second_copies or all(t[2] is not None for t in tries)
             ran = [t for t in tries if t[2] not in NEVER_RAN]
@@ -75,13 +75,13 @@
             if cls.effect is Effect.BY_KEY:
                 for server, sent, _ in ran:
                     assert self.now < sent + cls.window
-                    mine, theirs = ADDRESSES[action.server], ADDRESSES[server]
+                    mine, theirs = ADDRESSES[action.provider], ADDRESSES[server]
                     assert cls.scope is not Scope.ZONE or mine[0] == theirs[0]
                     assert cls.scope is not Scope.CELL or mine[1] == theirs[1]
-            tries.append([action.server, self.now, None])
+            tries.append([action.provider, self.now, None])
             give_up = min(action.give_up_at or deadline, deadline)
             self.out.append((action.request_id, len(tries) - 1, give_up))
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             cls, _, tries = self.open.pop(action.request_id)
             self.over.add(action.request_id)
             ran = [t for t in tries if t[2] not in NEVER_RAN]
@@ -152,7 +152,7 @@
             request_id = list(self.open)[pick % len(self.open)]
             del self.open[request_id]
             self.over.add(request_id)
-            self.feed(ClientGone(request_id))
+            self.feed(RequestCancelled(request_id))
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 from support import SECOND as S
 from support import attempts, changes, ended, endpoint, full, make, request, settings
 
-from loftweir.interface import Effect, Fail, Outcome, Refuse, RequestClass, SettingsChanged
+from loftweir.interface import Effect, Fail, Outcome, Reject, RequestClass, SettingsChanged
 
 
 def with_classes(*classes, **more):
@@ -27,9 +27,9 @@
     once = RequestClass("log-all", Effect.ONCE, 200 * MS, S)
     balancer.handle(S, [SettingsChanged(with_classes(once))])
     (again,) = attempts(balancer.handle(S, [ended(first, Outcome.RESET)]))
-    assert again.server != first.server
+    assert again.provider != first.provider
     (new,) = attempts(balancer.handle(S, [request("new", "log-all")]))
-    (answer,) = [a for a in balancer.handle(S, [ended(new, Outcome.RESET)]) if isinstance(a, Fail | Refuse)]
+    (answer,) = [a for a in balancer.handle(S, [ended(new, Outcome.RESET)]) if isinstance(a, Fail | Reject)]
     assert isinstance(answer, Fail), "the new one is once"
 
 
@@ -42,7 +42,7 @@
     balancer.handle(S, [SettingsChanged(with_classes(other, max_attempts=1))])
     assert not attempts(balancer.handle(S, [ended(first, Outcome.ERROR)]))
     # Its head came before, its last byte after.
-    (late,) = attempts(balancer.handle(S, [request("late", "read", cls=gone)]))
+    (late,) = attempts(balancer.handle(S, [request("late", "read", request_class=gone)]))
     balancer.handle(S, [ended(late, Outcome.OK)])
     assert set(balancer.mix) == {"other"} and balancer.mix["other"] > 0.9
     assert len(attempts(balancer.handle(S, [request("n", "other"), changes(endpoint("a9"))]))) == 1
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -179,16 +179,16 @@
     assert update.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.hold(Record().ban("s-1", True, 60).ban("s-1", False, 65))
     back = update.endpoints[0]
-    assert (back.lifecycle, back.started_at, back.called_back) == (Lifecycle.READY, 70, True)
+    assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 70, True)
     later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
-    assert (back.started_at, back.called_back) == (80 + HOUR, False), "a start that nobody called it back from"
+    assert (back.started_at, back.reenabled) == (80 + HOUR, False), "a start that nobody called it back from"
     overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
     assert overlay.knows("s-9") and overlay.lay({"s-1": Said(70, False)}, False) is None
     listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
     assert listed.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.lay({}, True)
-    assert {(e.address, e.lifecycle, e.called_back) for e in update.endpoints} == {
+    assert {(e.address, e.lifecycle, e.reenabled) for e in update.endpoints} == {
         ("s-1", Lifecycle.READY, True),
         ("s-9", Lifecycle.READY, False),
     }
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import pytest
 from support import MS, SECOND, attempts, changes, ended, endpoint, full, make, of, request
 
-from loftweir.interface import ClientGone, Fail, Lifecycle, Outcome, Refuse, StreamStarted, Timer, TimerFired
+from loftweir.interface import Fail, Lifecycle, Outcome, Reject, RequestCancelled, StreamStarted, Timer, TimerFired
 
 FLEET = (
     endpoint("a1", cell=1),
@@ -25,7 +25,7 @@
 
 
 def answers(actions):
-    return of(Refuse, actions) + of(Fail, actions)
+    return of(Reject, actions) + of(Fail, actions)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.UNKNOWN])
@@ -40,13 +40,13 @@
 def test_a_once_request_that_never_ran_is_sent_elsewhere(outcome):
     balancer, attempt = started("push")
     (again,) = attempts(balancer.handle(SECOND + 50 * MS, [ended(attempt, outcome)]))
-    assert again.server != attempt.server
+    assert again.provider != attempt.provider
 
 
 def test_a_once_request_that_never_ran_anywhere_is_refused():
     balancer, attempt = started("push", fleet=FLEET[:1])
     actions = balancer.handle(SECOND + 50 * MS, [ended(attempt, Outcome.FULL)])
-    assert answers(actions) == [Refuse("r")]
+    assert answers(actions) == [Reject("r")]
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -55,10 +55,10 @@
     balancer, attempt = started(class_name, seed)
     actions = balancer.handle(SECOND + 50 * MS, [ended(attempt, Outcome.ERROR)])
     for again in attempts(actions):
-        assert again.server in GROUPS[class_name]
-        assert class_name != "log-cell" or CELL[again.server] == CELL[attempt.server]
+        assert again.provider in GROUPS[class_name]
+        assert class_name != "log-cell" or CELL[again.provider] == CELL[attempt.provider]
     if not attempts(actions):
-        assert attempt.server == "a3", "only a cell of one has no other server"
+        assert attempt.provider == "a3", "only a cell of one has no other server"
         assert answers(actions) == [Fail("r")]
 
 
@@ -66,7 +66,7 @@
     balancer, attempt = started("log-all")
     actions = balancer.handle(SECOND + 500 * MS, [ended(attempt, Outcome.ERROR)])
     assert not attempts(actions)
-    assert answers(actions) == [Refuse("r")], "the whole fleet drops its repeats: a refusal is harmless"
+    assert answers(actions) == [Reject("r")], "the whole fleet drops its repeats: a refusal is harmless"
 
 
 def test_a_keyed_request_of_a_zone_may_not_be_refused_once_it_may_have_run():
@@ -88,7 +88,7 @@
     assert attempt.give_up_at <= 2 * SECOND
     actions = balancer.handle(2 * SECOND, [ended(attempt, Outcome.TIMED_OUT)])
     assert not attempts(actions)
-    assert answers(actions) == [Refuse("r")]
+    assert answers(actions) == [Reject("r")]
 
 
 def test_with_no_server_a_request_is_held_and_answered_by_its_deadline():
@@ -97,7 +97,7 @@
     assert not attempts(actions)
     (timer,) = of(Timer, actions)
     assert timer.delay <= 1000 * MS
-    assert answers(balancer.handle(SECOND + timer.delay, [TimerFired(timer.tag)])) == [Refuse("r")]
+    assert answers(balancer.handle(SECOND + timer.delay, [TimerFired(timer.tag)])) == [Reject("r")]
     assert balancer.handle(SECOND + timer.delay, [TimerFired(timer.tag)]) == [], "one answer, not two"
 
 
@@ -105,17 +105,17 @@
     balancer = make()
     balancer.handle(SECOND, [request("r", "push")])
     (attempt,) = attempts(balancer.handle(SECOND + MS, [full(endpoint("b1", zone="b"))]))
-    assert attempt.server == "b1"
+    assert attempt.provider == "b1"
 
 
 def test_nothing_follows_a_client_that_has_gone():
     balancer, attempt = started("read")
-    assert balancer.handle(SECOND + MS, [ClientGone("r"), ended(attempt, Outcome.ERROR)]) == []
+    assert balancer.handle(SECOND + MS, [RequestCancelled("r"), ended(attempt, Outcome.ERROR)]) == []
 
 
 def test_nothing_follows_a_stream_that_has_started():
     balancer, attempt = started("read")
-    assert balancer.handle(SECOND + MS, [StreamStarted("r", 0, attempt.server, MS)]) == []
+    assert balancer.handle(SECOND + MS, [StreamStarted("r", 0, attempt.provider, MS)]) == []
     assert answers(balancer.handle(SECOND + 2 * MS, [ended(attempt, Outcome.RESET, over=True)])) == []
 
 
@@ -127,7 +127,7 @@
     balancer.handle(SECOND, [changes(endpoint("a1", lifecycle=lifecycle))])
     for i in range(10):
         (attempt,) = attempts(balancer.handle(2 * SECOND + i, [request(f"s{i}")]))
-        assert attempt.server == "a2"
+        assert attempt.provider == "a2"
 
 
 def test_what_is_missing_from_a_full_list_is_gone():
@@ -136,7 +136,7 @@
     balancer.handle(SECOND, [full(endpoint("a2"))])
     for i in range(10):
         (attempt,) = attempts(balancer.handle(2 * SECOND + i, [request(f"s{i}")]))
-        assert attempt.server == "a2"
+        assert attempt.provider == "a2"
 
 
 def test_a_cold_server_gets_no_more_than_it_can_do():
@@ -150,7 +150,7 @@
             now = 100 * SECOND + i * MS
             for attempt in attempts(balancer.handle(now, [request(f"r{i}")])):
                 sent += 1
-                cold += attempt.server == "cold"
+                cold += attempt.provider == "cold"
     able, whole = 0.2, 3.2  # of its size when it starts; of the four together
     assert 0.5 * able / whole < cold / sent < 1.5 * able / whole
 
@@ -162,7 +162,7 @@
     far = 0
     for i in range(200):
         (attempt,) = attempts(balancer.handle(100 * SECOND + i * MS, [request(f"r{i}")]))
-        far += attempt.server == "b1"
+        far += attempt.provider == "b1"
     assert far > 120, "four fifths of the zone's capacity is not there yet"
 
 
@@ -175,7 +175,7 @@
         for i in range(10):
             for first in attempts(balancer.handle(101 * SECOND + i * MS, [request(f"r{i}")])):
                 actions = balancer.handle(101 * SECOND + i * MS, [ended(first, Outcome.FULL)])
-                assert all(a.server in ("a1", "a2") for a in attempts(actions))
+                assert all(a.provider in ("a1", "a2") for a in attempts(actions))
 
 
 def test_a_crowd_does_not_overflow_onto_cold_servers():
@@ -188,7 +188,7 @@
         cold = 0
         for i in range(200):
             for first in attempts(balancer.handle(100 * SECOND + i * 20 * MS, [request(f"r{i}")])):
-                cold += first.server == "b1"
+                cold += first.provider == "b1"
                 balancer.handle(100 * SECOND + i * 20 * MS, [ended(first, Outcome.FULL)])
         assert cold <= most
 
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -91,7 +91,7 @@
 
 def test_a_watch_that_fell_silent_does_not_keep_the_next_call_back():
     sidecar = Ends(SILENT, *[REFUSED] * 30)
-    assert sidecar.failures and not any(update.heard for update in sidecar.failures)
+    assert sidecar.failures and not any(update.response_pending for update in sidecar.failures)
 
 
 def test_watches_answered_in_one_moment_are_not_given_up_in_one_moment():
@@ -117,7 +117,7 @@
 def test_a_late_refusal_ends_the_wait_for_a_late_answer():
     sidecar = Ends(SILENT, SILENT, SILENT)
     (failure,) = sidecar.failures
-    assert failure.heard
+    assert failure.response_pending
     next_call_at = next(at for at in sidecar.asked_at if at > sidecar.made_at[-1])
     assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST + REFUSED_LATE_AFTER + MS
 
