--- a/loftweir/replication/disk.py
+++ b/loftweir/replication/disk.py
@@ -39,7 +39,7 @@
     snapshot_name,
     write_whole,
 )
-from loftweir.replication.journal import InvalidRecord, Mark, SnapshotContent, SnapshotFile
+from loftweir.replication.journal import Mark, SnapshotContent, SnapshotFile, Unfit
 from loftweir.replication.reading import RecoveredFolder, read_folder, remove_obsolete_files
 
 SEGMENT_BYTES = 4 * 1024 * 1024
@@ -231,7 +231,7 @@
         match error:
             case OSError():
                 return StorageFailed(error.strerror or str(error), error.filename or where)
-            case InvalidRecord():
+            case Unfit():
                 return StorageFailed(f"asked to keep what can't follow: {error}", where)
         return StorageFailed(f"unforeseen: {error!r}", where)
 
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -32,7 +32,7 @@
     """A record that is not whole: the end of a write that never finished, or damage; its place tells which."""
 
 
-class InvalidRecord(ValueError):
+class Unfit(ValueError):
     """A record that can't come next, as asked of the disk or as found in it."""
 
 
@@ -201,11 +201,11 @@
         for start, value, crc, end in scan_records(data):
             try:
                 if isinstance(value, SegmentHeader) != (start == len(FIRST_LINE)):
-                    raise InvalidRecord("a head is the first record of a segment, and nothing else is")
+                    raise Unfit("a head is the first record of a segment, and nothing else is")
                 if isinstance(value, SegmentHeader):
                     self._check(value, number, before)
                 self._take(value)
-            except InvalidRecord as unfit:
+            except Unfit as unfit:
                 raise Damaged(str(unfit), start) from None
             self.crc = crc
             yield end, value
@@ -215,15 +215,15 @@
     def _check(self, head: SegmentHeader, number: int, before: int) -> None:
         """That a segment is this member's, of that number, and follows on the one before."""
         if head.identity.cluster != self.identity.cluster:
-            raise InvalidRecord(f"of another cluster, {head.identity.cluster!r}")
+            raise Unfit(f"of another cluster, {head.identity.cluster!r}")
         if head.identity != self.identity:
-            raise InvalidRecord(f"of another member, {head.identity.member!r}")
+            raise Unfit(f"of another member, {head.identity.member!r}")
         if head.segment != number:
-            raise InvalidRecord(f"segment {head.segment} in the place of {number}")
+            raise Unfit(f"segment {head.segment} in the place of {number}")
         if not self.segment:  # the first that is left: all before it are taken at its word
             self.hard, self.named, self.next, self.floor = head.hard, head.named, head.next, head.next
         elif (head.before, head.next, head.hard, head.named) != (before, self.next, self.hard, self.named):
-            raise InvalidRecord("it does not follow on the segment before")
+            raise Unfit("it does not follow on the segment before")
 
     # ---- the rules ----
 
@@ -231,24 +231,22 @@
         match value:
             case Entry():
                 if value.index != self.next:
-                    raise InvalidRecord(f"entry {value.index} where {self.next} is next")
+                    raise Unfit(f"entry {value.index} where {self.next} is next")
                 self.next += 1
                 self.tops[self.segment] = self.next
             case HardState():
                 changed = value.term == self.hard.term and self.hard.vote not in ("", value.vote)
                 if value.term < self.hard.term or changed:
-                    raise InvalidRecord(f"term {value.term} with vote {value.vote!r} after {self.hard}")
+                    raise Unfit(f"term {value.term} with vote {value.vote!r} after {self.hard}")
                 self.hard = value
             case TruncateRecord():
                 if not self.snapshot_index < value.index <= self.next:
-                    raise InvalidRecord(
-                        f"cut at {value.index}, with a snapshot at {self.snapshot_index}, {self.next} is next"
-                    )
+                    raise Unfit(f"cut at {value.index}, with a snapshot at {self.snapshot_index}, {self.next} is next")
                 self._end(value.index)
             case SnapshotRecord():
                 index = value.named.index
                 if index < self.snapshot_index or (self.named and value.named.number <= self.named.number):
-                    raise InvalidRecord(f"a snapshot at {index} after {self.named}")
+                    raise Unfit(f"a snapshot at {index} after {self.named}")
                 self.named = value.named
                 if value.all_gone or index >= self.next:
                     self._end(index + 1)
