--- a/loftweir/emulator/replication_clients.py
+++ b/loftweir/emulator/replication_clients.py
@@ -53,7 +53,7 @@
             return
         seat = self.random.choice(lead)
         core = seat.core
-        if core is None or not core.settled:
+        if core is None or not core.can_change_members:
             return
         if not self.quiet_term and self.plan.quiet:
             self.quiet_term = core.term
--- a/loftweir/emulator/replication_faults.py
+++ b/loftweir/emulator/replication_faults.py
@@ -39,7 +39,7 @@
                 return
             seats = seats[-1:]
         seat = self.random.choice(seats)
-        lasts = self.random.randrange(3 * self.plan.timing.election)
+        lasts = self.random.randrange(3 * self.plan.timing.election_timeout)
         if getattr(self, f"_{kind}_trouble")(seat, lasts) is not False:
             self.faults[kind] += 1
 
@@ -57,7 +57,7 @@
 
     def _doom(self, seat: Seat, core: Core) -> None:
         if seat.core is core:
-            self._crash_trouble(seat, self.random.randrange(3 * self.plan.timing.election))
+            self._crash_trouble(seat, self.random.randrange(3 * self.plan.timing.election_timeout))
 
     def _crash_trouble(self, seat: Seat, lasts: int) -> None:
         self.crash(seat)
@@ -127,7 +127,7 @@
     def may_lose(self, seat: Seat) -> bool:
         """Whether the copies are made to outlive the loss of this disk: a majority of those in force is left."""
         leader = self.leader()
-        if leader is None or not leader.settled:
+        if leader is None or not leader.can_change_members:
             return False
         lost = {m.id for m in leader.members if m.votes and self.seats[m.name].id != m.id} | {seat.id}
         return len(lost) <= (len(leader.voters) - 1) // 2 and not (self.same_id and seat.disks > 1)
--- a/loftweir/emulator/replication_members.py
+++ b/loftweir/emulator/replication_members.py
@@ -93,7 +93,7 @@
         core, now = seat.core, seat.clock(self.at)
         assert core is not None
         led = core.term if core.role is Role.LEADER and core.voters != {core.me} else 0
-        stalled = now - seat.stepped_at >= self.plan.timing.election
+        stalled = now - seat.stepped_at >= self.plan.timing.election_timeout
         seat.stepped_at = now
         actions = core.step(now, event)
         self.steps += 1
--- a/loftweir/emulator/replication_plan.py
+++ b/loftweir/emulator/replication_plan.py
@@ -11,7 +11,15 @@
 
 MS = 1_000_000
 # Small, so that a short run meets snapshots in pieces, appends in parts and elections.
-TIMING = Timing(10 * MS, 50 * MS, log_entries=10, keep_behind=3, append_bytes=200, piece_bytes=16, under_way=40)
+TIMING = Timing(
+    10 * MS,
+    50 * MS,
+    snapshot_after_entries=10,
+    trailing_entries=3,
+    max_append_bytes=200,
+    snapshot_chunk_bytes=16,
+    max_pending_requests=40,
+)
 END = 8000 * MS  # from the end of all troubles until all must be well, at most
 
 CHANGES = ("wipe", "broken", "retire", "demote", "two")
@@ -51,7 +59,9 @@
         if kind == 2:  # members come and go
             return cls(seats + 1, 1200 * MS, 0.02, troubles=CHANGES + ("crash", "cut"), each=40 * MS, sync=3 * MS)
         if kind == 3:  # no leader lasts, and each append has one entry
-            timing = msgspec.structs.replace(TIMING, beat=4 * MS, election=12 * MS, append_bytes=1)
+            timing = msgspec.structs.replace(
+                TIMING, heartbeat_interval=4 * MS, election_timeout=12 * MS, max_append_bytes=1
+            )
             return cls(random.choice((3, 3, 5)), 1000 * MS, writes=4 * MS, doomed=0.9, late=0.1, timing=timing)
         loss, duplicate, late = (random.choice((0, 0.01, 0.1, 0.25)) for _ in range(3))
         troubles = tuple(t for t in ALL if random.random() < 0.6) or ALL
--- a/loftweir/emulator/replication_transport.py
+++ b/loftweir/emulator/replication_transport.py
@@ -49,7 +49,7 @@
         disk.syncing = disk.asked[-1].batch
         takes = self.random.randrange(self.plan.sync)
         if self.troubled and self.random.random() < self.plan.slow_sync:
-            takes = self.random.randrange(self.plan.timing.election)
+            takes = self.random.randrange(self.plan.timing.election_timeout)
             self.faults["slow sync"] += 1
         self.later(takes, self._synced, seat, seat.core, disk.syncing)
 
@@ -116,7 +116,7 @@
             takes = 100_000 + self.random.randrange(MS)
             if self.troubled and self.random.random() < self.plan.late:
                 self.faults["late"] += 1
-                takes = self.random.randrange(self.plan.timing.election)
+                takes = self.random.randrange(self.plan.timing.election_timeout)
             self.later(takes, self._arrive, source, target, m)
         if len(self.old) < 200 and not self.plan.quiet:
             self.old.append(m)
--- a/loftweir/emulator/walk.py
+++ b/loftweir/emulator/walk.py
@@ -50,37 +50,42 @@
 
     next_at = NEVER
 
-    def _ticked(self, event: Tick) -> None:
-        if self.role is not Role.LEADER and self._standing:
-            self._stand(False)
+    def _on_tick(self, event: Tick) -> None:
+        if self.role is not Role.LEADER and self._may_campaign:
+            self._start_election(False)
 
-    def _sticky(self) -> bool:
+    def _leader_is_alive(self) -> bool:
         return False
 
     def _check_quorum(self) -> None:
-        self._quorum_until = NEVER
+        self._quorum_deadline = NEVER
 
     def _next_round(self) -> int:
         self._round = 1
         return 1
 
-    def _appended(self, m: AppendEntriesResponse) -> None:
+    def _on_append_response(self, m: AppendEntriesResponse) -> None:
         if m.sender in self._peers:
-            self._peers[m.sender].reset = 0
-        super()._appended(m)
+            self._peers[m.sender].restart_round = 0
+        super()._on_append_response(m)
 
     def copied(self) -> Timeless:
         new = object.__new__(type(self))
         new.__dict__.update(self.__dict__)
-        new._log, new._configs, new._votes = self._log[:], self._configs[:], set(self._votes)
-        new._pending = deque(pending[:] for pending in self._pending)
-        new._owed, new._reads, new._out, new._new = deque(self._owed), deque(self._reads), [], []
+        new._log, new._configurations, new._votes = self._log[:], self._configurations[:], set(self._votes)
+        new._unsynced_batches = deque(pending[:] for pending in self._unsynced_batches)
+        new._pending_proposals, new._pending_reads, new._actions, new._new_entries = (
+            deque(self._pending_proposals),
+            deque(self._pending_reads),
+            [],
+            [],
+        )
         new._peers = {}
         for id, peer in self._peers.items():
             new._peers[id] = other = object.__new__(type(peer))
             other.__dict__.update(peer.__dict__)
-            other.flight = deque(peer.flight)
-        new._voting = [peer for peer in new._peers.values() if peer.votes]
+            other.in_flight = deque(peer.in_flight)
+        new._voting_peers = [peer for peer in new._peers.values() if peer.votes]
         return new
 
     def key(self) -> object:
@@ -88,9 +93,14 @@
         stable = self._stable_batch
         return (
             (self.me, self.term, self.vote, self.role, self.leader, self.commit, self.stable_index, tuple(self._log)),
-            (frozenset(self._votes), max(0, self._hard_batch - stable), self._batch - stable, tuple(self._owed)),
-            tuple((batch - stable, index) for batch, index in self._pending),
-            tuple((p.id, p.match, p.next, p.probing, p.leaving, tuple(p.flight)) for p in self._peers.values()),
+            (
+                frozenset(self._votes),
+                max(0, self._hard_state_batch - stable),
+                self._batch - stable,
+                tuple(self._pending_proposals),
+            ),
+            tuple((batch - stable, index) for batch, index in self._unsynced_batches),
+            tuple((p.id, p.match, p.next, p.probing, p.removed_at, tuple(p.in_flight)) for p in self._peers.values()),
         )
 
 
@@ -230,7 +240,7 @@
                     spent = state._replace(left=left._replace(changes=left.changes - 1))
                     for members in self._changes(core.members):
                         yield self._step(spent, at, MembershipChange(100 + left.changes, members))
-            elif left.stands and core._standing:
+            elif left.stands and core._may_campaign:
                 yield self._step(state._replace(left=left._replace(stands=left.stands - 1)), at, Tick())
             if place.asked:
                 yield self._step(state, at, None)
--- a/loftweir/replication/api.py
+++ b/loftweir/replication/api.py
@@ -289,12 +289,16 @@
 class Timing(StrictStruct, frozen=True):
     """What the core's waits are, ns."""
 
-    beat: int = 100_000_000  # of a leader, at least
-    election: int = 500_000_000  # without a leader, from this to twice as long, at random, until a member stands
+    heartbeat_interval: int = 100_000_000  # of a leader, at least
+    election_timeout: int = (
+        500_000_000  # without a leader, from this to twice as long, at random, until a member stands
+    )
     # A leader that has not heard from a majority for `election` is none: it answers nothing and steps down.
-    log_entries: int = 4096  # applied in the log, over which a snapshot is wanted
-    log_bytes: int = 16 * 1024 * 1024  # ... or so many bytes of them
-    keep_behind: int = 512  # entries left behind a snapshot, for members a little behind; half of `log_bytes` at most
-    append_bytes: int = 256 * 1024  # of entries in one message
-    piece_bytes: int = 64 * 1024  # of a snapshot in one
-    under_way: int = 4096  # writes and reads not answered yet
+    snapshot_after_entries: int = 4096  # applied in the log, over which a snapshot is wanted
+    snapshot_after_bytes: int = 16 * 1024 * 1024  # ... or so many bytes of them
+    trailing_entries: int = (
+        512  # entries left behind a snapshot, for members a little behind; half of `log_bytes` at most
+    )
+    max_append_bytes: int = 256 * 1024  # of entries in one message
+    snapshot_chunk_bytes: int = 64 * 1024  # of a snapshot in one
+    max_pending_requests: int = 4096  # writes and reads not answered yet
--- a/loftweir/replication/core.py
+++ b/loftweir/replication/core.py
@@ -18,9 +18,9 @@
 4. A leader counts itself only up to `stable_index`, and a member only by what it said was stable; it commits only by an
    entry of its own term (paper, 5.4.2). A candidate counts its own vote only once that is stable.
 5. Only a leader owes answers to tokens; who stops being one gives them all back at once (`Refused`).
-6. A leader that has no answer of a majority to what it sent in the last `Timing.election` is none (diss. 6.2). This is
+6. A leader that has no answer of a majority to what it sent in the last `Timing.election_timeout` is none (diss. 6.2). This is
    seen to before anything else in a step, so that one that was stalled answers nothing. The time of an answer is the
-   time when what it answers was sent, and members wait at least `Timing.election` from when they heard it: where the
+   time when what it answers was sent, and members wait at least `Timing.election_timeout` from when they heard it: where the
    clocks run equally fast, one leader has stepped down before the next one stands, unless it handed over.
 """
 
@@ -83,10 +83,10 @@
 
     def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
         super().__init__(me, kept, timing, random, now)
-        self._configured()
-        self._restart_wait()
+        self._membership_changed()
+        self._reset_election_timer()
         if kept.snapshot is not None:
-            self._out.append(RestoreSnapshot(kept.snapshot))
+            self._actions.append(RestoreSnapshot(kept.snapshot))
 
     def step(self, now: int, event: Event) -> list[Action]:
         """Times that go back are taken as the latest seen. Raises nothing on what others send."""
@@ -96,101 +96,101 @@
             if isinstance(event, (WriteRequest, ReadRequest, MembershipChange)):
                 return [RequestRejected(event.token, RejectionReason.NOT_LEADER)]
             return []
-        if self.role is Role.LEADER and self._now >= self._quorum_until:
+        if self.role is Role.LEADER and self._now >= self._quorum_deadline:
             self._check_quorum()
         getattr(self, _EVENT_HANDLERS[type(event)])(event)
         if self._now >= self.next_at:
             self._time_passed()
-        return self._flushed()
+        return self._collect_actions()
 
     @property
     def next_at(self) -> int:
         """When a `Tick` is due, ns; `NEVER` where none is."""
         if self.role is Role.LEADER:
-            return min(self._beat_at, self._quorum_until, self._hand_until) if self._peers else NEVER
-        if not self._standing or self.broken:
+            return min(self._heartbeat_at, self._quorum_deadline, self._transfer_deadline) if self._peers else NEVER
+        if not self._may_campaign or self.broken:
             return NEVER
-        return self._deadline if self.role is Role.FOLLOWER else min(self._deadline, self._again_at)
+        return self._deadline if self.role is Role.FOLLOWER else min(self._deadline, self._vote_retry_at)
 
     # ---- time and storage -----------------------------------------------------------------------
 
-    def _ticked(self, event: Tick) -> None:
+    def _on_tick(self, event: Tick) -> None:
         pass
 
     def _time_passed(self) -> None:
         if self.role is Role.LEADER:
-            if self._now >= self._hand_until:
-                self._hand_to, self._hand_until = "", NEVER
-            if self._now >= self._quorum_until:
+            if self._now >= self._transfer_deadline:
+                self._transfer_target, self._transfer_deadline = "", NEVER
+            if self._now >= self._quorum_deadline:
                 self._check_quorum()
-            elif self._now >= self._beat_at:
-                self._beat()
+            elif self._now >= self._heartbeat_at:
+                self._send_heartbeats()
         elif self._now >= self._deadline:
-            self._ask()
+            self._start_pre_vote()
         else:
-            self._ask_votes()
+            self._request_votes()
 
-    def _stable(self, event: BatchSynced) -> None:
-        while self._pending and self._pending[0][0] <= event.batch:
-            self._stable_batch, self.stable_index = self._pending.popleft()
+    def _on_batch_synced(self, event: BatchSynced) -> None:
+        while self._unsynced_batches and self._unsynced_batches[0][0] <= event.batch:
+            self._stable_batch, self.stable_index = self._unsynced_batches.popleft()
         if self.role is Role.CANDIDATE:
             self._count_votes()
         elif self.role is Role.LEADER:
-            self._count()
+            self._advance_commit()
 
-    def _ended(self, event: StorageBroken) -> None:
+    def _on_storage_broken(self, event: StorageBroken) -> None:
         self.broken = event.why or "broken"
-        self._give_back(RejectionReason.LOST)
-        self._peers, self._voting = {}, []
+        self._reject_pending(RejectionReason.LOST)
+        self._peers, self._voting_peers = {}, []
         self.role, self.leader, self._incoming = Role.OUT, "", None
-        self._out = [action for action in self._out if not isinstance(action, SendMessage)]
+        self._actions = [action for action in self._actions if not isinstance(action, SendMessage)]
 
     # ---- messages -------------------------------------------------------------------------------
 
-    def _heard(self, event: MessageReceived) -> None:
+    def _on_message(self, event: MessageReceived) -> None:
         m = event.message
         if m.to == self.me:
             getattr(self, _MESSAGE_HANDLERS[type(m)])(m)
 
     # ---- what the host asks ---------------------------------------------------------------------
 
-    def _write(self, event: WriteRequest) -> None:
-        if not self._may_take(event.token):
+    def _on_write(self, event: WriteRequest) -> None:
+        if not self._can_accept(event.token):
             return
-        if self._hand_to:
-            self._out.append(RequestRejected(event.token, RejectionReason.BUSY))
+        if self._transfer_target:
+            self._actions.append(RequestRejected(event.token, RejectionReason.BUSY))
             return
-        self._owed.append((self.last_index + 1, event.token))
+        self._pending_proposals.append((self.last_index + 1, event.token))
         self._propose(EntryKind.WRITE, event.data)
 
-    def _change(self, event: MembershipChange) -> None:
-        if not self._may_take(event.token):
+    def _on_membership_change(self, event: MembershipChange) -> None:
+        if not self._can_accept(event.token):
             return
-        refused = self._unfit(event.members)
+        refused = self._membership_rejection(event.members)
         if refused is not None:
-            self._out.append(RequestRejected(event.token, refused))
+            self._actions.append(RequestRejected(event.token, refused))
             return
-        self._owed.append((self.last_index + 1, event.token))
+        self._pending_proposals.append((self.last_index + 1, event.token))
         self._propose(EntryKind.MEMBERS, msgspec.msgpack.encode(event.members))
 
 
 _EVENT_HANDLERS = {
-    Tick: "_ticked",
-    MessageReceived: "_heard",
-    BatchSynced: "_stable",
-    StorageBroken: "_ended",
-    WriteRequest: "_write",
-    ReadRequest: "_read",
-    MembershipChange: "_change",
-    CompactLog: "_compact",
-    TransferLeadership: "_hand_over",
+    Tick: "_on_tick",
+    MessageReceived: "_on_message",
+    BatchSynced: "_on_batch_synced",
+    StorageBroken: "_on_storage_broken",
+    WriteRequest: "_on_write",
+    ReadRequest: "_on_read",
+    MembershipChange: "_on_membership_change",
+    CompactLog: "_on_compact_log",
+    TransferLeadership: "_on_transfer_leadership",
 }
 _MESSAGE_HANDLERS = {
-    RequestVote: "_ask_vote",
-    RequestVoteResponse: "_vote",
-    AppendEntries: "_append_heard",
-    AppendEntriesResponse: "_appended",
-    InstallSnapshot: "_piece_heard",
-    InstallSnapshotResponse: "_taken",
-    TimeoutNow: "_lead_now",
+    RequestVote: "_on_request_vote",
+    RequestVoteResponse: "_on_vote_response",
+    AppendEntries: "_on_append_entries",
+    AppendEntriesResponse: "_on_append_response",
+    InstallSnapshot: "_on_install_snapshot",
+    InstallSnapshotResponse: "_on_snapshot_response",
+    TimeoutNow: "_on_timeout_now",
 }
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -87,7 +87,7 @@
         self.me = self.disk.member
         self.applied = applied
         self.ended = ended
-        self.timing = Timing(beat=options.beat, election=options.election)
+        self.timing = Timing(heartbeat_interval=options.beat, election_timeout=options.election)
         self.random = Random(f"{self.me} {loop.now()}")
         self.core = Core(self.me, kept, self.timing, self.random, loop.now())
         self.machine = Machine()
@@ -139,7 +139,7 @@
             self.end(MemberBroken(repr(error), where(error)))
         self.steps = False
         self.results.clear()
-        self.known_at = max(self.known_at, self.core.quorum_heard_at)  # of one that led the core forgets it
+        self.known_at = max(self.known_at, self.core.quorum_confirmed_at)  # of one that led the core forgets it
         if self.machine.index != self.told_index and not self.over:
             self.told_index = self.machine.index
             self.applied()
@@ -359,17 +359,17 @@
         """Since it last knew a leader with a majority, ns; None: never in the life of this process."""
         if self.core.role is Role.LEADER and self.core.voters == {self.me}:
             return 0  # alone it is the majority, and nothing makes the core's time go on
-        known_at = max(self.known_at, self.core.quorum_heard_at)
+        known_at = max(self.known_at, self.core.quorum_confirmed_at)
         return max(0, self.loop.now() - known_at) if known_at else None
 
     def lately(self, id: str) -> bool:
         """Whether a member was heard from in the last election timeout, or may have been before this one led."""
         now, election = self.loop.now(), self.options.election
-        return id == self.me or max(self.core.heard_from(id), self.led[1] + election) > now - election
+        return id == self.me or max(self.core.last_response_at(id), self.led[1] + election) > now - election
 
     def near(self, id: str) -> bool:
         """Whether a leader heard from a member in the last election timeout."""
-        return id == self.me or self.core.heard_from(id) > self.loop.now() - self.options.election
+        return id == self.me or self.core.last_response_at(id) > self.loop.now() - self.options.election
 
     def behind(self, id: str) -> int:
         """How many committed entries a member is not known to have."""
@@ -380,7 +380,7 @@
         agrees = sorted(names) == sorted(self.seats)
         empty = agrees and not (self.begun or self.lost or self.over)
         return StatusResponse(
-            empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.settled
+            empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.can_change_members
         )
 
     def news(self, after: int, leads: bool = False) -> FollowResponse:
--- a/loftweir/replication/raft/invariants.py
+++ b/loftweir/replication/raft/invariants.py
@@ -13,12 +13,14 @@
         """AssertionError where an invariant doesn't hold."""
         self._check_log()
         self._check_members()
-        assert not any((self._hard_changed, self._cut, self._new, self._taken_in, self._out)), "a step left something"
+        assert not any(
+            (self._hard_state_changed, self._truncated_from, self._new_entries, self._new_snapshot, self._actions)
+        ), "a step left something"
         if self.role is Role.LEADER:
             self._check_leader()
         else:
-            assert not self._owed and not self._reads and not self._peers
-            assert (self.role is Role.OUT) == (not (self.me in self._ids or self._standing) or bool(self.broken))
+            assert not self._pending_proposals and not self._pending_reads and not self._peers
+            assert (self.role is Role.OUT) == (not (self.me in self._ids or self._may_campaign) or bool(self.broken))
 
     def _check_log(self) -> None:
         assert self._base <= self.applied == self.commit <= self.last_index == self._base + len(self._log)
@@ -31,22 +33,22 @@
     def _check_members(self) -> None:
         since = self._snapshot_index()
         said = [(e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS and e.index > since]
-        assert [c for c in self._configs if c[0] > since] == said and self._configs[0][0] <= since
-        assert self.members == self._configs[-1][1]
-        assert [i for i, _ in self._configs] == sorted({i for i, _ in self._configs})
+        assert [c for c in self._configurations if c[0] > since] == said and self._configurations[0][0] <= since
+        assert self.members == self._configurations[-1][1]
+        assert [i for i, _ in self._configurations] == sorted({i for i, _ in self._configurations})
 
     def _check_leader(self) -> None:
         assert self.leader == self.me and self.term_at(self.last_index) == self.term
-        own = max(self.commit, self._own_from)  # what is before it may be committed, unknown to this leader
-        assert sum(i > own for i, _ in self._configs) <= 1, "two changes of members under way"
-        assert self._now < self._quorum_until
-        assert self.me in self.voters or self._configs[-1][0] > self.commit, "a leader that was removed"
-        assert self._configs[-1][0] <= own or self.commit >= self._own_from, "a change came too early"
-        assert all(self.commit < i <= self.last_index for i, _ in self._owed)
-        assert {p.id for p in self._peers.values() if not p.leaving} == self._ids - {self.me}
+        own = max(self.commit, self._term_start_index)  # what is before it may be committed, unknown to this leader
+        assert sum(i > own for i, _ in self._configurations) <= 1, "two changes of members under way"
+        assert self._now < self._quorum_deadline
+        assert self.me in self.voters or self._configurations[-1][0] > self.commit, "a leader that was removed"
+        assert self._configurations[-1][0] <= own or self.commit >= self._term_start_index, "a change came too early"
+        assert all(self.commit < i <= self.last_index for i, _ in self._pending_proposals)
+        assert {p.id for p in self._peers.values() if not p.removed_at} == self._ids - {self.me}
         for peer in self._peers.values():
             assert peer.match < peer.next <= self.last_index + 1 and peer.round <= self._round
-            assert peer.bytes == sum(size for _, size in peer.flight)
+            assert peer.bytes_in_flight == sum(size for _, size in peer.in_flight)
 
     def _snapshot_index(self) -> int:
         return self.snapshot.index if self.snapshot else 0
--- a/loftweir/replication/raft/leadership_transfer.py
+++ b/loftweir/replication/raft/leadership_transfer.py
@@ -10,22 +10,22 @@
 class LeadershipTransfer(LogReplication):
     """Handing the leadership over to another member."""
 
-    def _hand_over(self, event: TransferLeadership) -> None:
-        """Take no more writes until another, which has all, leads; or for `Timing.election` at most (diss. 3.10)."""
-        best = self._best()
-        if best is not None and not self._hand_to:
-            self._hand_to, self._hand_until = best.id, self._now + self.timing.election
-            self._hand()
-
-    def _best(self) -> Peer | None:
+    def _on_transfer_leadership(self, event: TransferLeadership) -> None:
+        """Take no more writes until another, which has all, leads; or for `Timing.election_timeout` at most (diss. 3.10)."""
+        best = self._best_successor()
+        if best is not None and not self._transfer_target:
+            self._transfer_target, self._transfer_deadline = best.id, self._now + self.timing.election_timeout
+            self._continue_transfer()
+
+    def _best_successor(self) -> Peer | None:
         """The voter that is nearest to having all."""
-        return max((p for p in self._voting if self._alive(p)), key=lambda p: (p.match, p.id), default=None)
+        return max((p for p in self._voting_peers if self._is_alive(p)), key=lambda p: (p.match, p.id), default=None)
 
-    def _hand(self) -> None:
-        peer = self._peers.get(self._hand_to)
+    def _continue_transfer(self) -> None:
+        peer = self._peers.get(self._transfer_target)
         if peer is not None and peer.match == self.commit == self.last_index:
-            self._to_another(peer)
+            self._send_timeout_now(peer)
 
-    def _to_another(self, peer: Peer | None) -> None:
+    def _send_timeout_now(self, peer: Peer | None) -> None:
         if peer is not None:
-            self._say(TimeoutNow(sender=self.me, to=peer.id, term=self.term))
+            self._send(TimeoutNow(sender=self.me, to=peer.id, term=self.term))
--- a/loftweir/replication/raft/log_replication.py
+++ b/loftweir/replication/raft/log_replication.py
@@ -17,15 +17,15 @@
 
     def _propose(self, kind: EntryKind, data: bytes) -> int:
         entry = Entry(self.last_index + 1, self.term, kind, data)
-        self._grow(entry)
+        self._append_to_log(entry)
         for peer in self._peers.values():
-            self._feed(peer)
+            self._replicate_to(peer)
         return entry.index
 
-    def _append(self, peer: Peer, prev: int, entries: tuple[Entry, ...]) -> None:
-        if peer.leaving and not peer.leaving_told and prev >= peer.leaving and self.commit >= peer.leaving:
-            peer.leaving_told = self._round + 1
-        self._say(
+    def _send_append(self, peer: Peer, prev: int, entries: tuple[Entry, ...]) -> None:
+        if peer.removed_at and not peer.removal_round and prev >= peer.removed_at and self.commit >= peer.removed_at:
+            peer.removal_round = self._round + 1
+        self._send(
             AppendEntries(
                 sender=self.me,
                 to=peer.id,
@@ -38,13 +38,13 @@
             )
         )
 
-    def _feed(self, peer: Peer) -> None:
+    def _replicate_to(self, peer: Peer) -> None:
         """What it lacks, as far as there is room under way."""
-        if peer.sending is not None:
+        if peer.snapshot is not None:
             return
-        window = WINDOW_MESSAGES * self.timing.append_bytes
+        window = WINDOW_MESSAGES * self.timing.max_append_bytes
         while peer.next <= self.last_index:
-            if len(peer.flight) >= (1 if peer.probing else MAX_APPENDS_IN_FLIGHT) or peer.bytes >= window:
+            if len(peer.in_flight) >= (1 if peer.probing else MAX_APPENDS_IN_FLIGHT) or peer.bytes_in_flight >= window:
                 return
             if peer.next <= self._base:
                 self._send_snapshot(peer)
@@ -53,37 +53,45 @@
 
     def _send_entries(self, peer: Peer) -> None:
         """Sends the next entries, as many as one append may hold and one at least."""
-        full = self.timing.append_bytes
+        full = self.timing.max_append_bytes
         first = last = peer.next - self._base - 1
         size = 0
         while last < len(self._log) and (size == 0 or size + len(self._log[last].data) < full):
             size += len(self._log[last].data) + ENTRY_OVERHEAD
             last += 1
         prev, peer.next = peer.next - 1, self._base + last + 1
-        peer.flight.append((peer.next - 1, size))
-        peer.bytes += size
-        self._append(peer, prev, tuple(self._log[first:last]))
+        peer.in_flight.append((peer.next - 1, size))
+        peer.bytes_in_flight += size
+        self._send_append(peer, prev, tuple(self._log[first:last]))
 
-    def _to_all(self) -> None:
+    def _heartbeat_all(self) -> None:
         """A sign of life to all. It names the last entry sent, so that one that was lost on the way is found out."""
-        self._all_round = self._round + 1
+        self._heartbeat_round = self._round + 1
         for peer in self._peers.values():
-            prev = peer.next - 1 if peer.sending is None and peer.next > self._base else 0
-            self._append(peer, prev, ())
+            prev = peer.next - 1 if peer.snapshot is None and peer.next > self._base else 0
+            self._send_append(peer, prev, ())
 
     def _send_snapshot(self, peer: Peer) -> None:
         assert self.snapshot is not None, "entries are let go only behind a snapshot"
-        peer.started_anew(peer.next, self._round)
-        peer.sending, peer.sent, peer.taken, peer.moved = self.snapshot, 0, 0, True
-        self._piece(peer, self.snapshot)
+        peer.restart(peer.next, self._round)
+        peer.snapshot, peer.snapshot_sent, peer.snapshot_acknowledged, peer.snapshot_progressed = (
+            self.snapshot,
+            0,
+            0,
+            True,
+        )
+        self._send_chunk(peer, self.snapshot)
 
-    def _pieces(self, peer: Peer, snapshot: Snapshot) -> None:
-        while peer.sent < len(snapshot.data) and peer.sent - peer.taken < WINDOW_MESSAGES * self.timing.piece_bytes:
-            self._piece(peer, snapshot)
+    def _send_chunks(self, peer: Peer, snapshot: Snapshot) -> None:
+        while (
+            peer.snapshot_sent < len(snapshot.data)
+            and peer.snapshot_sent - peer.snapshot_acknowledged < WINDOW_MESSAGES * self.timing.snapshot_chunk_bytes
+        ):
+            self._send_chunk(peer, snapshot)
 
-    def _piece(self, peer: Peer, snapshot: Snapshot) -> None:
-        data = snapshot.data[peer.sent : peer.sent + self.timing.piece_bytes]
-        self._say(
+    def _send_chunk(self, peer: Peer, snapshot: Snapshot) -> None:
+        data = snapshot.data[peer.snapshot_sent : peer.snapshot_sent + self.timing.snapshot_chunk_bytes]
+        self._send(
             InstallSnapshot(
                 sender=self.me,
                 to=peer.id,
@@ -91,10 +99,10 @@
                 index=snapshot.index,
                 index_term=snapshot.term,
                 members=snapshot.members,
-                at=peer.sent,
+                at=peer.snapshot_sent,
                 data=data,
                 size=len(snapshot.data),
                 round=self._next_round(),
             )
         )
-        peer.sent += len(data)
+        peer.snapshot_sent += len(data)
--- a/loftweir/replication/raft/quorum.py
+++ b/loftweir/replication/raft/quorum.py
@@ -11,28 +11,28 @@
     """Rounds of messages, and the latest that a majority has answered."""
 
     @property
-    def quorum_heard_at(self) -> int:
+    def quorum_confirmed_at(self) -> int:
         """Of a leader: the latest time at which it sent something that a majority has answered since (or when it began
         to lead, or its voters changed). Of others: when they last heard from the leader; 0: from none yet. ns."""
         if self.role is not Role.LEADER:
-            return self._leader_heard
-        return max(self._quorum_from, min(self._quorum_round(), self._now))
+            return self._leader_heard_at
+        return max(self._quorum_since, min(self._latest_quorum_round(), self._now))
 
     def _next_round(self) -> int:
         self._round = max(self._round + 1, self._now)
         return self._round
 
-    def _quorum_round(self) -> int:
+    def _latest_quorum_round(self) -> int:
         """The latest round that a majority has answered, this leader with it."""
         needed = self._others_needed()
         if needed <= 0:
             return NEVER
-        rounds = sorted(peer.round for peer in self._voting)
+        rounds = sorted(peer.round for peer in self._voting_peers)
         return rounds[-needed] if needed <= len(rounds) else 0
 
     def _check_quorum(self) -> None:
-        heard = self.quorum_heard_at
-        if self._now - heard >= self.timing.election:
-            self._down()
+        heard = self.quorum_confirmed_at
+        if self._now - heard >= self.timing.election_timeout:
+            self._step_down()
         else:
-            self._quorum_until = heard + self.timing.election if self._others_needed() else NEVER
+            self._quorum_deadline = heard + self.timing.election_timeout if self._others_needed() else NEVER
--- a/loftweir/replication/raft/reads.py
+++ b/loftweir/replication/raft/reads.py
@@ -9,19 +9,19 @@
 class Reads(LogReplication):
     """Reads that wait for a majority to confirm this leader."""
 
-    def _read(self, event: ReadRequest) -> None:
+    def _on_read(self, event: ReadRequest) -> None:
         """Answered once a majority has answered something sent after this, and the log is committed up to where it was
         then, an entry of this term with it (diss. 6.4)."""
-        if not self._may_take(event.token):
+        if not self._can_accept(event.token):
             return
-        self._reads.append((self._round + 1, max(self.commit, self._own_from), event.token))
-        self._confirm()
+        self._pending_reads.append((self._round + 1, max(self.commit, self._term_start_index), event.token))
+        self._complete_reads()
 
-    def _confirm(self) -> None:
-        reads, answered = self._reads, self._quorum_round()
+    def _complete_reads(self) -> None:
+        reads, answered = self._pending_reads, self._latest_quorum_round()
         while reads and reads[0][0] <= answered and reads[0][1] <= self.commit:
             _, index, token = reads.popleft()
-            self._out.append(RequestCompleted(token, index))
+            self._actions.append(RequestCompleted(token, index))
         # One round to all at a time: those that come meanwhile wait for the next.
-        if reads and self._all_round < reads[0][0]:
-            self._to_all()
+        if reads and self._heartbeat_round < reads[0][0]:
+            self._heartbeat_all()
--- a/loftweir/replication/raft/storage.py
+++ b/loftweir/replication/raft/storage.py
@@ -9,45 +9,57 @@
 class Storage(RaftState):
     """What is asked of the disk. Nothing is said before what it rests on is stable."""
 
-    def _flushed(self) -> list[Action]:
+    def _collect_actions(self) -> list[Action]:
         """What the step did: first what is to be kept, since all that is said rests on it."""
-        out, self._out = self._out, []
-        if self._hard_changed or self._new or self._cut is not None or self._taken_in is not None:
+        out, self._actions = self._actions, []
+        if (
+            self._hard_state_changed
+            or self._new_entries
+            or self._truncated_from is not None
+            or self._new_snapshot is not None
+        ):
             self._batch += 1
-            hard = HardState(self.term, self.vote) if self._hard_changed else None
-            keep = PersistBatch(self._batch, hard, self._cut, tuple(self._new), self._taken_in, self._all_gone)
+            hard = HardState(self.term, self.vote) if self._hard_state_changed else None
+            keep = PersistBatch(
+                self._batch,
+                hard,
+                self._truncated_from,
+                tuple(self._new_entries),
+                self._new_snapshot,
+                self._log_discarded,
+            )
             out.insert(0, keep)
-            self._pending.append([self._batch, self.last_index])
-            self._hard_changed = self._all_gone = False
-            self._cut = self._taken_in = None
-            self._new = []
+            self._unsynced_batches.append([self._batch, self.last_index])
+            self._hard_state_changed = self._log_discarded = False
+            self._truncated_from = self._new_snapshot = None
+            self._new_entries = []
         stood = (self.role, self.term, self.leader, self.members)
-        if stood != self._stood:
-            self._stood = stood
+        if stood != self._reported_status:
+            self._reported_status = stood
             out.append(StatusChanged(*stood))
         return out
 
-    def _hard(self, term: int, vote: str) -> None:
+    def _set_hard_state(self, term: int, vote: str) -> None:
         self.term, self.vote = term, vote
-        self._hard_changed = True
-        self._hard_batch = self._batch + 1
+        self._hard_state_changed = True
+        self._hard_state_batch = self._batch + 1
 
-    def _say(self, message: AnyMessage, after: int = 0) -> None:
+    def _send(self, message: AnyMessage, after: int = 0) -> None:
         """What is said in a term leaves once that is stable."""
-        after = max(after, self._hard_batch)
-        self._out.append(SendMessage(message, after if after > self._stable_batch else 0))
+        after = max(after, self._hard_state_batch)
+        self._actions.append(SendMessage(message, after if after > self._stable_batch else 0))
 
-    def _gone_from(self, index: int) -> None:
+    def _lower_stable_index(self, index: int) -> None:
         """What was asked to be kept from here on is not this member's log any more."""
         self.stable_index = min(self.stable_index, index - 1)
-        for pending in self._pending:
+        for pending in self._unsynced_batches:
             pending[1] = min(pending[1], index - 1)
 
-    def _covers(self, index: int) -> int:
+    def _batch_covering(self, index: int) -> int:
         """A batch with which the log is stable up to there; 0: it is."""
         if index <= self.stable_index:
             return 0
-        return self._batch + bool(self._new or self._taken_in)
+        return self._batch + bool(self._new_entries or self._new_snapshot)
 
-    def _own_vote_stable(self) -> bool:
-        return self._hard_batch <= self._stable_batch
+    def _own_vote_synced(self) -> bool:
+        return self._hard_state_batch <= self._stable_batch
--- a/loftweir/replication/raft/terms.py
+++ b/loftweir/replication/raft/terms.py
@@ -10,44 +10,44 @@
 class Terms(Membership):
     """Under whose leadership this member is, and what it owes where that ends."""
 
-    def _follow(self, term: int, leader: str) -> None:
+    def _become_follower(self, term: int, leader: str) -> None:
         """Under this term, which is not below the member's own; the leader may not be known."""
         if term > self.term:
-            self._hard(term, "")
+            self._set_hard_state(term, "")
         if self.role is Role.LEADER:
-            self._down()
+            self._step_down()
         elif self.role is not Role.OUT:
             self.role = Role.FOLLOWER
         self.leader = leader
         self._incoming = None
 
-    def _down(self) -> None:
+    def _step_down(self) -> None:
         """Lead no more: what was not answered is not known to come true here."""
-        self._give_back(RejectionReason.NOT_LEADER)
-        self._peers, self._voting = {}, []
-        self._hand_to, self._hand_until = "", NEVER
+        self._reject_pending(RejectionReason.NOT_LEADER)
+        self._peers, self._voting_peers = {}, []
+        self._transfer_target, self._transfer_deadline = "", NEVER
         self.role = Role.FOLLOWER
-        self._placed()
+        self._update_membership_role()
         self.leader = ""
-        self._restart_wait()
+        self._reset_election_timer()
 
-    def _sticky(self) -> bool:
+    def _leader_is_alive(self) -> bool:
         """A leader is well: nobody may stand against it (diss. 4.2.3)."""
         if self.role is Role.LEADER:
             return True
-        return self.leader != "" and self._now - self._leader_heard < self.timing.election
+        return self.leader != "" and self._now - self._leader_heard_at < self.timing.election_timeout
 
-    def _may_take(self, token: int) -> bool:
+    def _can_accept(self, token: int) -> bool:
         if self.role is not Role.LEADER:
-            self._out.append(RequestRejected(token, RejectionReason.NOT_LEADER))
+            self._actions.append(RequestRejected(token, RejectionReason.NOT_LEADER))
             return False
-        if len(self._owed) + len(self._reads) >= self.timing.under_way:
-            self._out.append(RequestRejected(token, RejectionReason.BUSY))
+        if len(self._pending_proposals) + len(self._pending_reads) >= self.timing.max_pending_requests:
+            self._actions.append(RequestRejected(token, RejectionReason.BUSY))
             return False
         return True
 
-    def _give_back(self, reads: RejectionReason) -> None:
-        self._out += [RequestRejected(token, RejectionReason.LOST) for _, token in self._owed]
-        self._out += [RequestRejected(token, reads) for *_, token in self._reads]
-        self._owed.clear()
-        self._reads.clear()
+    def _reject_pending(self, reads: RejectionReason) -> None:
+        self._actions += [RequestRejected(token, RejectionReason.LOST) for _, token in self._pending_proposals]
+        self._actions += [RequestRejected(token, reads) for *_, token in self._pending_reads]
+        self._pending_proposals.clear()
+        self._pending_reads.clear()
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -22,7 +22,7 @@
 def led(make=Core, seats=3, **plan):
     """A world in which one leads and nothing is wrong, and the seats: the leader's first."""
     world = World(1, Plan(seats, **plan), make)
-    until(world, lambda: (leader := world.leader()) and leader.settled and world.well())
+    until(world, lambda: (leader := world.leader()) and leader.can_change_members and world.well())
     first = at(world, world.leader().me)
     return world, [first, *(seat for seat in world.seats.values() if seat is not first)]
 
@@ -54,7 +54,7 @@
 
 def figure_eight(make=Core):
     """Paper, figure 8: an entry of an old term lies on a majority, and another leader may still overwrite it."""
-    world, (a, b, c) = led(make, timing=Timing(10 * MS, 50 * MS, append_bytes=1))
+    world, (a, b, c) = led(make, timing=Timing(10 * MS, 50 * MS, max_append_bytes=1))
     for other in (b, c):
         cut(world, a, other)
     world.write(a)
@@ -73,7 +73,7 @@
     world.crash(a)
     cut(world, p, q, -1)
     world.start(p)
-    until(world, lambda: p.core.role is Role.LEADER and p.core.settled)
+    until(world, lambda: p.core.role is Role.LEADER and p.core.can_change_members)
     assert q.core.entries(old, old)[0].kind is EntryKind.NOOP
 
 
@@ -150,9 +150,11 @@
         written(world, a)
         most = max(most, a.core.last_index - a.core.first_index, b.core.last_index - b.core.first_index)
     pieces = [m for m in said if isinstance(m, api.InstallSnapshot)]
-    assert len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= world.plan.timing.piece_bytes
+    assert (
+        len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= world.plan.timing.snapshot_chunk_bytes
+    )
     assert len({m.index for m in pieces}) == 1, "one snapshot was enough, and the log went on from there"
-    assert b.core.applied >= a.core.last_index - 5 and most < 5 * world.plan.timing.log_entries
+    assert b.core.applied >= a.core.last_index - 5 and most < 5 * world.plan.timing.snapshot_after_entries
     until(world, world.well)
 
 
@@ -242,7 +244,7 @@
     world.event(a, a.core, api.TransferLeadership())
     cut(world, a, b, -1)
     cut(world, a, c, -1)
-    a.core._hand_to = "nobody"
+    a.core._transfer_target = "nobody"
     world.play(world.at + 100 * MS)
     assert type(written(world, a)[0]) is api.RequestCompleted
 
@@ -292,7 +294,7 @@
 
 
 def test_a_member_far_behind_gets_10_000_entries_quickly():
-    timing = Timing(10 * MS, 50 * MS, log_entries=1 << 30)
+    timing = Timing(10 * MS, 50 * MS, snapshot_after_entries=1 << 30)
     world, (a, b, _) = led(timing=timing, check=1 << 30)
     world.crash(b)
     for _ in range(10):
@@ -311,9 +313,9 @@
     world.play(world.at + 200 * MS)
     now = a.clock(world.at)
     assert a.core.match(b.id) == a.core.last_index == a.core.match(a.id) and a.core.match("nobody") == 0
-    assert now - a.core.heard_from(b.id) < 20 * MS < 150 * MS < now - a.core.heard_from(c.id)
-    assert 0 <= now - a.core.quorum_heard_at < 20 * MS and now <= a.core.next_at <= now + 10 * MS
-    assert 0 <= b.clock(world.at) - b.core.quorum_heard_at < 20 * MS
+    assert now - a.core.last_response_at(b.id) < 20 * MS < 150 * MS < now - a.core.last_response_at(c.id)
+    assert 0 <= now - a.core.quorum_confirmed_at < 20 * MS and now <= a.core.next_at <= now + 10 * MS
+    assert 0 <= b.clock(world.at) - b.core.quorum_confirmed_at < 20 * MS
 
 
 def test_a_step_costs_little():
@@ -367,7 +369,9 @@
 
 def kept(change):
     return {
-        "_flushed": lambda b: lambda s: [change(a) if isinstance(a, api.PersistBatch) else a for a in b._flushed(s)]
+        "_collect_actions": lambda b: (
+            lambda s: [change(a) if isinstance(a, api.PersistBatch) else a for a in b._collect_actions(s)]
+        )
     }
 
 
@@ -382,8 +386,8 @@
 
 def counts_any(base):
     def count(self):
-        best = max([self.stable_index, *(p.match for p in self._voting)])
-        if best > self.commit and self._own_term(best):
+        best = max([self.stable_index, *(p.match for p in self._voting_peers)])
+        if best > self.commit and self._is_of_current_term(best):
             self._commit_to(best)
 
     return count
@@ -391,34 +395,34 @@
 
 def confirms_at_once(base):
     def confirm(self):
-        while self._reads and self._reads[0][1] <= self.commit:
-            _, index, token = self._reads.popleft()
-            self._out.append(api.RequestCompleted(token, index))
+        while self._pending_reads and self._pending_reads[0][1] <= self.commit:
+            _, index, token = self._pending_reads.popleft()
+            self._actions.append(api.RequestCompleted(token, index))
 
     return confirm
 
 
 def reads_before_own(base):
     def read(self, event):
-        own, self._own_from = self._own_from, 0
-        base._read(self, event)
-        self._own_from = own
+        own, self._term_start_index = self._term_start_index, 0
+        base._on_read(self, event)
+        self._term_start_index = own
 
     return read
 
 
 def lies_of_the_lost(base):
     def give_back(self, reads):
-        self._out += [RequestRejected(token, RejectionReason.NOT_LEADER) for _, token in self._owed]
-        self._owed.clear()
-        base._give_back(self, reads)
+        self._actions += [RequestRejected(token, RejectionReason.NOT_LEADER) for _, token in self._pending_proposals]
+        self._pending_proposals.clear()
+        base._reject_pending(self, reads)
 
     return give_back
 
 
 def commits_what_it_has(base):
     def heard(self, m):
-        base._append_heard(self, m)
+        base._on_append_entries(self, m)
         if m.term == self.term and self.commit < min(m.commit, self.last_index):
             self._commit_to(min(m.commit, self.last_index))
 
@@ -429,7 +433,7 @@
     def ask_vote(self, m):
         if not m.pre and m.term == self.term:
             self.vote = ""
-        base._ask_vote(self, m)
+        base._on_request_vote(self, m)
 
     return ask_vote
 
@@ -438,29 +442,29 @@
     def heard(self, m):
         if self._incoming is not None:
             self._incoming.key = (m.sender, m.term, m.index, m.size)
-        base._piece_heard(self, m)
+        base._on_install_snapshot(self, m)
 
     def follow(self, term, leader):
         incoming = self._incoming
-        base._follow(self, term, leader)
+        base._become_follower(self, term, leader)
         self._incoming = incoming
 
-    return {"_piece_heard": heard, "_follow": follow}
+    return {"_on_install_snapshot": heard, "_become_follower": follow}
 
 
 def takes_old_snapshots(base):
     def heard(self, m):
         self.commit = min(self.commit, m.index - 1)
-        base._piece_heard(self, m)
+        base._on_install_snapshot(self, m)
 
     return heard
 
 
 def keeps_members_that_were_cut(base):
     def cut_from(self, index):
-        configs = self._configs[:]
-        base._cut_from(self, index)
-        self._configs, self.members = configs, configs[-1][1]
+        configs = self._configurations[:]
+        base._truncate_from(self, index)
+        self._configurations, self.members = configs, configs[-1][1]
 
     return cut_from
 
@@ -468,8 +472,8 @@
 def hears_anyone(base):
     def answered(self, m):
         if m.term > self.term:
-            self._follow(m.term, "")
-        return base._answered(self, m)
+            self._become_follower(m.term, "")
+        return base._responding_peer(self, m)
 
     return answered
 
@@ -485,8 +489,8 @@
 
 def stands_only_in_force(base):
     def placed(self):
-        base._placed(self)
-        self._standing = self.me in self.voters
+        base._update_membership_role(self)
+        self._may_campaign = self.me in self.voters
 
     return placed
 
@@ -495,12 +499,12 @@
     """The member whose missing entries were let go while its window was full is told of entry 0 for ever."""
 
     def beat(self):
-        full = [p for p in self._peers.values() if p.sending is None and p.next <= self._base]
+        full = [p for p in self._peers.values() if p.snapshot is None and p.next <= self._base]
         for p in full:
-            p.sending, p.moved = api.Snapshot(1, 1, (), b""), True
-        base._beat(self)
+            p.snapshot, p.snapshot_progressed = api.Snapshot(1, 1, (), b""), True
+        base._send_heartbeats(self)
         for p in full:
-            p.sending = None
+            p.snapshot = None
 
     return beat
 
@@ -518,31 +522,38 @@
     "the vote is not kept": (kept(lambda k: replaced(k, hard=k.hard and replaced(k.hard, vote=""))), some, walk),
     "the term is not kept": (kept(lambda k: replaced(k, hard=None)), some, walk),
     "a cut is not kept": (kept(lambda k: replaced(k, cut=None)), runs_of(3, 20)),
-    "OK before a majority has it": ({"_count": counts_any}, some, walk),
-    "the leader counts itself before it is stable": ({"_own_match": lambda b: lambda s: s.last_index}, some, walk),
-    "an entry of an old term is counted": ({"_own_term": lambda b: lambda s, i: True}, figure_eight),
+    "OK before a majority has it": ({"_advance_commit": counts_any}, some, walk),
+    "the leader counts itself before it is stable": ({"_leader_match": lambda b: lambda s: s.last_index}, some, walk),
+    "an entry of an old term is counted": ({"_is_of_current_term": lambda b: lambda s, i: True}, figure_eight),
     "any log is up to date": ({"_up_to_date": lambda b: lambda s, m: True}, some, walk),
-    "two votes in a term": ({"_ask_vote": votes_again}, some, walk),
-    "messages for another id are answered": ({"_heard": answers_for_any}, some, walk),
+    "two votes in a term": ({"_on_request_vote": votes_again}, some, walk),
+    "messages for another id are answered": ({"_on_message": answers_for_any}, some, walk),
     "a wiped disk comes back under its id": ({}, some, walk),
-    "a stale leader answers reads": ({"_confirm": confirms_at_once}, stale_read),
-    "reads before an entry of the own term": ({"_read": reads_before_own}, some),
-    "any change of members is taken": ({"_unfit": lambda b: lambda s, m: None}, some, walk_changes),
-    "two changes at once": ({"settled": lambda b: property(lambda s: s.commit >= s._own_from)}, some, walk_changes),
-    "a change before the own term": ({"settled": lambda b: property(lambda s: s.commit >= s._configs[-1][0])}, some),
-    "members that were cut stay": ({"_cut_from": keeps_members_that_were_cut}, cut_members),
-    "a follower answers before it is stable": ({"_covers": lambda b: lambda s, i: 0}, some, walk),
-    "no pre-vote": ({"_ask": lambda b: lambda s: s._stand(False)}, deaf_follower, runs_of(0, 10)),
-    "no stickiness": ({"_sticky": lambda b: lambda s: False}, deaf_follower),
-    "anyone's later term is heard": ({"_answered": hears_anyone}, removed_voter),
-    "a stalled leader goes on": ({"_check_quorum": lambda b: lambda s: setattr(s, "_quorum_until", NEVER)}, some),
-    "what may be committed is called nothing": ({"_give_back": lies_of_the_lost}, some),
-    "a follower commits what did not match": ({"_append_heard": commits_what_it_has}, runs_of(3, 20)),
+    "a stale leader answers reads": ({"_complete_reads": confirms_at_once}, stale_read),
+    "reads before an entry of the own term": ({"_on_read": reads_before_own}, some),
+    "any change of members is taken": ({"_membership_rejection": lambda b: lambda s, m: None}, some, walk_changes),
+    "two changes at once": (
+        {"can_change_members": lambda b: property(lambda s: s.commit >= s._term_start_index)},
+        some,
+        walk_changes,
+    ),
+    "a change before the own term": (
+        {"can_change_members": lambda b: property(lambda s: s.commit >= s._configurations[-1][0])},
+        some,
+    ),
+    "members that were cut stay": ({"_truncate_from": keeps_members_that_were_cut}, cut_members),
+    "a follower answers before it is stable": ({"_batch_covering": lambda b: lambda s, i: 0}, some, walk),
+    "no pre-vote": ({"_start_pre_vote": lambda b: lambda s: s._start_election(False)}, deaf_follower, runs_of(0, 10)),
+    "no stickiness": ({"_leader_is_alive": lambda b: lambda s: False}, deaf_follower),
+    "anyone's later term is heard": ({"_responding_peer": hears_anyone}, removed_voter),
+    "a stalled leader goes on": ({"_check_quorum": lambda b: lambda s: setattr(s, "_quorum_deadline", NEVER)}, some),
+    "what may be committed is called nothing": ({"_reject_pending": lies_of_the_lost}, some),
+    "a follower commits what did not match": ({"_on_append_entries": commits_what_it_has}, runs_of(3, 20)),
     "a removed leader goes on": ({"_commit_to": leads_though_removed}, some),
-    "a removed voter may not stand": ({"_placed": stands_only_in_force}, needed_though_removed),
+    "a removed voter may not stand": ({"_update_membership_role": stands_only_in_force}, needed_though_removed),
     "pieces of two snapshots go together": (takes_pieces_of_any, two_snapshots),
-    "an older snapshot is taken in": ({"_piece_heard": takes_old_snapshots}, two_snapshots, some),
-    "what was let go is never sent": ({"_beat": feeds_no_snapshot}, snapshot_in_pieces),
+    "an older snapshot is taken in": ({"_on_install_snapshot": takes_old_snapshots}, two_snapshots, some),
+    "what was let go is never sent": ({"_send_heartbeats": feeds_no_snapshot}, snapshot_in_pieces),
 }
 
 
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -265,8 +265,8 @@
         return part
 
     def leader(self):
-        assert until(self.loop, lambda: [p for p in self.parts.values() if p.voter and p.voter.core.settled])
-        return next(p for p in self.parts.values() if p.voter and p.voter.core.settled)
+        assert until(self.loop, lambda: [p for p in self.parts.values() if p.voter and p.voter.core.can_change_members])
+        return next(p for p in self.parts.values() if p.voter and p.voter.core.can_change_members)
 
     def others(self, part):
         return [p for p in self.parts.values() if p is not part]
@@ -505,7 +505,7 @@
 
 
 def test_a_log_of_large_entries_is_bounded_by_their_bytes():
-    timing = Timing(log_bytes=1024 * 1024)
+    timing = Timing(snapshot_after_bytes=1024 * 1024)
     core = Core("a", founding_state([Member("a", "a", "a:1")]), timing, Random(1), 0)
     now, most, events = 0, 0, deque([Tick()])
     for token in range(200):
@@ -519,7 +519,7 @@
                     events.append(CompactLog(core.applied, b""))
         core.check()
         most = max(most, sum(len(e.data) for e in core.entries(core.first_index, core.last_index)))
-    assert core.last_index > 190 and most <= 2 * timing.log_bytes
+    assert core.last_index > 190 and most <= 2 * timing.snapshot_after_bytes
 
 
 def test_of_one_line_one_write_is_under_way_and_a_line_that_ends_meanwhile_is_noticed(trio, monkeypatch):
