--- a/benchmarks/faults/holder.py
+++ b/benchmarks/faults/holder.py
@@ -85,8 +85,8 @@
         while todo:
             action = todo.popleft()
             if isinstance(action, SendOperation):
-                result = said(caller, action.act, time.monotonic_ns())
-                todo.extend(holder.step(time.monotonic_ns(), ResponseReceived(action.ask, result)))
+                result = said(caller, action.operation, time.monotonic_ns())
+                todo.extend(holder.step(time.monotonic_ns(), ResponseReceived(action.request_id, result)))
         now = time.monotonic_ns()
         token = holder.valid_token(now)
         if token is not None:
--- a/benchmarks/replication_disk.py
+++ b/benchmarks/replication_disk.py
@@ -55,9 +55,9 @@
         while len(asked) < in_flight and batch + 1 < start + rounds:
             batch += 1
             asked[batch] = time.perf_counter_ns()
-            disk.keep(PersistBatch(batch, entries=(Entry(batch, 1, EntryKind.WRITE, DATA),)))
+            disk.persist(PersistBatch(batch, entries=(Entry(batch, 1, EntryKind.WRITE, DATA),)))
         select.select([disk], [], [])
-        for report in disk.taken():
+        for report in disk.take_reports():
             assert isinstance(report, BatchSynced), report
             now = time.perf_counter_ns()
             done = [number for number in asked if number <= report.batch]
@@ -66,7 +66,7 @@
 
 
 def wait(disk: Disk, batch: int) -> None:
-    while BatchSynced(batch) not in disk.taken():
+    while BatchSynced(batch) not in disk.take_reports():
         select.select([disk], [], [], 1)
 
 
@@ -99,7 +99,7 @@
     disk.close()
 
     disk, _, _ = open_disk(scratch / "n", "bench")
-    disk.keep(PersistBatch(1, entries=tuple(Entry(i, 1, EntryKind.WRITE, DATA) for i in range(1, 10_001))))
+    disk.persist(PersistBatch(1, entries=tuple(Entry(i, 1, EntryKind.WRITE, DATA) for i in range(1, 10_001))))
     wait(disk, 1)
     disk.close()
     times = []
@@ -117,7 +117,7 @@
         ends = start + 64
         snapshot = Snapshot(start - 1, 1, (), bytes(64 * 1024)) if start % 4096 == 1 and start > 1 else None
         entries = tuple(Entry(i, 1, EntryKind.WRITE, DATA) for i in range(start, ends))
-        disk.keep(PersistBatch(ends, entries=entries, snapshot=snapshot))
+        disk.persist(PersistBatch(ends, entries=entries, snapshot=snapshot))
         wait(disk, ends)
         most = max(most, used(scratch / "o")) if snapshot else most
     disk.close()
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -130,7 +130,7 @@
         self.lists.moved(before, self.version)
 
     def stand(self) -> Stand:
-        out = frozenset(name for name, word in self.follower.machine.words.items() if word.out)
+        out = frozenset(name for name, word in self.follower.machine.overrides.items() if word.out)
         return Stand(self.index, self.version, out)
 
 
--- a/loftweir/lease/holder.py
+++ b/loftweir/lease/holder.py
@@ -72,7 +72,7 @@
 class ResponseReceived(NamedTuple):
     """What came of a `Send`. None: it is not known, and may happen yet."""
 
-    ask: int
+    request_id: int
     result: AnyResult | None
 
 
@@ -82,8 +82,8 @@
 class SendOperation(NamedTuple):
     """An order for the copies, sent under one session and number however often it is sent again. One `Answer`."""
 
-    ask: int
-    act: AcquireLease | RenewLease | ReleaseLease
+    request_id: int
+    operation: AcquireLease | RenewLease | ReleaseLease
 
 
 class TaskStarted(NamedTuple):
@@ -105,81 +105,83 @@
 
 
 class Transition(Enum):
-    WANT = "want"
-    LET_GO = "let_go"
+    WANTED = "want"
+    UNWANTED = "let_go"
     DUE = "due"  # time to ask, or to renew
     GRANTED = "granted"
-    REFUSED = "refused"
-    MINE = "mine"  # a lease under this holder's name that it may not act on: it came too late, or its answer was lost
+    REJECTED = "refused"
+    STALE_GRANT = (
+        "mine"  # a lease under this holder's name that it may not act on: it came too late, or its answer was lost
+    )
     RENEWED = "renewed"
     LOST = "lost"  # another token is in force, or none
     RELEASED = "released"
     UNKNOWN = "unknown"  # no answer, or none that says what holds
-    UP = "up"  # `until` is here
+    EXPIRED = "up"  # `until` is here
 
 
 class StateTraits(NamedTuple):
     """What holds in a state."""
 
-    acts: bool  # `valid_token` may say yes
-    sends: type[AcquireLease | RenewLease | ReleaseLease] | None  # as it is entered
-    late: Transition | None  # what it means that its time (`_at`) is here
-    wait: tuple[int, int]  # that time, from its entry: at least and at most, in 24ths of the time to live
+    may_act: bool  # `valid_token` may say yes
+    operation: type[AcquireLease | RenewLease | ReleaseLease] | None  # as it is entered
+    on_timeout: Transition | None  # what it means that its time (`_at`) is here
+    timeout_range: tuple[int, int]  # that time, from its entry: at least and at most, in 24ths of the time to live
 
 
 class HolderState(Enum):
     IDLE = "idle"
     FREE = "free"
-    ASKING = "asking"
+    ACQUIRING = "asking"
     HELD = "held"
     RENEWING = "renewing"
     LAPSED = "lapsed"
-    LEAVING = "leaving"
+    RELEASING = "leaving"
 
 
 TRAITS = {
     HolderState.IDLE: StateTraits(False, None, None, (0, 0)),
     HolderState.FREE: StateTraits(False, None, Transition.DUE, (2, 6)),  # at random: others ask too
-    HolderState.ASKING: StateTraits(False, AcquireLease, Transition.UNKNOWN, (24, 24)),
+    HolderState.ACQUIRING: StateTraits(False, AcquireLease, Transition.UNKNOWN, (24, 24)),
     HolderState.HELD: StateTraits(
         True, None, Transition.DUE, (2, 4)
     ),  # after a renewal without an answer; after one with: a third
     HolderState.RENEWING: StateTraits(True, RenewLease, Transition.UNKNOWN, (4, 4)),
     HolderState.LAPSED: StateTraits(False, ReleaseLease, Transition.UNKNOWN, (6, 6)),
-    HolderState.LEAVING: StateTraits(False, ReleaseLease, Transition.UNKNOWN, (6, 6)),
+    HolderState.RELEASING: StateTraits(False, ReleaseLease, Transition.UNKNOWN, (6, 6)),
 }
 
 # What is not named here changes nothing.
 TRANSITIONS: dict[tuple[HolderState, Transition], HolderState] = {
-    (HolderState.IDLE, Transition.WANT): HolderState.FREE,
-    (HolderState.FREE, Transition.DUE): HolderState.ASKING,
-    (HolderState.FREE, Transition.LET_GO): HolderState.IDLE,
-    (HolderState.ASKING, Transition.GRANTED): HolderState.HELD,
-    (HolderState.ASKING, Transition.REFUSED): HolderState.FREE,
-    (HolderState.ASKING, Transition.UNKNOWN): HolderState.FREE,
-    (HolderState.ASKING, Transition.MINE): HolderState.LAPSED,
-    (HolderState.ASKING, Transition.LET_GO): HolderState.IDLE,
+    (HolderState.IDLE, Transition.WANTED): HolderState.FREE,
+    (HolderState.FREE, Transition.DUE): HolderState.ACQUIRING,
+    (HolderState.FREE, Transition.UNWANTED): HolderState.IDLE,
+    (HolderState.ACQUIRING, Transition.GRANTED): HolderState.HELD,
+    (HolderState.ACQUIRING, Transition.REJECTED): HolderState.FREE,
+    (HolderState.ACQUIRING, Transition.UNKNOWN): HolderState.FREE,
+    (HolderState.ACQUIRING, Transition.STALE_GRANT): HolderState.LAPSED,
+    (HolderState.ACQUIRING, Transition.UNWANTED): HolderState.IDLE,
     (HolderState.HELD, Transition.DUE): HolderState.RENEWING,
     (HolderState.HELD, Transition.RENEWED): HolderState.HELD,
-    (HolderState.HELD, Transition.UP): HolderState.LAPSED,
+    (HolderState.HELD, Transition.EXPIRED): HolderState.LAPSED,
     (HolderState.HELD, Transition.LOST): HolderState.FREE,
-    (HolderState.HELD, Transition.LET_GO): HolderState.LEAVING,
+    (HolderState.HELD, Transition.UNWANTED): HolderState.RELEASING,
     (HolderState.RENEWING, Transition.RENEWED): HolderState.HELD,
     (HolderState.RENEWING, Transition.UNKNOWN): HolderState.HELD,
-    (HolderState.RENEWING, Transition.UP): HolderState.LAPSED,
+    (HolderState.RENEWING, Transition.EXPIRED): HolderState.LAPSED,
     (HolderState.RENEWING, Transition.LOST): HolderState.FREE,
-    (HolderState.RENEWING, Transition.LET_GO): HolderState.LEAVING,
+    (HolderState.RENEWING, Transition.UNWANTED): HolderState.RELEASING,
     (HolderState.LAPSED, Transition.RELEASED): HolderState.FREE,
     (HolderState.LAPSED, Transition.UNKNOWN): HolderState.FREE,
-    (HolderState.LAPSED, Transition.LET_GO): HolderState.LEAVING,
-    (HolderState.LEAVING, Transition.RELEASED): HolderState.IDLE,
-    (HolderState.LEAVING, Transition.UNKNOWN): HolderState.IDLE,
-    (HolderState.LEAVING, Transition.WANT): HolderState.LAPSED,
+    (HolderState.LAPSED, Transition.UNWANTED): HolderState.RELEASING,
+    (HolderState.RELEASING, Transition.RELEASED): HolderState.IDLE,
+    (HolderState.RELEASING, Transition.UNKNOWN): HolderState.IDLE,
+    (HolderState.RELEASING, Transition.WANTED): HolderState.LAPSED,
 }
 
 
 class PendingRequest(NamedTuple):
-    act: AcquireLease | RenewLease | ReleaseLease
+    operation: AcquireLease | RenewLease | ReleaseLease
     sent: int
 
 
@@ -197,97 +199,101 @@
         self.token: int | None = None  # of the lease held, or to be released
         self.until = 0  # the end of acting under it
         self._random = random
-        self._at: int | None = None
-        self._asks: dict[int, PendingRequest] = {}  # the newest last
-        self._count = 0
-        self._waits = 0  # the request that this state was entered with
+        self._next_transition_at: int | None = None
+        self._pending_requests: dict[int, PendingRequest] = {}  # the newest last
+        self._request_count = 0
+        self._awaited_request = 0  # the request that this state was entered with
         self._actions: list[Action] = []
 
     def valid_token(self, now: int) -> int | None:
         """The token to act under, at this moment only."""
-        return self.token if TRAITS[self.state].acts and now < self.until else None
+        return self.token if TRAITS[self.state].may_act and now < self.until else None
 
     @property
     def next_at(self) -> int | None:
         """When a `Tick` is wanted."""
-        return self._at if self._at is None or not TRAITS[self.state].acts else min(self._at, self.until)
+        return (
+            self._next_transition_at
+            if self._next_transition_at is None or not TRAITS[self.state].may_act
+            else min(self._next_transition_at, self.until)
+        )
 
     def step(self, now: int, event: Event) -> list[Action]:
         """What is to be done now, in order."""
         self._actions = []
-        if TRAITS[self.state].acts and now >= self.until:
-            self._take(now, Transition.UP)  # first of all: no answer saves what has lapsed
+        if TRAITS[self.state].may_act and now >= self.until:
+            self._transition(now, Transition.EXPIRED)  # first of all: no answer saves what has lapsed
         if isinstance(event, LeaseWanted):
-            self._take(now, Transition.WANT)
+            self._transition(now, Transition.WANTED)
         elif isinstance(event, LeaseUnwanted):
-            self._take(now, Transition.LET_GO)
+            self._transition(now, Transition.UNWANTED)
         elif isinstance(event, ResponseReceived):
-            self._answered(now, event)
-        late = TRAITS[self.state].late
-        if late is not None and self._at is not None and now >= self._at:
-            self._take(now, late)
+            self._on_response(now, event)
+        late = TRAITS[self.state].on_timeout
+        if late is not None and self._next_transition_at is not None and now >= self._next_transition_at:
+            self._transition(now, late)
         return self._actions
 
-    def _answered(self, now: int, answer: ResponseReceived) -> None:
-        asked, result = self._asks.pop(answer.ask, None), answer.result
+    def _on_response(self, now: int, answer: ResponseReceived) -> None:
+        asked, result = self._pending_requests.pop(answer.request_id, None), answer.result
         if asked is None:
             return
-        current = answer.ask == self._waits
+        current = answer.request_id == self._awaited_request
         until = asked.sent + self.ttl - margin(self.ttl)
-        if isinstance(asked.act, AcquireLease):
-            if not current or self.state is not HolderState.ASKING:
+        if isinstance(asked.operation, AcquireLease):
+            if not current or self.state is not HolderState.ACQUIRING:
                 if isinstance(result, Ok):
                     self._send(now, ReleaseLease(self.duty, self.name, result.value))  # not waited for any more
             elif isinstance(result, Ok):
                 self.token, self.until = result.value, until
-                self._take(now, Transition.GRANTED if now < until else Transition.MINE, asked.sent)
+                self._transition(now, Transition.GRANTED if now < until else Transition.STALE_GRANT, asked.sent)
             elif isinstance(result, LeaseHeld) and result.holder == self.name:
                 self.token = result.token
-                self._take(now, Transition.MINE)
+                self._transition(now, Transition.STALE_GRANT)
             else:
-                self._take(now, Transition.UNKNOWN if result is None else Transition.REFUSED)
-        elif isinstance(asked.act, RenewLease):
-            if not TRAITS[self.state].acts or asked.act.token != self.token:
+                self._transition(now, Transition.UNKNOWN if result is None else Transition.REJECTED)
+        elif isinstance(asked.operation, RenewLease):
+            if not TRAITS[self.state].may_act or asked.operation.token != self.token:
                 return
             if isinstance(result, Ok):
                 self.until = max(self.until, until)
-                self._take(now, Transition.RENEWED, asked.sent)
+                self._transition(now, Transition.RENEWED, asked.sent)
             elif isinstance(result, LeaseNotHeld | StaleToken):
-                self._take(now, Transition.LOST)
+                self._transition(now, Transition.LOST)
             elif current:
-                self._take(now, Transition.UNKNOWN)
+                self._transition(now, Transition.UNKNOWN)
         elif current:
-            self._take(now, Transition.RELEASED)
+            self._transition(now, Transition.RELEASED)
 
-    def _take(self, now: int, step: Transition, sent: int | None = None) -> None:
+    def _transition(self, now: int, step: Transition, sent: int | None = None) -> None:
         """A step, with what leaving and entering means. `sent`: of the request that was answered with a lease."""
         before, after = self.state, TRANSITIONS.get((self.state, step))
         if after is None:
             return
         was, traits = TRAITS[before], TRAITS[after]
         self.state = after
-        if was.acts and not traits.acts and self.token is not None:
+        if was.may_act and not traits.may_act and self.token is not None:
             self._actions.append(TaskStopped(self.token))
-        if traits.acts and not was.acts and self.token is not None:
+        if traits.may_act and not was.may_act and self.token is not None:
             self._actions.append(TaskStarted(self.token))
-        least, most = traits.wait
+        least, most = traits.timeout_range
         wait = self.ttl * least // 24 + self._random.randrange(self.ttl * (most - least) // 24 + 1)
-        self._at = None if traits.late is None else now + wait
-        if step is Transition.WANT and after is HolderState.FREE:
-            self._at = now
-        elif sent is not None and traits.acts:
-            self._at = sent + self.ttl // 3
-        if traits.sends is AcquireLease:
-            self._waits = self._send(now, AcquireLease(self.duty, self.name, self.ttl))
-        elif traits.sends is not None and self.token is not None:
-            self._waits = self._send(now, traits.sends(self.duty, self.name, self.token))
-        if not traits.acts and traits.sends is not ReleaseLease:
+        self._next_transition_at = None if traits.on_timeout is None else now + wait
+        if step is Transition.WANTED and after is HolderState.FREE:
+            self._next_transition_at = now
+        elif sent is not None and traits.may_act:
+            self._next_transition_at = sent + self.ttl // 3
+        if traits.operation is AcquireLease:
+            self._awaited_request = self._send(now, AcquireLease(self.duty, self.name, self.ttl))
+        elif traits.operation is not None and self.token is not None:
+            self._awaited_request = self._send(now, traits.operation(self.duty, self.name, self.token))
+        if not traits.may_act and traits.operation is not ReleaseLease:
             self.token = None
 
     def _send(self, now: int, act: AcquireLease | RenewLease | ReleaseLease) -> int:
-        self._count += 1
-        self._asks[self._count] = PendingRequest(act, now)
-        while len(self._asks) > MAX_PENDING_REQUESTS:
-            del self._asks[next(iter(self._asks))]
-        self._actions.append(SendOperation(self._count, act))
-        return self._count
+        self._request_count += 1
+        self._pending_requests[self._request_count] = PendingRequest(act, now)
+        while len(self._pending_requests) > MAX_PENDING_REQUESTS:
+            del self._pending_requests[next(iter(self._pending_requests))]
+        self._actions.append(SendOperation(self._request_count, act))
+        return self._request_count
--- a/loftweir/lease/keeper.py
+++ b/loftweir/lease/keeper.py
@@ -32,39 +32,39 @@
     """One member's. `led` and `lost` follow its leadership; `saw` follows each entry that it applies meanwhile."""
 
     def __init__(self) -> None:
-        self.leads = False
-        self.counts: dict[str, LeaseCountdown] = {}  # by duty
+        self.is_leader = False
+        self.countdowns: dict[str, LeaseCountdown] = {}  # by duty
         self.next_at: int | None = None  # when `due` is to be asked; it may be early, never late
 
-    def led(self, now: int, leases: Mapping[str, Lease]) -> None:
+    def became_leader(self, now: int, leases: Mapping[str, Lease]) -> None:
         """The first entry of its term is applied; `now` is read after that."""
-        self.leads, self.counts, self.next_at = True, {}, None
+        self.is_leader, self.countdowns, self.next_at = True, {}, None
         for duty, lease in leases.items():
-            self.saw(now, duty, lease)
+            self.lease_changed(now, duty, lease)
 
-    def lost(self) -> None:
+    def lost_leadership(self) -> None:
         """Another leads, or none."""
-        self.leads, self.counts, self.next_at = False, {}, None
+        self.is_leader, self.countdowns, self.next_at = False, {}, None
 
-    def saw(self, now: int, duty: str, lease: Lease | None) -> None:
+    def lease_changed(self, now: int, duty: str, lease: Lease | None) -> None:
         """An entry granted, renewed or ended (None) this lease (`Machine.moved`); `now` is read after applying it."""
-        if not self.leads:
+        if not self.is_leader:
             return
-        self.counts.pop(duty, None)
+        self.countdowns.pop(duty, None)
         if lease is not None:
-            self._count(duty, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
+            self._start_countdown(duty, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
 
-    def due(self, now: int) -> list[ExpireLease]:
+    def due_expirations(self, now: int) -> list[ExpireLease]:
         """What the leader is to propose now, each as `Order("", 0, act)`."""
         if self.next_at is None or now < self.next_at:
             return []
-        over = [(duty, counted) for duty, counted in self.counts.items() if counted.until <= now]
+        over = [(duty, counted) for duty, counted in self.countdowns.items() if counted.until <= now]
         self.next_at = None
-        for duty, counted in self.counts.items():
+        for duty, counted in self.countdowns.items():
             again = now + REPROPOSE_DELAY if counted.until <= now else counted.until
-            self._count(duty, counted._replace(until=again))
+            self._start_countdown(duty, counted._replace(until=again))
         return [ExpireLease(duty, counted.token, counted.renewed) for duty, counted in over]
 
-    def _count(self, duty: str, counted: LeaseCountdown) -> None:
-        self.counts[duty] = counted
+    def _start_countdown(self, duty: str, counted: LeaseCountdown) -> None:
+        self.countdowns[duty] = counted
         self.next_at = counted.until if self.next_at is None else min(self.next_at, counted.until)
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -74,11 +74,17 @@
 
 class Proposer:
     def __init__(
-        self, loop: Loop, name: str, id: str, options: Replication, seats: dict[str, str], known: Callable[[], int]
+        self,
+        loop: Loop,
+        name: str,
+        id: str,
+        options: Replication,
+        seats: dict[str, str],
+        known_index: Callable[[], int],
     ) -> None:
         """`known`: an index that this sidecar has heard of."""
         self.loop = loop
-        self.known = known
+        self.known_index = known_index
         hello = Hello(VERSION, options.cluster, id, name, ConnectionKind.CALLER)
         self.writes, self.reads = (
             LeaderConnection(loop, hello, options, seats, Random(f"{name} {id} {n}")) for n in range(2)
@@ -92,19 +98,19 @@
     def write(self, act: Operation, within: int) -> Coroutine[AnyResult]:
         """What the copies made of it. Raises `NoMajority` and `OutcomeUnknown`, both within the time (ns)."""
         until = self.loop.now() + within
-        yield from self.writes.take(until)
+        yield from self.writes.reserve(until)
         try:
             for _ in range(2):
                 if not self.session:
-                    self.session, self.number, self.since = secrets.token_hex(8), 0, max(self.since, self.known())
+                    self.session, self.number, self.since = secrets.token_hex(8), 0, max(self.since, self.known_index())
                 self.number += 1
-                order = encode(Command(self.session, self.number, act, self.since))
-                outcome, uncertain = yield from self.writes.ask(_submit(order), until)
+                command = encode(Command(self.session, self.number, act, self.since))
+                outcome, uncertain = yield from self.writes.request(_submit(command), until)
                 assert isinstance(outcome, CommandOutcome)
                 try:
                     result = decode_result(outcome.result)
                 except msgspec.MsgspecError:
-                    raise OutcomeUnknown("an outcome that can't be read", self.writes.at) from None
+                    raise OutcomeUnknown("an outcome that can't be read", self.writes.target) from None
                 if not isinstance(result, UnknownSession):
                     return result
                 # Unused for long, or let go for want of room: what was not sent before was not applied either.
@@ -118,9 +124,9 @@
     def remove(self, name: str, within: int) -> Coroutine[None]:
         """Takes a member out. Raises as `write` does, and `NotTaken` where there is none of that name."""
         until = self.loop.now() + within
-        yield from self.writes.take(until)
+        yield from self.writes.reserve(until)
         try:
-            outcome, uncertain = yield from self.writes.ask(lambda token: RemoveMember(token, name), until)
+            outcome, uncertain = yield from self.writes.request(lambda token: RemoveMember(token, name), until)
         finally:
             self.writes.busy = False
         assert isinstance(outcome, CommandOutcome)
@@ -132,9 +138,9 @@
         Raises `NoMajority` where nobody answered at all."""
         until = self.loop.now() + within
         best: list[QueryResponse] = []
-        yield from self.reads.take(until)
+        yield from self.reads.reserve(until)
         try:
-            answer, _ = yield from self.reads.ask(lambda token: QueryRequest(token, query), until, best)
+            answer, _ = yield from self.reads.request(lambda token: QueryRequest(token, query), until, best)
         except (NoMajority, OutcomeUnknown) as error:
             if not best:
                 raise NoMajority(error.what) from None
@@ -145,8 +151,8 @@
         return ReadResult(answer.sure, answer.index, answer.age, msgspec.msgpack.decode(answer.value))
 
 
-def _submit(order: bytes) -> Callable[[int], Frame]:
-    return lambda token: SubmitCommand(token, order)
+def _submit(command: bytes) -> Callable[[int], Frame]:
+    return lambda token: SubmitCommand(token, command)
 
 
 class LeaderConnection:
@@ -159,11 +165,11 @@
         self.hello = hello
         self.seats = seats
         self.random = random
-        self.a_try = 2 * options.election + 200 * MS  # a leader that is none finds out in less
-        self.order = list(seats)
-        random.shuffle(self.order)
-        self.at = self.order[0]
-        self.address = seats[self.at]
+        self.attempt_timeout = 2 * options.election + 200 * MS  # a leader that is none finds out in less
+        self.names = list(seats)
+        random.shuffle(self.names)
+        self.target = self.names[0]
+        self.address = seats[self.target]
         self.line: FrameConnection | None = None
         self.tokens = 0
         self.busy = False
@@ -173,14 +179,14 @@
             self.line.close()
             self.line = None
 
-    def take(self, until: int) -> Coroutine[None]:
+    def reserve(self, until: int) -> Coroutine[None]:
         while self.busy:
             if self.loop.now() >= until:
                 raise NoMajority("what came before it took all the time")
             yield Wait(None, 0, min(until, self.loop.now() + BUSY_POLL_INTERVAL))
         self.busy = True
 
-    def ask(
+    def request(
         self, frame: Callable[[int], Frame], until: int, unsure: list[QueryResponse] | None = None
     ) -> Coroutine[tuple[CommandOutcome | QueryResponse, bool]]:
         """The final answer, and whether an earlier try may have come true as well. `unsure` gets the others."""
@@ -188,43 +194,47 @@
         last = max(self.loop.now() + 1, until - FINAL_MARGIN)
         while (now := self.loop.now()) < last:
             try:
-                line = yield from self._connected(min(until, now + SECOND))
+                line = yield from self._connect(min(until, now + SECOND))
                 self.tokens += 1
             except (NotUp, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
-                    why = f"{self.at}: {error}"
-                self._turn()
-                yield from self._pause(until)
+                    why = f"{self.target}: {error}"
+                self._switch()
+                yield from self._wait_before_retry(until)
                 continue
             try:
                 line.put(frame(self.tokens))
-                answer = yield from self._answer(line, self.tokens, min(until, self.loop.now() + self.a_try))
+                answer = yield from self._read_response(
+                    line, self.tokens, min(until, self.loop.now() + self.attempt_timeout)
+                )
             except CONNECTION_ERRORS as error:
-                uncertain, why = True, f"{self.at}: {str(error) or 'no answer'}"
-                self._turn()
-                yield from self._pause(until)
+                uncertain, why = True, f"{self.target}: {str(error) or 'no answer'}"
+                self._switch()
+                yield from self._wait_before_retry(until)
                 continue
             if answer.how in (OutcomeCode.DONE, OutcomeCode.UNFIT):
                 return answer, uncertain
             if isinstance(answer, QueryResponse) and unsure is not None:
                 unsure.append(answer)
             uncertain = uncertain or answer.how is OutcomeCode.LOST
-            why = f"{self.at}: {answer.how.value}"
+            why = f"{self.target}: {answer.how.value}"
             if answer.how is not OutcomeCode.BUSY:
-                self._turn(answer.leader, answer.address)
+                self._switch(answer.leader, answer.address)
             if answer.leader == "" or answer.how is OutcomeCode.BUSY:
-                yield from self._pause(until)
+                yield from self._wait_before_retry(until)
         if uncertain:
             raise OutcomeUnknown(f"no outcome in time, last: {why}")
         raise NoMajority(f"not taken in time, last: {why}")
 
-    def _answer(self, line: FrameConnection, token: int, until: int) -> Coroutine[CommandOutcome | QueryResponse]:
+    def _read_response(
+        self, line: FrameConnection, token: int, until: int
+    ) -> Coroutine[CommandOutcome | QueryResponse]:
         while True:
             found = yield from line.next(until)
             if isinstance(found, CommandOutcome | QueryResponse) and found.token == token:
                 return found
 
-    def _connected(self, until: int) -> Coroutine[FrameConnection]:
+    def _connect(self, until: int) -> Coroutine[FrameConnection]:
         line = self.line
         if line is None or not line.alive():
             self.close()
@@ -232,16 +242,16 @@
             self.line = line
         return line
 
-    def _turn(self, leader: str = "", address: str = "") -> None:
+    def _switch(self, leader: str = "", address: str = "") -> None:
         """On to the leader that was named, else to the next."""
         self.close()
-        if leader and leader != self.at:
-            self.at, self.address = leader, self.seats.get(leader, address)
+        if leader and leader != self.target:
+            self.target, self.address = leader, self.seats.get(leader, address)
             return
-        place = self.order.index(self.at) + 1 if self.at in self.order else 0
-        self.at = self.order[place % len(self.order)]
-        self.address = self.seats[self.at]
+        place = self.names.index(self.target) + 1 if self.target in self.names else 0
+        self.target = self.names[place % len(self.names)]
+        self.address = self.seats[self.target]
 
-    def _pause(self, until: int) -> Coroutine[None]:
+    def _wait_before_retry(self, until: int) -> Coroutine[None]:
         pause = RETRY_DELAY + self.random.randrange(RETRY_DELAY)
         yield Wait(None, 0, min(until, self.loop.now() + pause))
--- a/loftweir/replication/disk.py
+++ b/loftweir/replication/disk.py
@@ -8,7 +8,7 @@
 1. `Stable` is told only after the sync of all that the batch asked for, and after the mark says so.
 2. One failure ends it: one `Broken` is told, and nothing is written, synced or told after it. A sync that failed once
    may succeed when it is tried again and yet have lost the pages (Rebello and others, 2020): it never is.
-3. The thread alone touches the files and the tape, the loop alone the rest; between them are two queues.
+3. The thread alone touches the files and the log_state, the loop alone the rest; between them are two queues.
 
 Room on the disk: the segments from the one with the first entry behind the snapshot on, each `SEGMENT_BYTES` and up to
 one group of batches (`GROUP_BYTES` and the last batch) longer; one snapshot, and a second one while it is made; and
@@ -55,14 +55,14 @@
         folder = Folder(path)
     try:
         with as_storage_failed(path, "the folder can't be read or begun"):
-            begun = folder.begins()
+            begun = folder.is_uninitialized()
             if not begun:
                 try:
                     found = read_folder(folder, cluster)
                 except StorageDamaged as error:
                     damage, before, aside, begun = error, folder.last_id(), folder.set_aside(), True
             if begun:
-                folder.begin(cluster)
+                folder.initialize(cluster)
                 found = read_folder(folder, cluster)
             disk = Disk(folder, found, segment_bytes)
     except BaseException:
@@ -75,14 +75,14 @@
     """Called from the loop's thread only."""
 
     def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
-        self.member = found.tape.identity.member
-        self.lost = folder.lost()
+        self.member = found.log_state.identity.member
+        self.state_may_be_lost = folder.has_set_aside()
         self.failure: StorageFailed | None = None  # set before its `Broken` is told
         self._folder = folder
         self._writer = _Writer(folder, found, segment_bytes)
-        self._ends = False
-        self._asked: SimpleQueue[PersistBatch | None] = SimpleQueue()
-        self._told: deque[BatchSynced | StorageBroken] = deque()
+        self._closing = False
+        self._batches: SimpleQueue[PersistBatch | None] = SimpleQueue()
+        self._reports: deque[BatchSynced | StorageBroken] = deque()
         self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._thread = threading.Thread(target=self._run, name="replication-disk", daemon=True)
         self._thread.start()
@@ -91,26 +91,26 @@
         """Readable when `taken` has something."""
         return self._wake
 
-    def keep(self, keep: PersistBatch) -> None:
+    def persist(self, keep: PersistBatch) -> None:
         """Batches in their order; nothing comes of one asked for after a failure."""
         if self.failure is None:
-            self._asked.put(keep)
+            self._batches.put(keep)
 
-    def taken(self) -> list[BatchSynced | StorageBroken]:
+    def take_reports(self) -> list[BatchSynced | StorageBroken]:
         with suppress(BlockingIOError):
             os.eventfd_read(self._wake)
         told = []
         with suppress(IndexError):
             while True:
-                told.append(self._told.popleft())
+                told.append(self._reports.popleft())
         return told
 
     def close(self, within: float = 5.0) -> list[BatchSynced | StorageBroken]:
         """Keeps what was asked for, gives what was not taken yet, and lets the folder go, which the thread does: waited
         for `within` seconds. A disk that never answers keeps its files and the lock until the process ends."""
-        self._asked.put(None)
+        self._batches.put(None)
         self._thread.join(within)
-        told = self.taken()
+        told = self.take_reports()
         if not self._thread.is_alive():
             os.close(self._wake)
         return told
@@ -122,19 +122,19 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, signal.valid_signals())
         writer = self._writer
         try:
-            while not self._ends:
+            while not self._closing:
                 batch = None
                 for keep in self._waiting():
                     writer.add(keep)
                     batch = keep.batch
                 if batch is not None:
                     writer.sync()
-                    self._tell(BatchSynced(batch))
+                    self._report(BatchSynced(batch))
                     writer.remove_obsolete()
         except Exception as error:  # whatever it was, nothing more may be promised
             self.failure = writer.failed(error)
-            self._tell(StorageBroken(str(self.failure)))
-            while self._asked.get() is not None:  # the folder is this one's until its owner has heard
+            self._report(StorageBroken(str(self.failure)))
+            while self._batches.get() is not None:  # the folder is this one's until its owner has heard
                 pass
         finally:
             writer.close()
@@ -142,19 +142,19 @@
 
     def _waiting(self) -> Iterator[PersistBatch]:
         """One group: all that is asked for by now, and at least one batch, unless it is the end."""
-        keep = self._asked.get()
+        keep = self._batches.get()
         while keep is not None:
             yield keep
-            if self._writer.waiting >= GROUP_BYTES:
+            if self._writer.buffered >= GROUP_BYTES:
                 return
             try:
-                keep = self._asked.get_nowait()
+                keep = self._batches.get_nowait()
             except Empty:
                 return
-        self._ends = True
+        self._closing = True
 
-    def _tell(self, report: BatchSynced | StorageBroken) -> None:
-        self._told.append(report)
+    def _report(self, report: BatchSynced | StorageBroken) -> None:
+        self._reports.append(report)
         os.eventfd_write(self._wake, 1)
 
 
@@ -162,72 +162,81 @@
     """The files, as the thread writes them."""
 
     def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
-        self._folder, self._tape, self._size, self._limit = folder, found.tape, found.size, segment_bytes
-        self._data = bytearray()  # to be written in one go
-        self._fresh = False  # the segment is new
-        self._copied = False  # a snapshot was taken
-        self._number = self._tape.named.number if self._tape.named else 0
-        self._log = self._opened(os.O_APPEND)
+        self._folder, self._log_state, self._size, self._segment_bytes = (
+            folder,
+            found.log_state,
+            found.size,
+            segment_bytes,
+        )
+        self._buffer = bytearray()  # to be written in one go
+        self._new_segment = False  # the segment is new
+        self._snapshot_written = False  # a snapshot was taken
+        self._snapshot_number = self._log_state.snapshot_file.number if self._log_state.snapshot_file else 0
+        self._log = self._open_segment(os.O_APPEND)
         self._mark = os.open(folder.path / MARK, os.O_WRONLY | os.O_CLOEXEC)
         self._write_mark()
 
     @property
-    def waiting(self) -> int:
+    def buffered(self) -> int:
         """Bytes of the group so far."""
-        return len(self._data)
+        return len(self._buffer)
 
     def add(self, keep: PersistBatch) -> None:
         """A batch to the group; a snapshot is written at once, for the log may only name one that is stable."""
-        if not self._data and self._size >= self._limit:
-            self._data += self._tape.begin()
-            before, self._log = self._log, self._opened(os.O_CREAT | os.O_EXCL)
+        if not self._buffer and self._size >= self._segment_bytes:
+            self._buffer += self._log_state.begin_segment()
+            before, self._log = self._log, self._open_segment(os.O_CREAT | os.O_EXCL)
             os.close(before)
-            self._size, self._fresh = 0, True
-        named = self._copy(keep.snapshot) if keep.snapshot else None
-        for record in self._tape.asked(keep, named):
-            self._data += self._tape.write(record)
+            self._size, self._new_segment = 0, True
+        named = self._write_snapshot(keep.snapshot) if keep.snapshot else None
+        for record in self._log_state.records_of(keep, named):
+            self._buffer += self._log_state.write(record)
 
     def sync(self) -> None:
         """The group is stable when this returns."""
-        if not self._data:
+        if not self._buffer:
             return
-        data, self._data = self._data, bytearray()
+        data, self._buffer = self._buffer, bytearray()
         write_whole(self._log, memoryview(data))
         # Enough: it writes the length too, where what was added could not be read without it (POSIX, fdatasync). The
         # files are not made long beforehand: that saved nothing where it was measured, and a length that only grows
         # by what was written needs no sign of where the log ends.
         os.fdatasync(self._log)
-        if self._fresh:
+        if self._new_segment:
             self._folder.sync()
-            self._fresh = False
+            self._new_segment = False
         self._size += len(data)
         self._write_mark()
 
     def _write_mark(self) -> None:
-        tape = self._tape
-        data = journal.encode_mark(Mark(tape.segment, self._size, tape.next - 1, tape.crc), tape.identity)
+        log_state = self._log_state
+        data = journal.encode_mark(
+            Mark(log_state.segment, self._size, log_state.next_index - 1, log_state.crc), log_state.identity
+        )
         if os.pwrite(self._mark, data, 0) != len(data):
             raise OSError("the mark was written in part only")
 
     def remove_obsolete(self) -> None:
         """Once a snapshot stands in the place of entries, what it replaced goes."""
-        if self._copied:
-            self._copied = False
-            remove_obsolete_files(self._folder, self._tape)
-
-    def _copy(self, snapshot: Snapshot) -> SnapshotFile:
-        self._number += 1
-        data, named = journal.encode_snapshot(SnapshotContent(self._tape.identity, self._number, snapshot))
-        self._folder.put(snapshot_name(self._number), data)
-        self._copied = True
+        if self._snapshot_written:
+            self._snapshot_written = False
+            remove_obsolete_files(self._folder, self._log_state)
+
+    def _write_snapshot(self, snapshot: Snapshot) -> SnapshotFile:
+        self._snapshot_number += 1
+        data, named = journal.encode_snapshot(
+            SnapshotContent(self._log_state.identity, self._snapshot_number, snapshot)
+        )
+        self._folder.write_file(snapshot_name(self._snapshot_number), data)
+        self._snapshot_written = True
         return named
 
-    def _opened(self, how: int) -> int:
-        path = self._folder.path / segment_name(self._tape.segment)
+    def _open_segment(self, how: int) -> int:
+        path = self._folder.path / segment_name(self._log_state.segment)
         return os.open(path, os.O_WRONLY | os.O_CLOEXEC | how, 0o600)
 
     def failed(self, error: Exception) -> StorageFailed:
-        where = str(self._folder.path / segment_name(self._tape.segment))
+        where = str(self._folder.path / segment_name(self._log_state.segment))
         match error:
             case OSError():
                 return StorageFailed(error.strerror or str(error), error.filename or where)
--- a/loftweir/replication/folder.py
+++ b/loftweir/replication/folder.py
@@ -127,12 +127,12 @@
         finally:
             os.close(descriptor)
 
-    def put(self, name: str, data: bytes) -> None:
+    def write_file(self, name: str, data: bytes) -> None:
         """A file whole and stable in its place, or not there."""
-        self.put_beside(name, data)
-        self.settle(name)
+        self.write_new(name, data)
+        self.commit_new(name)
 
-    def put_beside(self, name: str, data: bytes) -> None:
+    def write_new(self, name: str, data: bytes) -> None:
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(self.path / (name + NEW_SUFFIX), flags, 0o600)
         try:
@@ -141,7 +141,7 @@
         finally:
             os.close(descriptor)
 
-    def settle(self, name: str) -> None:
+    def commit_new(self, name: str) -> None:
         os.rename(self.path / (name + NEW_SUFFIX), self.path / name)
         self.sync()
 
@@ -150,36 +150,36 @@
         os.unlink(self.path / name)
         self.sync()
 
-    def own(self) -> list[str]:
+    def member_files(self) -> list[str]:
         """The names of all the files here that are of a voter."""
         named, numbered = (IDENTITY, MARK), (SEGMENT, SNAPSHOT)
         return [n for n in os.listdir(self.path) if n.removesuffix(NEW_SUFFIX) in named or n.startswith(numbered)]
 
     def numbers(self, kind: str) -> list[int]:
         """Of the segments or snapshots, in order."""
-        ends = (name.removeprefix(kind) for name in self.own() if name.startswith(kind))
+        ends = (name.removeprefix(kind) for name in self.member_files() if name.startswith(kind))
         return sorted(int(end) for end in ends if end.isdecimal())
 
     # ---- beginning and setting aside ----
 
-    def begin(self, cluster: str) -> Identity:
+    def initialize(self, cluster: str) -> Identity:
         """A new disk. The identity comes last: until then nobody has heard the id, and a crash leaves nothing to keep
         (`begins`)."""
         identity = Identity(cluster, secrets.token_hex(16))
-        tape = LogState(identity)
-        self.put_beside(IDENTITY, journal.encode_identity(identity))
-        first = tape.begin()
-        self.put(segment_name(tape.segment), first)
-        self.put(MARK, journal.encode_mark(Mark(tape.segment, len(first), 0, tape.crc), identity))
-        self.settle(IDENTITY)
+        log_state = LogState(identity)
+        self.write_new(IDENTITY, journal.encode_identity(identity))
+        first = log_state.begin_segment()
+        self.write_file(segment_name(log_state.segment), first)
+        self.write_file(MARK, journal.encode_mark(Mark(log_state.segment, len(first), 0, log_state.crc), identity))
+        self.commit_new(IDENTITY)
         return identity
 
-    def begins(self) -> bool:
+    def is_uninitialized(self) -> bool:
         """Whether there is nothing to read: no file of a voter, or only those of a beginning that a crash ended."""
-        names = set(self.own())
+        names = set(self.member_files())
         return not names or (IDENTITY + NEW_SUFFIX in names and names <= INITIAL_FILES)
 
-    def lost(self) -> bool:
+    def has_set_aside(self) -> bool:
         """Whether files were set aside here, by any process: something may have been promised by them."""
         return any(name.startswith(DAMAGED) for name in os.listdir(self.path))
 
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -86,24 +86,24 @@
         self.members: frozenset[str] = frozenset()  # ids of the ones followed
         self.leader = ""
         self.member = ""  # who is asked
-        self.follows = ""  # the member whose news it takes; empty: none has told it any yet
-        self.known_at: int | None = None  # when what is held was last known to be of a leader with a majority
+        self.following = ""  # the member whose news it takes; empty: none has told it any yet
+        self.leader_known_at: int | None = None  # when what is held was last known to be of a leader with a majority
         self.random = Random(f"{name} {id}")
-        self.over = False
+        self.closed = False
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(MAX_ROUND_DELAY, self._again)
+        self.loop.after(MAX_ROUND_DELAY, self._restart)
 
-    def _again(self) -> None:
-        if not self.over:
+    def _restart(self) -> None:
+        if not self.closed:
             self.task = self.loop.spawn(self._run(), self._crashed)
 
     def age(self) -> int | None:
-        return None if self.known_at is None else max(0, self.loop.now() - self.known_at)
+        return None if self.leader_known_at is None else max(0, self.loop.now() - self.leader_known_at)
 
     def close(self) -> None:
-        self.over = True
+        self.closed = True
         self.task.cancel()
 
     def _run(self) -> Coroutine[None]:
@@ -123,7 +123,7 @@
                 why = "silent"
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
-            self.follows = ""
+            self.following = ""
             say(REPLICATION_LOST, member=self.member, why=why)
             turn += 1
             if self.loop.now() - begun_at > self.options.follow_wait + RESPONSE_GRACE:
@@ -144,35 +144,35 @@
             wait = 0 if first else self.options.follow_wait
             after = self.machine.index
             line.put(FollowRequest(after, wait))
-            news = yield from self._next(line, wait + RESPONSE_GRACE)
+            news = yield from self._read_frame(line, wait + RESPONSE_GRACE)
             if not isinstance(news, FollowResponse):
                 raise Gap(f"not news: {type(news).__name__}", self.member)
-            yield from self._take(line, news, after)
+            yield from self._apply_response(line, news, after)
             if first:
-                self.follows = self.member
+                self.following = self.member
                 say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
             first = False
 
-    def _next(self, line: FrameConnection, within: int) -> Coroutine[Frame]:
+    def _read_frame(self, line: FrameConnection, within: int) -> Coroutine[Frame]:
         return (yield from line.next(self.loop.now() + within))
 
-    def _take(self, line: FrameConnection, news: FollowResponse, after: int) -> Coroutine[None]:
+    def _apply_response(self, line: FrameConnection, news: FollowResponse, after: int) -> Coroutine[None]:
         members = frozenset(news.members)
         if news.after != after:
             raise Gap(f"news from behind {news.after}, where {after} was asked", self.member)
         if self.members and members and not self.members & members:
             say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
-            yield from self._fetch(line, anew=True)
+            yield from self._fetch_snapshot(line, anew=True)
             return
         if news.index < after:
             if not news.leads:
                 raise Behind(f"at index {news.index}, behind {after}", self.member)
             error = OtherCopies(f"its leader is at index {news.index}, and {after} was told", self.member)
             say(REPLICATION_LOST, member=self.member, why=error)
-            yield from self._fetch(line, anew=True)
+            yield from self._fetch_snapshot(line, anew=True)
             return
         if news.whole:
-            yield from self._fetch(line, anew=False)
+            yield from self._fetch_snapshot(line, anew=False)
             return
         if not news.entries and (news.age is None or news.age > MAX_LEADERLESS_ELECTIONS * self.options.election):
             raise Behind("without a leader", self.member)
@@ -182,24 +182,24 @@
             if entry.data:
                 self.machine.apply(entry.index, entry.data)
             else:
-                self.machine.passed(entry.index)
+                self.machine.skip(entry.index)
         if self.machine.index != news.index:
             raise Gap(f"news up to {news.index} end at {self.machine.index}", self.member)
-        self._knows(news, members)
+        self._record_leader(news, members)
         if news.entries:
             self.applied()
 
-    def _knows(self, news: FollowResponse | SnapshotChunk, members: frozenset[str]) -> None:
+    def _record_leader(self, news: FollowResponse | SnapshotChunk, members: frozenset[str]) -> None:
         self.leader, self.members = news.leader, members or self.members
         if news.age is not None:
-            self.known_at = max(self.known_at or 0, self.loop.now() - news.age)
+            self.leader_known_at = max(self.leader_known_at or 0, self.loop.now() - news.age)
 
-    def _fetch(self, line: FrameConnection, anew: bool) -> Coroutine[None]:
+    def _fetch_snapshot(self, line: FrameConnection, anew: bool) -> Coroutine[None]:
         """The machine as a whole, piece by piece. `anew`: it need not be a later state of the one held."""
         index, data = 0, bytearray()
         while True:
             line.put(FetchSnapshot(index, len(data)))
-            piece = yield from self._next(line, CHUNK_TIMEOUT)
+            piece = yield from self._read_frame(line, CHUNK_TIMEOUT)
             if not isinstance(piece, SnapshotChunk) or piece.size > MAX_SNAPSHOT_SIZE:
                 raise Gap(f"not a piece of the whole: {type(piece).__name__}", self.member)
             if piece.index != index or piece.at == 0:
@@ -213,5 +213,5 @@
         if machine.index != index or (machine.index < self.machine.index and not anew):
             raise Behind(f"the whole is of index {machine.index}, behind {self.machine.index}", self.member)
         self.machine = machine
-        self._knows(piece, frozenset(piece.members))
+        self._record_leader(piece, frozenset(piece.members))
         self.applied()
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -39,30 +39,32 @@
 
 
 class JoinProcess:
-    def __init__(self, loop: Loop, voter: Voter, still: Callable[[], bool]) -> None:
+    def __init__(self, loop: Loop, voter: Voter, is_active: Callable[[], bool]) -> None:
         """`still`: whether the voter takes part."""
         self.loop = loop
         self.voter = voter
-        self.still = still
+        self.is_active = is_active
         self.own = Member(voter.me, voter.name, voter.seats[voter.name])
         self.hello = Hello(VERSION, voter.options.cluster, voter.me, voter.name, ConnectionKind.CALLER)
         self.random = Random(f"{voter.me} joining")
         self.begun_at = loop.now()
-        self.joins = False
-        self.voted = False  # it was found in its place, in the life of this process: the disk alone does not tell
-        self.gathers = False  # it waits for answers; woken in any other wait, it would take that for its end
+        self.joining = False
+        self.is_confirmed_voter = (
+            False  # it was found in its place, in the life of this process: the disk alone does not tell
+        )
+        self.collecting = False  # it waits for answers; woken in any other wait, it would take that for its end
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
-        self.loop.after(MEMBER_CHECK_INTERVAL, self._again)
+        self.loop.after(MEMBER_CHECK_INTERVAL, self._restart)
 
-    def _again(self) -> None:
-        if self.still():
+    def _restart(self) -> None:
+        if self.is_active():
             self.task = self.loop.spawn(self._run(), self._crashed)
 
     def _run(self) -> Coroutine[None]:
-        while self.still():
-            if self._settled():
+        while self.is_active():
+            if self._is_in_place():
                 pause = MEMBER_CHECK_INTERVAL
             elif (yield from self._step()):
                 pause = STEP_INTERVAL
@@ -70,33 +72,38 @@
                 pause = STATUS_INTERVAL + self.random.randrange(STATUS_INTERVAL // 2)
             yield Wait(None, 0, self.loop.now() + pause)
 
-    def _settled(self) -> bool:
+    def _is_in_place(self) -> bool:
         """A member that votes, at the address that it has, with a leader or without one for a short time."""
         voter = self.voter
         own, age = voter.member(voter.me), voter.age()
-        if own is None or not own.votes or own.address != self.own.address or (self.joins and not voter.voted):
+        if (
+            own is None
+            or not own.votes
+            or own.address != self.own.address
+            or (self.joining and not voter.is_confirmed_voter)
+        ):
             return False
-        if self.joins:
-            self.joins = False
+        if self.joining:
+            self.joining = False
             say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
-        self.voted = self.voted or age is not None
+        self.is_confirmed_voter = self.is_confirmed_voter or age is not None
         away = age if age is not None else self.loop.now() - self.begun_at
         return away < LEADERLESS_ELECTIONS * voter.options.election
 
     def _step(self) -> Coroutine[bool]:
         """Whether something moved, so that the next step is worth a try at once."""
         voter = self.voter
-        answers = yield from self._ask_all()
-        if not self.still():
+        answers = yield from self._collect_status()
+        if not self.is_active():
             return False
-        if not voter.begun and not voter.lost:
+        if not voter.has_state and not voter.state_may_be_lost:
             members = tuple(founding_members(self.own, min(voter.seats), voter.seats, answers))
             if members:
                 say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
                 return True
         without = [n for n, (_, am) in answers.items() if am.sure and all(m.id != voter.me for m in am.members)]
-        if without and self.voted:
+        if without and self.is_confirmed_voter:
             voter.end(Removed(f"{without[0]} leads, and its members are without {voter.me}", voter.name))
             return False
         own = voter.member(voter.me)
@@ -104,21 +111,21 @@
             return False
         leaders = {am.leader: am.address for _, am in answers.values() if am.leader not in ("", voter.name)}
         for name, address in leaders.items():
-            joined = yield from self._call(voter.seats.get(name, address), name, self._join())
+            joined = yield from self._request(voter.seats.get(name, address), name, self._join())
             if isinstance(joined, JoinResponse):
                 if joined.on:
-                    self.joins = True
+                    self.joining = True
                     return True
                 say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
         if not leaders and self.loop.now() > self.begun_at + WAIT_LOG_DELAY:
             why = waiting_reason(voter.name, min(voter.seats), voter.seats, answers)
-            say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.lost else why)
+            say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.state_may_be_lost else why)
         return False
 
     def _join(self) -> JoinRequest:
         return JoinRequest(self.own.id, self.own.name, self.own.address)
 
-    def _ask_all(self) -> Coroutine[dict[str, tuple[str, StatusResponse]]]:
+    def _collect_status(self) -> Coroutine[dict[str, tuple[str, StatusResponse]]]:
         """How the other listed members stand, all asked at once."""
         answers: dict[str, tuple[str, StatusResponse]] = {}
         others = {name: address for name, address in self.voter.seats.items() if name != self.voter.name}
@@ -127,24 +134,24 @@
         def one(name: str, address: str) -> Coroutine[None]:
             nonlocal left
             try:
-                frame = yield from self._call(address, name, StatusRequest(tuple(self.voter.seats)), answers)
+                frame = yield from self._request(address, name, StatusRequest(tuple(self.voter.seats)), answers)
                 if not isinstance(frame, StatusResponse):
                     answers.pop(name, None)
             finally:
                 left -= 1
-                if self.gathers:
+                if self.collecting:
                     self.task.wake()
 
         for name, address in others.items():
             self.loop.spawn(one(name, address))
         until = self.loop.now() + 2 * RESPONSE_TIMEOUT
-        self.gathers = True
+        self.collecting = True
         while left and self.loop.now() < until:
             yield Wait(None, 0, until)
-        self.gathers = False
+        self.collecting = False
         return dict(answers)
 
-    def _call(
+    def _request(
         self, address: str, name: str, frame: Frame, answers: dict[str, tuple[str, StatusResponse]] | None = None
     ) -> Coroutine[Frame | None]:
         """One question to a member, and its answer; None where none came."""
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -157,36 +157,40 @@
         self.identity = identity
         self.segment = 0
         self.crc = 0
-        self.hard = HardState()
-        self.named: SnapshotFile | None = None
-        self.next = 1
-        self.floor = 1
-        self.tops: dict[int, int] = {}  # for each segment, the index behind the last entry in it that still holds
+        self.hard_state = HardState()
+        self.snapshot_file: SnapshotFile | None = None
+        self.next_index = 1
+        self.first_index = 1
+        self.segment_ends: dict[
+            int, int
+        ] = {}  # for each segment, the index behind the last entry in it that still holds
 
     @property
     def snapshot_index(self) -> int:
-        return self.named.index if self.named else 0
+        return self.snapshot_file.index if self.snapshot_file else 0
 
     # ---- writing ----
 
-    def begin(self) -> bytes:
+    def begin_segment(self) -> bytes:
         """The next segment's first bytes."""
-        head = SegmentHeader(self.identity, self.segment + 1, self.crc, self.next, self.hard, self.named)
+        head = SegmentHeader(
+            self.identity, self.segment + 1, self.crc, self.next_index, self.hard_state, self.snapshot_file
+        )
         self.crc = 0
         return FIRST_LINE + self.write(head)
 
     def write(self, value: Record) -> bytes:
         """`Unfit` where it can't come next."""
-        self._take(value)
+        self._apply(value)
         data, self.crc = encode_record(value, self.crc)
         return data
 
-    def asked(self, keep: PersistBatch, named: SnapshotFile | None) -> Iterator[Record]:
+    def records_of(self, keep: PersistBatch, named: SnapshotFile | None) -> Iterator[Record]:
         """The records of a batch, to be written one after another; `named` is its snapshot's file. A crash may leave
         the first few only, and that is sound: the vote comes first, and what is cut was never committed."""
         if keep.hard is not None:
             yield keep.hard
-        if keep.cut is not None and keep.cut < self.next:
+        if keep.cut is not None and keep.cut < self.next_index:
             yield TruncateRecord(keep.cut)
         if named is not None:
             yield SnapshotRecord(named, keep.all_gone)
@@ -194,7 +198,7 @@
 
     # ---- reading ----
 
-    def read(self, number: int, data: bytes) -> Iterator[tuple[int, Record]]:
+    def read_segment(self, number: int, data: bytes) -> Iterator[tuple[int, Record]]:
         """Each record of the segment of that number with the byte behind it, once it has been taken. `Damaged`, and
         its kind `Torn`: see `scanned`."""
         before = self.crc
@@ -204,7 +208,7 @@
                     raise Unfit("a head is the first record of a segment, and nothing else is")
                 if isinstance(value, SegmentHeader):
                     self._check(value, number, before)
-                self._take(value)
+                self._apply(value)
             except Unfit as unfit:
                 raise Damaged(str(unfit), start) from None
             self.crc = crc
@@ -221,53 +225,67 @@
         if head.segment != number:
             raise Unfit(f"segment {head.segment} in the place of {number}")
         if not self.segment:  # the first that is left: all before it are taken at its word
-            self.hard, self.named, self.next, self.floor = head.hard, head.named, head.next, head.next
-        elif (head.before, head.next, head.hard, head.named) != (before, self.next, self.hard, self.named):
+            self.hard_state, self.snapshot_file, self.next_index, self.first_index = (
+                head.hard,
+                head.named,
+                head.next,
+                head.next,
+            )
+        elif (head.before, head.next, head.hard, head.named) != (
+            before,
+            self.next_index,
+            self.hard_state,
+            self.snapshot_file,
+        ):
             raise Unfit("it does not follow on the segment before")
 
     # ---- the rules ----
 
-    def _take(self, value: Record) -> None:
+    def _apply(self, value: Record) -> None:
         match value:
             case Entry():
-                if value.index != self.next:
-                    raise Unfit(f"entry {value.index} where {self.next} is next")
-                self.next += 1
-                self.tops[self.segment] = self.next
+                if value.index != self.next_index:
+                    raise Unfit(f"entry {value.index} where {self.next_index} is next")
+                self.next_index += 1
+                self.segment_ends[self.segment] = self.next_index
             case HardState():
-                changed = value.term == self.hard.term and self.hard.vote not in ("", value.vote)
-                if value.term < self.hard.term or changed:
-                    raise Unfit(f"term {value.term} with vote {value.vote!r} after {self.hard}")
-                self.hard = value
+                changed = value.term == self.hard_state.term and self.hard_state.vote not in ("", value.vote)
+                if value.term < self.hard_state.term or changed:
+                    raise Unfit(f"term {value.term} with vote {value.vote!r} after {self.hard_state}")
+                self.hard_state = value
             case TruncateRecord():
-                if not self.snapshot_index < value.index <= self.next:
-                    raise Unfit(f"cut at {value.index}, with a snapshot at {self.snapshot_index}, {self.next} is next")
-                self._end(value.index)
+                if not self.snapshot_index < value.index <= self.next_index:
+                    raise Unfit(
+                        f"cut at {value.index}, with a snapshot at {self.snapshot_index}, {self.next_index} is next"
+                    )
+                self._truncate(value.index)
             case SnapshotRecord():
                 index = value.named.index
-                if index < self.snapshot_index or (self.named and value.named.number <= self.named.number):
-                    raise Unfit(f"a snapshot at {index} after {self.named}")
-                self.named = value.named
-                if value.all_gone or index >= self.next:
-                    self._end(index + 1)
+                if index < self.snapshot_index or (
+                    self.snapshot_file and value.named.number <= self.snapshot_file.number
+                ):
+                    raise Unfit(f"a snapshot at {index} after {self.snapshot_file}")
+                self.snapshot_file = value.named
+                if value.all_gone or index >= self.next_index:
+                    self._truncate(index + 1)
             case SegmentHeader():
                 self.segment = value.segment
-                self.tops[self.segment] = 0
+                self.segment_ends[self.segment] = 0
 
-    def _end(self, index: int) -> None:
-        self.next = index
-        self.floor = min(self.floor, index)
-        self.tops = {segment: min(top, index) for segment, top in self.tops.items()}
+    def _truncate(self, index: int) -> None:
+        self.next_index = index
+        self.first_index = min(self.first_index, index)
+        self.segment_ends = {segment: min(top, index) for segment, top in self.segment_ends.items()}
 
-    def lacking(self) -> str:
+    def missing_entries(self) -> str:
         """What is missing between the snapshot and the first entry; empty: nothing."""
         first = self.snapshot_index + 1
-        return f"entries {first} to {self.floor - 1} are missing" if self.floor > first else ""
+        return f"entries {first} to {self.first_index - 1} are missing" if self.first_index > first else ""
 
-    def spare(self) -> int | None:
+    def obsolete_segment(self) -> int | None:
         """The first segment, where nothing in it is needed any more."""
-        first = next(iter(self.tops))
-        return first if first != self.segment and self.tops[first] <= self.snapshot_index + 1 else None
+        first = next(iter(self.segment_ends))
+        return first if first != self.segment and self.segment_ends[first] <= self.snapshot_index + 1 else None
 
 
 # ---- the other files ----------------------------------------------------------------------------
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -26,16 +26,18 @@
     """Invariant: `held` is the length of all in `out`; `out` is not empty only where the socket took no more when it
     was last tried, and then whoever runs the line waits for it to be writable."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, most: int = MAX_UNSENT_BYTES) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
         self.loop = loop
         self.sock = sock
-        self.most = most
+        self.max_unsent_bytes = max_unsent_bytes
         self.task: Task | None = None  # who runs it
         self.reader = FrameReader()
-        self.out: deque[tuple[memoryview, bool]] = deque()  # what is left of each frame, and whether it may be dropped
-        self.held = 0
-        self.told_to_write = False  # whoever runs it waits for it to be writable
-        self.over = False
+        self.unsent: deque[tuple[memoryview, bool]] = (
+            deque()
+        )  # what is left of each frame, and whether it may be dropped
+        self.unsent_bytes = 0
+        self.waiting_writable = False  # whoever runs it waits for it to be writable
+        self.closed = False
 
     # ---- out ----
 
@@ -45,48 +47,48 @@
     def write(self, data: bytes, may_drop: bool = False) -> None:
         """A frame as it goes out. Over the bound the oldest that may be dropped go; where that does not help, the line
         is of no use, and ends."""
-        if self.over:
+        if self.closed:
             return
-        self.out.append((memoryview(data), may_drop))
-        self.held += len(data)
-        if len(self.out) == 1:
+        self.unsent.append((memoryview(data), may_drop))
+        self.unsent_bytes += len(data)
+        if len(self.unsent) == 1:
             self._flush()
-        if self.held > self.most:
+        if self.unsent_bytes > self.max_unsent_bytes:
             self._drop()
-        if self.out and self.task is not None and not self.told_to_write:
+        if self.unsent and self.task is not None and not self.waiting_writable:
             self.task.wake()
 
     def _drop(self) -> None:
         kept: deque[tuple[memoryview, bool]] = deque()
-        for number, (data, may_drop) in enumerate(self.out):
-            if number and may_drop and self.held > self.most:  # the first may have gone out in part
-                self.held -= len(data)
+        for number, (data, may_drop) in enumerate(self.unsent):
+            if number and may_drop and self.unsent_bytes > self.max_unsent_bytes:  # the first may have gone out in part
+                self.unsent_bytes -= len(data)
             else:
                 kept.append((data, may_drop))
-        self.out = kept
-        if self.held > self.most:
-            self.shut()
+        self.unsent = kept
+        if self.unsent_bytes > self.max_unsent_bytes:
+            self.abort()
 
     def _flush(self) -> None:
         try:
-            while self.out:
-                sent = self.sock.sendmsg([data for data, _ in list(self.out)[:MAX_FRAMES_PER_WRITE]])
-                self.held -= sent
+            while self.unsent:
+                sent = self.sock.sendmsg([data for data, _ in list(self.unsent)[:MAX_FRAMES_PER_WRITE]])
+                self.unsent_bytes -= sent
                 while sent:
-                    data, may_drop = self.out[0]
+                    data, may_drop = self.unsent[0]
                     if sent < len(data):
-                        self.out[0] = data[sent:], may_drop
+                        self.unsent[0] = data[sent:], may_drop
                         break
                     sent -= len(data)
-                    self.out.popleft()
+                    self.unsent.popleft()
         except BlockingIOError:
             pass
         except OSError:
-            self.shut()
+            self.abort()
 
     def alive(self) -> bool:
         """Whether the other side has not ended it, as far as its packets tell by now."""
-        if self.over:
+        if self.closed:
             return False
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
@@ -95,17 +97,17 @@
         except OSError:
             return False
 
-    def shut(self) -> None:
+    def abort(self) -> None:
         """Nothing more goes out, and whoever runs the line finds it at its end."""
-        if not self.over:
-            self.over = True
-            self.out.clear()
-            self.held = 0
+        if not self.closed:
+            self.closed = True
+            self.unsent.clear()
+            self.unsent_bytes = 0
             if self.task is not None:
                 self.task.wake()
 
     def close(self) -> None:
-        self.shut()
+        self.abort()
         self.loop.close(self.sock)
 
     # ---- in ----
@@ -116,16 +118,16 @@
             frame = self.reader.next()
             if frame is not None:
                 return frame
-            if self.over:
+            if self.closed:
                 raise ConnectionError("ended")
-            self.told_to_write = bool(self.out)
-            events = yield Wait(self.sock, READABLE | WRITABLE if self.out else READABLE, until)
-            self.told_to_write = False
+            self.waiting_writable = bool(self.unsent)
+            events = yield Wait(self.sock, READABLE | WRITABLE if self.unsent else READABLE, until)
+            self.waiting_writable = False
             if events == 0:
                 raise TookTooLong
-            if events == WOKEN or self.over:
+            if events == WOKEN or self.closed:
                 continue
-            if self.out:
+            if self.unsent:
                 self._flush()
             try:
                 data = self.sock.recv(READ_SIZE)
@@ -135,17 +137,17 @@
                 raise ConnectionError("ended")
             self.reader.feed(data)
 
-    def taken(self, until: int) -> Coroutine[None]:
+    def flushed(self, until: int) -> Coroutine[None]:
         """Until the other side's kernel has taken all that was put; one of `Broken` where it doesn't in time."""
-        while self.out and not self.over:
-            self.told_to_write = True
+        while self.unsent and not self.closed:
+            self.waiting_writable = True
             events = yield Wait(self.sock, WRITABLE, until)
-            self.told_to_write = False
+            self.waiting_writable = False
             if events == 0:
                 raise TookTooLong
             self._flush()
 
-    def greeting(self, until: int) -> Coroutine[Hello]:
+    def read_hello(self, until: int) -> Coroutine[Hello]:
         """The other side's first frame; `TurnedAway` where that says no, or says something else."""
         frame = yield from self.next(until)
         if isinstance(frame, ConnectionRejected):
@@ -162,7 +164,7 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         line.put(hello)
-        there = yield from line.greeting(min(until, loop.now() + GREETING_TIMEOUT))
+        there = yield from line.read_hello(min(until, loop.now() + GREETING_TIMEOUT))
     except CONNECTION_ERRORS:
         line.close()
         raise NotUp(Outcome.CONNECT_FAILED) from None
--- a/loftweir/replication/links.py
+++ b/loftweir/replication/links.py
@@ -27,26 +27,26 @@
     """Invariant: messages leave in the order in which they were said, and none twice."""
 
     def __init__(
-        self, loop: Loop, id: str, hello: Hello, address: Callable[[], str], turned: Callable[[str, str], None]
+        self, loop: Loop, id: str, hello: Hello, address: Callable[[], str], on_rejected: Callable[[str, str], None]
     ) -> None:
         """`address` is asked at each attempt; `turned` is told the id and why nothing is taken there."""
         self.loop = loop
         self.id = id
         self.hello = hello
         self.address = address
-        self.turned = turned
-        self.waiting: deque[AnyMessage] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self.on_rejected = on_rejected
+        self.queue: deque[AnyMessage] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self.line: FrameConnection | None = None
-        self.said_at = loop.now()
-        self.rests = False  # it waits for something to say; woken in any other wait, it would take that for its end
+        self.last_used_at = loop.now()
+        self.idle = False  # it waits for something to say; woken in any other wait, it would take that for its end
         self.random = Random(f"{hello.id} {id}")
         self.task: Task = loop.spawn(self._run(), urgent=True)
 
     def put(self, message: AnyMessage) -> None:
-        self.said_at = self.loop.now()
+        self.last_used_at = self.loop.now()
         if self.line is None:
-            self.waiting.append(message)
-            if self.rests:
+            self.queue.append(message)
+            if self.idle:
                 self.task.wake()
         else:
             self.line.put(message, isinstance(message, AppendEntries | InstallSnapshot))
@@ -57,37 +57,37 @@
     def _run(self) -> Coroutine[None]:
         apart = MIN_RECONNECT_DELAY
         while True:
-            self.rests = True
-            while not self.waiting:
+            self.idle = True
+            while not self.queue:
                 yield Wait(None, 0, None)
-            self.rests = False
+            self.idle = False
             try:
                 line, there = yield from dial(self.loop, self.address(), self.hello, self.loop.now() + CONNECT_TIMEOUT)
             except (NotUp, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
-                    self.turned(self.id, str(error))
+                    self.on_rejected(self.id, str(error))
             else:
                 try:
                     if there.id != self.id:
-                        self.turned(self.id, f"{RejectReason.ANOTHER_ID.value} {there.id}")
+                        self.on_rejected(self.id, f"{RejectReason.ANOTHER_ID.value} {there.id}")
                     else:
                         apart = MIN_RECONNECT_DELAY
-                        yield from self._talk(line)
+                        yield from self._send_queued(line)
                 except CONNECTION_ERRORS:
                     pass
                 finally:
                     self.line = None
                     line.close()
-            self.waiting.clear()
+            self.queue.clear()
             yield Wait(None, 0, self.loop.now() + apart // 2 + self.random.randrange(apart))
             apart = min(2 * apart, MAX_RECONNECT_DELAY)
 
-    def _talk(self, line: FrameConnection) -> Coroutine[None]:
-        line.most, line.task, self.line = MAX_UNSENT_BYTES, self.task, line
-        while self.waiting:
-            self.put(self.waiting.popleft())
+    def _send_queued(self, line: FrameConnection) -> Coroutine[None]:
+        line.max_unsent_bytes, line.task, self.line = MAX_UNSENT_BYTES, self.task, line
+        while self.queue:
+            self.put(self.queue.popleft())
         while True:
             frame = yield from line.next(None)
             if isinstance(frame, ConnectionRejected):
-                self.turned(self.id, f"{frame.why.value} {frame.about}".strip())
+                self.on_rejected(self.id, f"{frame.why.value} {frame.about}".strip())
                 return
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -279,10 +279,10 @@
 def validate(data: bytes) -> AnyResult | None:
     """What a member says at once to a caller's order that the machine would refuse whatever it holds (index 0); None:
     into the log with it. Only a leader's own orders have no session."""
-    order = _decode_command(data)
-    if order is None:
+    command = _decode_command(data)
+    if command is None:
         return UnreadableCommand(0)
-    return _validation_error(0, order) if order.session else InvalidCommand(0, "an order without a session")
+    return _validation_error(0, command) if command.session else InvalidCommand(0, "an order without a session")
 
 
 # ---- what is kept -------------------------------------------------------------------------------
@@ -292,7 +292,7 @@
     """A word that holds."""
 
     out: bool
-    order: int  # the index of its entry: a later one has a higher
+    log_index: int  # the index of its entry: a later one has a higher
     at: int
 
 
@@ -312,10 +312,10 @@
 
 
 class Session(NamedTuple):
-    began: int
-    used: int  # the index of its last order, also of one sent again
-    last: int  # number
-    result: AnyResult  # of that
+    began_index: int
+    last_used_index: int  # the index of its last order, also of one sent again
+    last_number: int  # number
+    last_result: AnyResult  # of that
     ended: bool
 
 
@@ -352,16 +352,16 @@
     return 0 < len(name) <= most and _is_printable(name) is not None
 
 
-def _has_valid_session(order: Command) -> bool:
-    return valid_name(order.session, 64) and 0 < order.number <= MAX_INT64
+def _has_valid_session(command: Command) -> bool:
+    return valid_name(command.session, 64) and 0 < command.number <= MAX_INT64
 
 
-def _validation_error(index: int, order: Command) -> InvalidCommand | None:
+def _validation_error(index: int, command: Command) -> InvalidCommand | None:
     """What makes an order one that is never taken, if anything does."""
-    act = order.act
-    if isinstance(act, ExpireLease) and (order.session or order.number):
+    act = command.act
+    if isinstance(act, ExpireLease) and (command.session or command.number):
         return InvalidCommand(index, "an end of a lease that is not the leader's own")
-    if not isinstance(act, ExpireLease) and not _has_valid_session(order):
+    if not isinstance(act, ExpireLease) and not _has_valid_session(command):
         return InvalidCommand(
             index, "a session's name of 1 to 64 printable characters and a number from 1 on are needed"
         )
@@ -400,79 +400,81 @@
 
     def __init__(self) -> None:
         self.index = 0  # of the last entry applied or passed over
-        self.words: dict[str, Override] = {}
+        self.overrides: dict[str, Override] = {}
         self.leases: dict[str, Lease] = {}
         self.fenced_values: dict[tuple[str, str], FencedValue] = {}  # by duty and key
         self.fenced_bytes = 0
         self.sessions: dict[str, Session] = {}
         self.claims: Claims | None = None  # of names, once there was one
-        self.thinned = 0  # the index at which a word went to make room
-        self.horizon = 0  # the highest index at which a session that was let go began
-        self.moved = ""  # the duty whose lease the last entry granted, renewed or ended; not kept: for the keeper
+        self.overrides_dropped_index = 0  # the index at which a word went to make room
+        self.session_horizon = 0  # the highest index at which a session that was let go began
+        self.changed_lease = (
+            ""  # the duty whose lease the last entry granted, renewed or ended; not kept: for the keeper
+        )
 
     # ---- entries ----
 
-    def passed(self, index: int) -> None:
+    def skip(self, index: int) -> None:
         """An entry of another kind is committed. Raises ValueError where the log does not go forward."""
         if index <= self.index:
             raise ValueError(f"entry {index} after {self.index}")
-        self.index, self.moved = index, ""
+        self.index, self.changed_lease = index, ""
 
     def apply(self, index: int, data: bytes) -> AnyResult:
         """A committed write. Raises ValueError only where the log does not go forward, whatever the data."""
-        self.passed(index)
-        order = _decode_command(data)
-        if order is None:
+        self.skip(index)
+        command = _decode_command(data)
+        if command is None:
             return UnreadableCommand(index)
-        unfit = _validation_error(index, order)
-        if not _has_valid_session(order):  # a leader's own, or unfit
-            return unfit or self._do(order.act)
-        known = self.sessions.pop(order.session, None)
+        unfit = _validation_error(index, command)
+        if not _has_valid_session(command):  # a leader's own, or unfit
+            return unfit or self._execute(command.act)
+        known = self.sessions.pop(command.session, None)
         if known is None:
-            if order.number != 1 or (order.since is not None and order.since < self.horizon):
+            if command.number != 1 or (command.since is not None and command.since < self.session_horizon):
                 return UnknownSession(index)
             if len(self.sessions) >= MAX_SESSIONS:
                 gone = self.sessions.pop(next(iter(self.sessions)))
-                self.horizon = max(self.horizon, gone.began)
+                self.session_horizon = max(self.session_horizon, gone.began_index)
             known = Session(index, index, 0, Ok(0), False)
-        self.sessions[order.session] = known = known._replace(used=index)  # at the end now
-        if order.number < known.last:
-            return StaleNumber(index, known.last)
-        if order.number == known.last:
-            return known.result
+        self.sessions[command.session] = known = known._replace(last_used_index=index)  # at the end now
+        if command.number < known.last_number:
+            return StaleNumber(index, known.last_number)
+        if command.number == known.last_number:
+            return known.last_result
         if known.ended:
             return UnknownSession(index)
-        result = unfit or self._do(order.act)
-        known = self.sessions[order.session]  # which the act may have ended
-        self.sessions[order.session] = known._replace(last=order.number, result=result)
+        result = unfit or self._execute(command.act)
+        known = self.sessions[command.session]  # which the act may have ended
+        self.sessions[command.session] = known._replace(last_number=command.number, last_result=result)
         return result
 
-    def _do(self, act: Operation) -> AnyResult:
+    def _execute(self, act: Operation) -> AnyResult:
         return OPERATION_HANDLERS[type(act)](self, act)
 
-    def _word(self, act: SetOverride) -> AnyResult:
-        if act.name not in self.words and len(self.words) >= MAX_OVERRIDES:
+    def _set_override(self, act: SetOverride) -> AnyResult:
+        if act.name not in self.overrides and len(self.overrides) >= MAX_OVERRIDES:
             # A provider called back is as one of whom nothing was said, but for its start.
-            back = next((name for name, said in self.words.items() if not said.out), None)
+            back = next((name for name, said in self.overrides.items() if not said.out), None)
             if back is None:
                 return CapacityExceeded(self.index, "providers taken out", MAX_OVERRIDES)
-            del self.words[back]
-            self.thinned = self.index
-        self.words.pop(act.name, None)
-        self.words[act.name] = Override(act.out, self.index, act.at)
+            del self.overrides[back]
+            self.overrides_dropped_index = self.index
+        self.overrides.pop(act.name, None)
+        self.overrides[act.name] = Override(act.out, self.index, act.at)
         return Ok(self.index)
 
-    def _acquire(self, act: AcquireLease) -> AnyResult:
+    def _acquire_lease(self, act: AcquireLease) -> AnyResult:
         lease = self.leases.get(act.duty)
         if lease is not None:  # its own holder's too: the answer may have been lost, and the old token must end first
             return LeaseHeld(self.index, lease.holder, lease.token)
         if len(self.leases) >= MAX_LEASES:
             return CapacityExceeded(self.index, "leases", MAX_LEASES)
         self.leases[act.duty] = Lease(act.holder, self.index, act.ttl, self.index)
-        self.moved = act.duty
+        self.changed_lease = act.duty
         return Ok(self.index, self.index)
 
-    def _refused(self, duty: str, token: int, holder: str | None = None) -> AnyResult | None:
+    def _token_error(self, duty: str, token: int, holder: str | None = None) -> AnyResult | None:
         lease = self.leases.get(duty)
         if lease is not None and token < lease.token:
             return StaleToken(self.index, token, lease.token)
@@ -480,33 +482,33 @@
             return LeaseNotHeld(self.index, token)
         return None
 
-    def _renew(self, act: RenewLease) -> AnyResult:
-        refused = self._refused(act.duty, act.token, act.holder)
+    def _renew_lease(self, act: RenewLease) -> AnyResult:
+        refused = self._token_error(act.duty, act.token, act.holder)
         if refused is None:
             self.leases[act.duty] = self.leases[act.duty]._replace(renewed=self.index)
-            self.moved = act.duty
+            self.changed_lease = act.duty
         return refused or Ok(self.index, act.token)
 
-    def _release(self, act: ReleaseLease) -> AnyResult:
-        refused = self._refused(act.duty, act.token, act.holder)
+    def _release_lease(self, act: ReleaseLease) -> AnyResult:
+        refused = self._token_error(act.duty, act.token, act.holder)
         if refused is None:
             del self.leases[act.duty]
-            self.moved = act.duty
+            self.changed_lease = act.duty
         return refused or Ok(self.index, act.token)
 
-    def _expire(self, act: ExpireLease) -> AnyResult:
-        refused = self._refused(act.duty, act.token)
+    def _expire_lease(self, act: ExpireLease) -> AnyResult:
+        refused = self._token_error(act.duty, act.token)
         if refused is not None:
             return refused
         lease = self.leases[act.duty]
         if lease.renewed > act.renewed:
             return LeaseHeld(self.index, lease.holder, lease.token)
         del self.leases[act.duty]
-        self.moved = act.duty
+        self.changed_lease = act.duty
         return Ok(self.index, act.token)
 
-    def _fenced(self, act: FencedWrite) -> AnyResult:
-        refused = self._refused(act.duty, act.token)
+    def _write_fenced(self, act: FencedWrite) -> AnyResult:
+        refused = self._token_error(act.duty, act.token)
         if refused is not None:
             return refused
         where = (act.duty, act.key)
@@ -525,10 +527,10 @@
         self.fenced_bytes = size
         return Ok(self.index, act.token)
 
-    def _named(self, act: ClaimName) -> AnyResult:
+    def _claim_name(self, act: ClaimName) -> AnyResult:
         from loftweir.catalog import claims  # here: copies that hold no names do without
 
-        refused = self._refused(act.duty, act.token)
+        refused = self._token_error(act.duty, act.token)
         if refused is not None:
             return refused
         try:
@@ -551,13 +553,13 @@
 
     # ---- views ----
 
-    def words_since(self, index: int) -> tuple[bool, dict[str, Override]]:
+    def overrides_since(self, index: int) -> tuple[bool, dict[str, Override]]:
         """What was said behind an index. With True they are all words, in place of what was known before: one that the
         reader may know of has gone. Nothing, for a reader who is ahead of this machine."""
-        whole = index < self.thinned
+        whole = index < self.overrides_dropped_index
         words: dict[str, Override] = {}
-        for name, said in reversed(self.words.items()):
-            if said.order <= index and not whole:
+        for name, said in reversed(self.overrides.items()):
+            if said.log_index <= index and not whole:
                 break
             words[name] = said
         return whole, dict(reversed(words.items()))
@@ -567,8 +569,8 @@
     def dump(self) -> bytes:
         """The same bytes of equal machines."""
         facts = [(duty, key, fact) for (duty, key), fact in sorted(self.fenced_values.items())]
-        words, sessions, leases = list(self.words.items()), list(self.sessions.items()), sorted(self.leases.items())
-        kept = self.index, self.thinned, self.horizon, words, leases, facts, sessions
+        words, sessions, leases = list(self.overrides.items()), list(self.sessions.items()), sorted(self.leases.items())
+        kept = self.index, self.overrides_dropped_index, self.session_horizon, words, leases, facts, sessions
         if self.claims is None or not self.claims.table:
             return _msgpack_encode(_Dump(VERSION, *kept))
         return _msgpack_encode(
@@ -591,8 +593,8 @@
         except (ValueError, RecursionError) as error:
             raise Foreign(f"a snapshot that is not in its form: {error}") from None
         machine = cls()
-        machine.index, machine.thinned, machine.horizon = kept.index, kept.thinned, kept.horizon
-        machine.words, machine.leases, machine.sessions = dict(kept.words), dict(kept.leases), dict(kept.sessions)
+        machine.index, machine.overrides_dropped_index, machine.session_horizon = kept.index, kept.thinned, kept.horizon
+        machine.overrides, machine.leases, machine.sessions = dict(kept.words), dict(kept.leases), dict(kept.sessions)
         machine.claims = claimed
         machine.fenced_values = {(duty, key): fact for duty, key, fact in kept.facts}
         machine.fenced_bytes = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in kept.facts)
@@ -600,12 +602,12 @@
 
 
 OPERATION_HANDLERS: dict[type, Callable[[Machine, Any], AnyResult]] = {
-    SetOverride: Machine._word,
-    AcquireLease: Machine._acquire,
-    RenewLease: Machine._renew,
-    ReleaseLease: Machine._release,
-    ExpireLease: Machine._expire,
-    FencedWrite: Machine._fenced,
-    ClaimName: Machine._named,
+    SetOverride: Machine._set_override,
+    AcquireLease: Machine._acquire_lease,
+    RenewLease: Machine._renew_lease,
+    ReleaseLease: Machine._release_lease,
+    ExpireLease: Machine._expire_lease,
+    FencedWrite: Machine._write_fenced,
+    ClaimName: Machine._claim_name,
     EndSession: Machine._end_session,
 }
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -58,29 +58,35 @@
     copies were begun anew."""
 
     def __init__(
-        self, loop: Loop, name: str, options: Replication, told: Callable[[Mapping[str, LastCommand], bool], None]
+        self,
+        loop: Loop,
+        name: str,
+        options: Replication,
+        on_overrides: Callable[[Mapping[str, LastCommand], bool], None],
     ) -> None:
         self.loop = loop
         self.name = name
         self.options = options
-        self.told = told
+        self.on_overrides = on_overrides
         self.seats = seats(options.members)
         self.id = secrets.token_hex(8)  # of this process, where it does not vote
         self.folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
         self.index = 0  # of what holds here
-        self.known_at: int | None = None  # where only what was remembered does: when it was the latest
+        self.cached_at: int | None = None  # where only what was remembered does: when it was the latest
         self.members: frozenset[str] = frozenset()  # ids of the voters that it is of
-        self.words: dict[str, LastCommand] = {}
+        self.overrides: dict[str, LastCommand] = {}
         self.machine: Machine | None = None  # the state that holds here; None: none was heard of yet
         self.machine_listeners: list[Callable[[Machine], None]] = []  # who else is told of each change of it
-        self.ahead: dict[str, int] = {}  # commands answered for, and from which index on the machine has them
-        self.saves = False  # a file is to be written
+        self.acknowledged_ahead: dict[
+            str, int
+        ] = {}  # commands answered for, and from which index on the machine has them
+        self.save_scheduled = False  # a file is to be written
         self.saved_at = 0
         self.voter: Voter | None = None
         self.reception: ReplicationListener | None = None
-        self.follower: Observer | None = None
+        self.observer: Observer | None = None
         self.joining: JoinProcess | None = None
-        self.leaves = False
+        self.leaving = False
         self.proposer = Proposer(loop, name, self.id, options, self.seats, lambda: self.index)
 
     # ---- begin and end --------------------------------------------------------------------------
@@ -95,73 +101,73 @@
             say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
             return
         if found is not None:
-            self.index, self.known_at, self.members = found.index, found.known_at, frozenset(found.members)
-            self.words = {name: LastCommand(*command) for name, command in found.words.items()}
-            self.told(self.words, True)
+            self.index, self.cached_at, self.members = found.index, found.known_at, frozenset(found.members)
+            self.overrides = {name: LastCommand(*command) for name, command in found.words.items()}
+            self.on_overrides(self.overrides, True)
 
     def start(self) -> None:
         if self.name not in self.seats:
-            self._follow()
-        elif not self._vote():
-            self.loop.spawn(self._try_to_vote())
+            self._start_observing()
+        elif not self._start_voting():
+            self.loop.spawn(self._retry_voting())
 
-    def _follow(self) -> None:
-        if self.follower is None:
-            self.follower = Observer(self.loop, self.name, self.id, self.options, self.seats, self._followed)
+    def _start_observing(self) -> None:
+        if self.observer is None:
+            self.observer = Observer(self.loop, self.name, self.id, self.options, self.seats, self._observed)
 
-    def _try_to_vote(self) -> Coroutine[None]:
-        while not self.leaves:
+    def _retry_voting(self) -> Coroutine[None]:
+        while not self.leaving:
             yield Wait(None, 0, self.loop.now() + VOTE_RETRY_INTERVAL)
-            if self.leaves or self._vote():
+            if self.leaving or self._start_voting():
                 return
 
-    def _vote(self) -> bool:
+    def _start_voting(self) -> bool:
         """Takes the part of a member; False: not now, and it follows meanwhile."""
         options, address = self.options, self.seats[self.name]
         try:
             sock = reception.bind_listener(address)
         except OSError as error:
             say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
-            self._follow()
+            self._start_observing()
             return False
         try:  # second, since reading it takes the loop's time
             disk, kept, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
             say(REPLICATION_WAITS, why=error)
-            self._follow()
+            self._start_observing()
             return False
         except StorageFailed as error:
             sock.close()
-            self._ended(error)
+            self._on_voter_ended(error)
             return True
         index = kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot else 0
         folder = options.folder
         say(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
             say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
-        voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._ended)
+        voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._on_voter_ended)
         listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
-        self._end_following()
+        self._stop_observing()
         self.voter, self.reception = voter, listener
         voter.start()
         self.joining = JoinProcess(self.loop, voter, lambda: self.voter is voter)
         return True
 
-    def _end_following(self) -> None:
-        if self.follower is not None:
-            self.follower.close()
-            self.follower = None
+    def _stop_observing(self) -> None:
+        if self.observer is not None:
+            self.observer.close()
+            self.observer = None
 
-    def _ended(self, why: LoftweirError) -> None:
+    def _on_voter_ended(self, why: LoftweirError) -> None:
         """The member's part is over, the sidecar's is not."""
         say(REPLICATION_ENDED, why=why, remedy=why.remedy)
-        self._end_voting()
-        if not self.leaves:
-            self._follow()
+        self._stop_voting()
+        if not self.leaving:
+            self._start_observing()
 
-    def _end_voting(self, within: float = 0.0) -> None:
+    def _stop_voting(self, within: float = 0.0) -> None:
         if self.voter is not None and self.reception is not None and self.joining is not None:
             self.reception.close()
             self.voter.close(within)
@@ -171,26 +177,26 @@
     def leave(self) -> None:
         """The process is about to end. One that leads hands over first; then the folder and the address are free for
         the next process, and this one follows for as long as it is there."""
-        self.leaves = True
+        self.leaving = True
         if self.voter is not None:
-            self.loop.spawn(self._hand_over(self.voter))
+            self.loop.spawn(self._transfer_and_stop(self.voter))
 
-    def _hand_over(self, voter: Voter) -> Coroutine[None]:
+    def _transfer_and_stop(self, voter: Voter) -> Coroutine[None]:
         until = self.loop.now() + self.options.election + 200 * MS
-        voter.hand_over()
-        while voter.core.role is Role.LEADER and not voter.over and self.loop.now() < until:
+        voter.transfer_leadership()
+        while voter.core.role is Role.LEADER and not voter.closed and self.loop.now() < until:
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         if self.voter is voter:
-            self._end_voting()
-            self._follow()
+            self._stop_voting()
+            self._start_observing()
 
     def close(self) -> None:
         """The end: what was asked to be kept is."""
-        self.leaves = True
-        if self.saves:
+        self.leaving = True
+        if self.save_scheduled:
             self._save()
-        self._end_voting(within=0.5)
-        self._end_following()
+        self._stop_voting(within=0.5)
+        self._stop_observing()
         self.proposer.close()
 
     # ---- what holds -----------------------------------------------------------------------------
@@ -198,40 +204,44 @@
     def _applied(self) -> None:
         if self.voter is not None and self.reception is not None:
             self.reception.applied()
-            self._tell(self.voter.machine, frozenset(m.id for m in self.voter.core.members))
+            self._update_from(self.voter.machine, frozenset(m.id for m in self.voter.core.members))
 
-    def _followed(self) -> None:
-        if self.follower is not None:
-            self._tell(self.follower.machine, self.follower.members)
+    def _observed(self) -> None:
+        if self.observer is not None:
+            self._update_from(self.observer.machine, self.observer.members)
 
-    def _tell(self, machine: Machine, members: frozenset[str]) -> None:
+    def _update_from(self, machine: Machine, members: frozenset[str]) -> None:
         anew = bool(self.members and members) and not self.members & members
         if anew:
-            self.index, self.ahead = 0, {}
+            self.index, self.acknowledged_ahead = 0, {}
         self.members = members or self.members
         if machine.index < self.index:
             return  # a voter that has yet to hear how much of its log holds, or one that joins
-        whole, commands = machine.words_since(self.index)
-        self.index, self.known_at, self.machine = machine.index, None, machine
+        whole, commands = machine.overrides_since(self.index)
+        self.index, self.cached_at, self.machine = machine.index, None, machine
         for listener in self.machine_listeners:
             listener(machine)
         if not commands and not whole and not anew:
             return
         said = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
-        self.ahead = {name: index for name, index in self.ahead.items() if index > machine.index}
-        said |= {name: self.words[name] for name in self.ahead}  # not undone by an older one on the way
-        self.words = said if whole or anew else {**self.words, **said}
-        say(REPLICATION_WORDS, out=self.out(), index=self.index)
-        self.told(said, whole or anew)
-        if self.folder is not None and not self.saves:
-            self.saves = True
+        self.acknowledged_ahead = {
+            name: index for name, index in self.acknowledged_ahead.items() if index > machine.index
+        }
+        said |= {
+            name: self.overrides[name] for name in self.acknowledged_ahead
+        }  # not undone by an older one on the way
+        self.overrides = said if whole or anew else {**self.overrides, **said}
+        say(REPLICATION_WORDS, out=self.disabled_providers(), index=self.index)
+        self.on_overrides(said, whole or anew)
+        if self.folder is not None and not self.save_scheduled:
+            self.save_scheduled = True
             self.loop.after(max(0, self.saved_at + MIN_SAVE_INTERVAL - self.loop.now()), self._save)
 
     def _save(self) -> None:
-        self.saves, self.saved_at = False, self.loop.now()
+        self.save_scheduled, self.saved_at = False, self.loop.now()
         if self.folder is None:
             return
-        words = {name: (command.at, command.on) for name, command in self.words.items()}
+        words = {name: (command.at, command.on) for name, command in self.overrides.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
             remembered.save(
@@ -240,14 +250,14 @@
         except OSError as error:
             say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
 
-    def out(self) -> list[str]:
-        return sorted(name for name, command in self.words.items() if command.on)
+    def disabled_providers(self) -> list[str]:
+        return sorted(name for name, command in self.overrides.items() if command.on)
 
     def age(self) -> int | None:
         """Since what holds here was last known to be all that was promised, ns; None: not known."""
-        if self.known_at is not None:
-            return max(0, self.loop.now() - self.known_at)
-        holder = self.voter or self.follower
+        if self.cached_at is not None:
+            return max(0, self.loop.now() - self.cached_at)
+        holder = self.voter or self.observer
         return holder.age() if holder is not None else None
 
     # ---- operators' calls -----------------------------------------------------------------------
@@ -256,7 +266,7 @@
         """What is said after OK, which is a promise: a majority has it on stable storage. `No` with a typed error's
         text, within `replication.write_within`."""
         if call.command is Command.FLEET:
-            return self.line()
+            return self.status_line()
         until = self.loop.now() + self.options.write_within
         try:
             if call.command is Command.FLEET_REMOVE:
@@ -266,8 +276,8 @@
                 held = yield from self.proposer.read(OverrideQuery(call.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
-                    if held.value or call.id in self.out():
-                        self._answered(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
+                    if held.value or call.id in self.disabled_providers():
+                        self._acknowledge(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
             act = Say(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
             result = yield from self.proposer.write(act, max(SECOND // 1000, until - self.loop.now()))
@@ -275,24 +285,24 @@
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
             raise No(result.text)
-        self._answered(call.id, LastCommand(act.at, act.out), result.index)
+        self._acknowledge(call.id, LastCommand(act.at, act.out), result.index)
         return f"{'disabled' if act.out else 'enabled'}, at index {result.index}"
 
-    def _answered(self, name: str, said: LastCommand, index: int) -> None:
+    def _acknowledge(self, name: str, said: LastCommand, index: int) -> None:
         """What is promised at an index holds here by the time of the answer; the machine's state follows."""
-        if index > max(self.index, self.ahead.get(name, 0)):
-            self.ahead[name] = index
-            self.words = {**self.words, name: said}
-            self.told(self.words, False)
+        if index > max(self.index, self.acknowledged_ahead.get(name, 0)):
+            self.acknowledged_ahead[name] = index
+            self.overrides = {**self.overrides, name: said}
+            self.on_overrides(self.overrides, False)
 
-    def line(self) -> str:
+    def status_line(self) -> str:
         """How it stands, in one line."""
         role, term, leader, followed = "follows", "-", "", ""
-        if self.follower is not None:
-            leader, followed = self.follower.leader, self.follower.follows
+        if self.observer is not None:
+            leader, followed = self.observer.leader, self.observer.following
         if self.voter is not None:
             role, term, leader = self.voter.core.role.value, str(self.voter.core.term), self.voter.leader()[0]
         age = self.age()
-        aged, out = "-" if age is None else str(age // MS), ",".join(self.out())
+        aged, out = "-" if age is None else str(age // MS), ",".join(self.disabled_providers())
         member = f"role={role} leader={leader or '-'} follows={followed or '-'} term={term}"
         return f"{member} index={self.index} age_ms={aged} out={out or '-'}"
--- a/loftweir/replication/reading.py
+++ b/loftweir/replication/reading.py
@@ -31,7 +31,7 @@
 class RecoveredFolder(NamedTuple):
     """What is in a folder, and where to go on."""
 
-    tape: LogState
+    log_state: LogState
     kept: PersistentState
     size: int  # of the last segment
     torn: int  # bytes cut off
@@ -56,45 +56,47 @@
             raise Damaged(f"of another cluster, {identity.cluster!r}")
     with naming_file(folder.path / MARK):
         mark = journal.decode_mark(folder.bytes_of(MARK), identity)
-    log = _Log(folder, identity, mark)
+    log = _LogReader(folder, identity, mark)
     log.read()
-    snapshot = _snapshot(folder, log.tape)
-    log.settle()
-    remove_obsolete_files(folder, log.tape)
-    entries = tuple(log.entries[index] for index in range(log.tape.snapshot_index + 1, log.tape.next))
-    return RecoveredFolder(log.tape, PersistentState(log.tape.hard, snapshot, entries), log.size, log.torn)
-
-
-def remove_obsolete_files(folder: Folder, tape: LogState) -> None:
-    """Removes what the log needs no more; call it only once all that `tape` says is stable."""
-    while (spare := tape.spare()) is not None:
+    snapshot = _snapshot(folder, log.log_state)
+    log.rewrite_tail()
+    remove_obsolete_files(folder, log.log_state)
+    entries = tuple(log.entries[index] for index in range(log.log_state.snapshot_index + 1, log.log_state.next_index))
+    return RecoveredFolder(
+        log.log_state, PersistentState(log.log_state.hard_state, snapshot, entries), log.size, log.torn
+    )
+
+
+def remove_obsolete_files(folder: Folder, log_state: LogState) -> None:
+    """Removes what the log needs no more; call it only once all that `log_state` says is stable."""
+    while (spare := log_state.obsolete_segment()) is not None:
         folder.remove(segment_name(spare))
-        del tape.tops[spare]
-    named = snapshot_name(tape.named.number) if tape.named else ""
-    for name in folder.own():
+        del log_state.segment_ends[spare]
+    named = snapshot_name(log_state.snapshot_file.number) if log_state.snapshot_file else ""
+    for name in folder.member_files():
         if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != named):
             folder.remove(name)
 
 
-def _snapshot(folder: Folder, tape: LogState) -> Snapshot | None:
-    if tape.named is None:
+def _snapshot(folder: Folder, log_state: LogState) -> Snapshot | None:
+    if log_state.snapshot_file is None:
         return None
-    name = snapshot_name(tape.named.number)
+    name = snapshot_name(log_state.snapshot_file.number)
     with naming_file(folder.path / name):
-        return journal.decode_snapshot(folder.bytes_of(name), tape.identity, tape.named)
+        return journal.decode_snapshot(folder.bytes_of(name), log_state.identity, log_state.snapshot_file)
 
 
-class _Log:
+class _LogReader:
     """The segments, read one after another."""
 
     def __init__(self, folder: Folder, identity: Identity, mark: Mark) -> None:
         self.folder, self.mark = folder, mark
-        self.tape = LogState(identity)
+        self.log_state = LogState(identity)
         self.entries: dict[int, Entry] = {}  # the last that was written under each index
         self.size = 0
         self.torn = 0
-        self._met = False  # a record that ends where the mark says
-        self._behind: dict[int, bytes] = {}  # what is whole in each segment from the mark's on; empty: not its head
+        self._mark_found = False  # a record that ends where the mark says
+        self._tails: dict[int, bytes] = {}  # what is whole in each segment from the mark's on; empty: not its head
 
     def read(self) -> None:
         numbers = self.folder.numbers(SEGMENT)
@@ -108,39 +110,39 @@
                 except Torn as torn:
                     if number != last or (number, torn.at) < (self.mark.segment, self.mark.at):
                         raise
-                    end = torn.at if self.tape.segment == number else 0
+                    end = torn.at if self.log_state.segment == number else 0
                     self.torn = len(data) - end
                 if number >= self.mark.segment:
-                    self._behind[number] = data[:end]
+                    self._tails[number] = data[:end]
             self.size = end or self.size
-        if not self._met and self.mark.segment >= first:
+        if not self._mark_found and self.mark.segment >= first:
             raise StorageDamaged("no record ends where the mark says", self.folder.path / MARK, 0)
-        if lacking := self.tape.lacking():
+        if lacking := self.log_state.missing_entries():
             raise StorageDamaged(lacking, self.folder.path / segment_name(first), 0)
 
     def _segment(self, number: int, data: bytes) -> int:
         """Its length, once all of it has been taken."""
         mark, end = self.mark, 0
-        for end, record in self.tape.read(number, data):
+        for end, record in self.log_state.read_segment(number, data):
             if isinstance(record, Entry):
                 self.entries[record.index] = record
             if (number, end) == (mark.segment, mark.at):
-                self._met = True
-                if (self.tape.crc, self.tape.next - 1) != (mark.crc, mark.index):
+                self._mark_found = True
+                if (self.log_state.crc, self.log_state.next_index - 1) != (mark.crc, mark.index):
                     raise Damaged("another record than the mark names", end)
         if number == mark.segment and end < mark.at:
             raise Damaged(f"cut short: {mark.at} bytes of it were stable", end)
         return end
 
-    def settle(self) -> None:
+    def rewrite_tail(self) -> None:
         """Writes what is behind the mark anew, without what was torn. A process before this one may have had its sync
         fail: the pages are then in memory, look written, and a further sync of them says nothing (Rebello and others,
         "Can Applications Recover from fsync Failures?", 2020)."""
-        lengths = {number: len(data) for number, data in self._behind.items()}
+        lengths = {number: len(data) for number, data in self._tails.items()}
         if lengths == {self.mark.segment: self.mark.at} and not self.torn:
             return
-        for number, data in self._behind.items():
+        for number, data in self._tails.items():
             if data:
-                self.folder.put(segment_name(number), data)
+                self.folder.write_file(segment_name(number), data)
             else:
                 self.folder.remove(segment_name(number))
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -92,21 +92,23 @@
     def __init__(self, loop: Loop, voter: Voter, most: int) -> None:
         self.loop = loop
         self.voter = voter
-        self.most = most
+        self.max_clients = most
         self.hello = Hello(VERSION, voter.options.cluster, voter.me, voter.name, ConnectionKind.MEMBER)
         self.ungreeted: dict[FrameConnection, int] = {}  # the oldest first, with when it came
-        self.members: dict[str, FrameConnection] = {}  # by id, the newest of each
-        self.others: dict[FrameConnection, Hello] = {}
-        self.parked: dict[
+        self.member_connections: dict[str, FrameConnection] = {}  # by id, the newest of each
+        self.clients: dict[FrameConnection, Hello] = {}
+        self.waiting_observers: dict[
             FrameConnection, tuple[int, int]
         ] = {}  # who waits for news: behind which index, and until when
-        self.asked_from: dict[str, str] = {}  # by name, the id that asked last how this one stands while it was empty
-        self.asked: set[FrameConnection] = set()  # whose question the voter has: it gets no other one meanwhile
-        self.news_due = False
-        self.news_at = 0
+        self.founding_ids: dict[str, str] = {}  # by name, the id that asked last how this one stands while it was empty
+        self.awaiting_result: set[FrameConnection] = (
+            set()
+        )  # whose question the voter has: it gets no other one meanwhile
+        self.notify_scheduled = False
+        self.notified_at = 0
         self.listener: socket.socket | None = None
         self.accepting: Task | None = None
-        self.over = False
+        self.closed = False
 
     def listen(self, sock: socket.socket) -> None:
         """On what is `bound`, and closed with this."""
@@ -115,12 +117,12 @@
 
     def close(self) -> None:
         """Not to be called by what this listener itself runs."""
-        self.over = True
+        self.closed = True
         if self.accepting is not None:
             self.accepting.cancel()
         if self.listener is not None:
             self.loop.close(self.listener)
-        for line in [*self.ungreeted, *self.members.values(), *self.others]:
+        for line in [*self.ungreeted, *self.member_connections.values(), *self.clients]:
             assert line.task is not None
             line.task.cancel()
 
@@ -146,9 +148,9 @@
                 prepare(sock)
                 line = FrameConnection(self.loop, sock)
                 self.ungreeted[line] = self.loop.now()
-                self._run(line, self._greet(line), self.loop.due)
+                self._start(line, self._greet(line), self.loop.due)
 
-    def _run(self, line: FrameConnection, coroutine: Coroutine[None], lane: deque[Callable[[], None]]) -> None:
+    def _start(self, line: FrameConnection, coroutine: Coroutine[None], lane: deque[Callable[[], None]]) -> None:
         """Runs a line's coroutine, at once to its first wait: from then on, what ends it closes the line."""
         line.task = Task(self.loop, coroutine, None, lane)
         line.task.step()
@@ -157,18 +159,18 @@
         """Finds out who it is, and goes over to the coroutine that serves such a one."""
         kept = False
         try:
-            hello = yield from line.greeting(self.loop.now() + GREETING_TIMEOUT)
-            refused = self._refused(hello)
+            hello = yield from line.read_hello(self.loop.now() + GREETING_TIMEOUT)
+            refused = self._hello_rejection(hello)
             if refused is None:
                 line.put(self.hello)
                 kept = True
                 self._serve(line, hello)
             else:
                 say(REPLICATION_TURNED, name=hello.name, why=f"{refused.why.value} here: {refused.about}")
-                yield from self._send_away(line, refused)
+                yield from self._reject(line, refused)
         except (BadFrame, TurnedAway) as error:
             say(REPLICATION_TURNED, name="", why=error)
-            yield from self._send_away(line, ConnectionRejected(RejectReason.FORM, f"version {VERSION}"))
+            yield from self._reject(line, ConnectionRejected(RejectReason.FORM, f"version {VERSION}"))
         except CONNECTION_ERRORS:
             pass
         finally:
@@ -176,46 +178,50 @@
             if not kept:
                 line.close()
 
-    def _send_away(self, line: FrameConnection, word: ConnectionRejected) -> Coroutine[None]:
+    def _reject(self, line: FrameConnection, word: ConnectionRejected) -> Coroutine[None]:
         """The last word, and a moment to read it: closing with something unread would reset the connection."""
         line.put(word)
         yield Wait(None, 0, self.loop.now() + 100 * MS)
 
-    def _refused(self, hello: Hello) -> ConnectionRejected | None:
+    def _hello_rejection(self, hello: Hello) -> ConnectionRejected | None:
         foreign = hello_rejection(hello, self.voter.options.cluster)
         if foreign is not None or hello.kind is ConnectionKind.MEMBER:
             return foreign
         if hello.name in self.voter.seats:
             return None
-        others = sum(other.name not in self.voter.seats for other in self.others.values())
-        return ConnectionRejected(RejectReason.FULL, str(self.most)) if others >= self.most else None
+        others = sum(other.name not in self.voter.seats for other in self.clients.values())
+        return ConnectionRejected(RejectReason.FULL, str(self.max_clients)) if others >= self.max_clients else None
 
     def _serve(self, line: FrameConnection, hello: Hello) -> None:
         if hello.kind is ConnectionKind.MEMBER:
-            before = self.members.get(hello.id)
+            before = self.member_connections.get(hello.id)
             if before is not None and before.task is not None:
                 before.task.cancel()  # its other side may be gone without a word
-            seat = self._seat(hello.name)
-            beside = [line for id, line in self.members.items() if self._seat(self.voter.names[id]) == seat]
-            self._make_room(beside, MAX_MEMBER_CONNECTIONS_PER_SLOT if seat else MAX_MEMBER_CONNECTIONS_UNKNOWN)
-            self.members[hello.id] = line
-            self.voter.names[hello.id] = hello.name
-            self._run(line, self._hear(line, hello), self.loop.urgent)
+            seat = self._slot_of(hello.name)
+            beside = [
+                line
+                for id, line in self.member_connections.items()
+                if self._slot_of(self.voter.connected_names[id]) == seat
+            ]
+            self._evict_oldest(beside, MAX_MEMBER_CONNECTIONS_PER_SLOT if seat else MAX_MEMBER_CONNECTIONS_UNKNOWN)
+            self.member_connections[hello.id] = line
+            self.voter.connected_names[hello.id] = hello.name
+            self._start(line, self._read_messages(line, hello), self.loop.urgent)
         else:
             if hello.name in self.voter.seats:
-                self._make_room(
-                    [line for line, other in self.others.items() if other.name == hello.name],
+                self._evict_oldest(
+                    [line for line, other in self.clients.items() if other.name == hello.name],
                     MAX_CONNECTIONS_PER_LISTED_NAME,
                 )
-            self.others[line] = hello
-            self._run(line, self._answer(line), self.loop.due)
+            self.clients[line] = hello
+            self._start(line, self._serve_client(line), self.loop.due)
 
-    def _seat(self, name: str) -> str:
+    def _slot_of(self, name: str) -> str:
         """One of those that there are; empty for all others."""
         known = name in self.voter.seats or any(member.name == name for member in self.voter.core.members)
         return name if known else ""
 
-    def _make_room(self, lines: list[FrameConnection], most: int) -> None:
+    def _evict_oldest(self, lines: list[FrameConnection], most: int) -> None:
         """For one more; the oldest come first."""
         for line in lines[: max(0, len(lines) + 1 - most)]:
             assert line.task is not None
@@ -223,10 +229,10 @@
 
     # ---- members --------------------------------------------------------------------------------
 
-    def _hear(self, line: FrameConnection, hello: Hello) -> Coroutine[None]:
+    def _read_messages(self, line: FrameConnection, hello: Hello) -> Coroutine[None]:
         voter = self.voter
         try:
-            while not self.over:
+            while not self.closed:
                 frame = yield from line.next(None)
                 if not isinstance(frame, Message) or frame.sender != hello.id:
                     raise BadFrame("not a member's message, or in another's name", hello.name)
@@ -234,29 +240,29 @@
                     line.put(ConnectionRejected(RejectReason.ANOTHER_ID, voter.me))
                     continue
                 # Whoever asked last of a seat, before anything was kept here, is the one that may be begun with.
-                if voter.begun or self.asked_from.get(hello.name, hello.id) == hello.id:
-                    voter.feed(MessageReceived(frame))
+                if voter.has_state or self.founding_ids.get(hello.name, hello.id) == hello.id:
+                    voter.process(MessageReceived(frame))
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
                 say(REPLICATION_TURNED, name=hello.name, why=error)
         finally:
-            if self.members.get(hello.id) is line:
-                del self.members[hello.id]
-                voter.names.pop(hello.id, None)
+            if self.member_connections.get(hello.id) is line:
+                del self.member_connections[hello.id]
+                voter.connected_names.pop(hello.id, None)
             line.close()
 
     # ---- all others -----------------------------------------------------------------------------
 
-    def _answer(self, line: FrameConnection) -> Coroutine[None]:
+    def _serve_client(self, line: FrameConnection) -> Coroutine[None]:
         try:
             unused_at = self.loop.now() + IDLE_TIMEOUT
-            while not self.over:
-                parked = self.parked.get(line)
+            while not self.closed:
+                parked = self.waiting_observers.get(line)
                 try:
                     frame = yield from line.next(parked[1] if parked else unused_at)
                 except TookTooLong:
-                    if line in self.parked:
-                        self._news(line, self.parked[line][0])
+                    if line in self.waiting_observers:
+                        self._send_follow_response(line, self.waiting_observers[line][0])
                         unused_at = self.loop.now() + IDLE_TIMEOUT
                     elif self.loop.now() >= unused_at:
                         return
@@ -264,135 +270,137 @@
                 unused_at = self.loop.now() + IDLE_TIMEOUT
                 answer = REQUEST_HANDLERS.get(type(frame))
                 if answer is None:
-                    yield from self._send_away(line, ConnectionRejected(RejectReason.FORM, type(frame).__name__))
+                    yield from self._reject(line, ConnectionRejected(RejectReason.FORM, type(frame).__name__))
                     return
                 answer(self, line, frame)
-                while line in self.asked:  # a voter's answer may not come for long
+                while line in self.awaiting_result:  # a voter's answer may not come for long
                     if (yield Wait(line.sock, HUNG_UP, None)) != WOKEN:
                         return
-                if line.out:
-                    yield from line.taken(unused_at)
+                if line.unsent:
+                    yield from line.flushed(unused_at)
                 elif line.reader.more:
                     yield Wait(None, 0, self.loop.now())  # the others' turn
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=self.others[line].name, why=error)
+                say(REPLICATION_TURNED, name=self.clients[line].name, why=error)
         finally:
-            self.others.pop(line, None)
-            self.parked.pop(line, None)
-            self.asked.discard(line)
+            self.clients.pop(line, None)
+            self.waiting_observers.pop(line, None)
+            self.awaiting_result.discard(line)
             line.close()
 
-    def _who(self, line: FrameConnection, frame: StatusRequest) -> None:
-        hello, am = self.others[line], self.voter.am(frame.names)
+    def _on_status_request(self, line: FrameConnection, frame: StatusRequest) -> None:
+        hello, am = self.clients[line], self.voter.status(frame.names)
         if am.empty:
-            self.asked_from[hello.name] = hello.id
+            self.founding_ids[hello.name] = hello.id
         line.put(am)
 
-    def _join(self, line: FrameConnection, frame: JoinRequest) -> None:
+    def _on_join(self, line: FrameConnection, frame: JoinRequest) -> None:
         voter = self.voter
         if not voter.leads():
             line.put(JoinResponse(False, False, "not the leader", *voter.leader()))
             return
-        step = next_join_step(frame, voter.core.members, voter.seats, voter.lately, voter.behind)
+        step = next_join_step(frame, voter.core.members, voter.seats, voter.recently_heard, voter.replication_lag)
         if isinstance(step, JoinResponse):
             line.put(step)
             return
 
         def answered(how: OutcomeCode, index: int, _: AnyResult | None) -> None:
             on = how in (OutcomeCode.DONE, OutcomeCode.BUSY)
-            self._answered(line, JoinResponse(False, on, "" if on else how.value, *voter.leader()))
+            self._respond(line, JoinResponse(False, on, "" if on else how.value, *voter.leader()))
 
-        self.asked.add(line)
+        self.awaiting_result.add(line)
         voter.change(step, answered)
 
-    def _remove(self, line: FrameConnection, frame: RemoveMember) -> None:
+    def _on_remove_member(self, line: FrameConnection, frame: RemoveMember) -> None:
         members = self.voter.core.members
         left = tuple(m for m in members if m.name != frame.name)
         if left == members and self.voter.leads():
             line.put(CommandOutcome(frame.token, OutcomeCode.UNFIT, 0, f"no member has the name {frame.name}".encode()))
             return
         voting = [m for m in left if m.votes]
-        up = [m.name for m in voting if self.voter.near(m.id)]
+        up = [m.name for m in voting if self.voter.is_reachable(m.id)]
         if self.voter.leads() and len(up) <= len(voting) // 2:  # it would not even come to hold
             why = f"without {frame.name} there is no majority: of {len(voting)} voters only {', '.join(up)} would be up"
             line.put(CommandOutcome(frame.token, OutcomeCode.UNFIT, 0, why.encode()))
             return
-        self.voter.change(left, self._outcome(line, frame.token))
+        self.voter.change(left, self._outcome_callback(line, frame.token))
 
-    def _submit(self, line: FrameConnection, frame: SubmitCommand) -> None:
+    def _on_submit(self, line: FrameConnection, frame: SubmitCommand) -> None:
         refused = validate(frame.order)
         if refused is not None:
             line.put(CommandOutcome(frame.token, OutcomeCode.DONE, 0, result_written(refused)))
         else:
-            self.voter.write(frame.order, self._outcome(line, frame.token))
+            self.voter.write(frame.order, self._outcome_callback(line, frame.token))
 
-    def _answered(self, line: FrameConnection, frame: Frame) -> None:
-        if line in self.asked and line.task is not None:
-            self.asked.discard(line)
+    def _respond(self, line: FrameConnection, frame: Frame) -> None:
+        if line in self.awaiting_result and line.task is not None:
+            self.awaiting_result.discard(line)
             line.put(frame)
             line.task.wake()
 
-    def _outcome(self, line: FrameConnection, token: int) -> Callable[[OutcomeCode, int, AnyResult | None], None]:
-        self.asked.add(line)
+    def _outcome_callback(
+        self, line: FrameConnection, token: int
+    ) -> Callable[[OutcomeCode, int, AnyResult | None], None]:
+        self.awaiting_result.add(line)
 
         def answered(how: OutcomeCode, index: int, result: AnyResult | None) -> None:
             data = b"" if result is None else result_written(result)
-            self._answered(line, CommandOutcome(token, how, index, data, *self.voter.leader()))
+            self._respond(line, CommandOutcome(token, how, index, data, *self.voter.leader()))
 
         return answered
 
-    def _ask(self, line: FrameConnection, frame: QueryRequest) -> None:
+    def _on_query(self, line: FrameConnection, frame: QueryRequest) -> None:
         def answered(how: OutcomeCode, index: int, _: AnyResult | None) -> None:
             voter = self.voter
             value = msgspec.msgpack.encode(look_up(voter, frame.query))
             sure = how is OutcomeCode.DONE
             age, index = 0 if sure else voter.age(), voter.machine.index
-            self._answered(line, QueryResponse(frame.token, how, sure, index, age, value, *voter.leader()))
+            self._respond(line, QueryResponse(frame.token, how, sure, index, age, value, *voter.leader()))
 
-        self.asked.add(line)
+        self.awaiting_result.add(line)
         self.voter.read(answered)
 
     # ---- news -----------------------------------------------------------------------------------
 
-    def _follow(self, line: FrameConnection, frame: FollowRequest) -> None:
+    def _on_follow(self, line: FrameConnection, frame: FollowRequest) -> None:
         voter = self.voter
         if frame.after > voter.machine.index and voter.leads():
             # The follower would let go of what it was told. One that was stopped, or hands over, may only believe that
             # it leads.
             def answered(how: OutcomeCode, *_: Any) -> None:
-                self._answered(line, voter.news(frame.after, how is OutcomeCode.DONE))
+                self._respond(line, voter.follow_response(frame.after, how is OutcomeCode.DONE))
 
-            self.asked.add(line)
+            self.awaiting_result.add(line)
             voter.read(answered)
         elif frame.after < voter.machine.index or frame.wait <= 0:
-            self._news(line, frame.after)
+            self._send_follow_response(line, frame.after)
         else:
-            self.parked[line] = frame.after, self.loop.now() + min(frame.wait, MAX_FOLLOW_WAIT)
+            self.waiting_observers[line] = frame.after, self.loop.now() + min(frame.wait, MAX_FOLLOW_WAIT)
 
-    def _news(self, line: FrameConnection, after: int) -> None:
-        self.parked.pop(line, None)
-        line.put(self.voter.news(after))
+    def _send_follow_response(self, line: FrameConnection, after: int) -> None:
+        self.waiting_observers.pop(line, None)
+        line.put(self.voter.follow_response(after))
 
     def applied(self) -> None:
         """Something was applied: all who wait are told at once, but no more often than they need it."""
-        if not self.news_due and self.parked:
-            self.news_due = True
-            self.loop.after(max(0, self.news_at + FOLLOW_BATCH_INTERVAL - self.loop.now()), self._tell)
+        if not self.notify_scheduled and self.waiting_observers:
+            self.notify_scheduled = True
+            self.loop.after(max(0, self.notified_at + FOLLOW_BATCH_INTERVAL - self.loop.now()), self._notify_observers)
 
-    def _tell(self) -> None:
-        self.news_due, self.news_at = False, self.loop.now()
-        if self.over:
+    def _notify_observers(self) -> None:
+        self.notify_scheduled, self.notified_at = False, self.loop.now()
+        if self.closed:
             return
         news: dict[int, bytes] = {}
-        for line, (after, _) in list(self.parked.items()):
+        for line, (after, _) in list(self.waiting_observers.items()):
             if after < self.voter.machine.index:
-                del self.parked[line]
+                del self.waiting_observers[line]
                 if after not in news:
-                    news[after] = encode_frame(self.voter.news(after))
+                    news[after] = encode_frame(self.voter.follow_response(after))
                 line.write(news[after])
 
-    def _fetch(self, line: FrameConnection, frame: FetchSnapshot) -> None:
+    def _on_fetch_snapshot(self, line: FrameConnection, frame: FetchSnapshot) -> None:
         voter, snapshot = self.voter, self.voter.core.snapshot
         index, data = (snapshot.index, snapshot.data) if snapshot else (0, b"")
         at = frame.at if frame.index == index and frame.at < len(data) else 0
@@ -404,7 +412,7 @@
     machine = voter.machine
     match query:
         case OverrideQuery(name):
-            return machine.words.get(name)
+            return machine.overrides.get(name)
         case LeaseQuery(duty):
             return machine.leases.get(duty)
         case FencedValueQuery(duty, key):
@@ -412,11 +420,11 @@
 
 
 REQUEST_HANDLERS: dict[type[Frame], Callable[[ReplicationListener, FrameConnection, Any], None]] = {
-    StatusRequest: ReplicationListener._who,
-    JoinRequest: ReplicationListener._join,
-    RemoveMember: ReplicationListener._remove,
-    SubmitCommand: ReplicationListener._submit,
-    QueryRequest: ReplicationListener._ask,
-    FollowRequest: ReplicationListener._follow,
-    FetchSnapshot: ReplicationListener._fetch,
+    StatusRequest: ReplicationListener._on_status_request,
+    JoinRequest: ReplicationListener._on_join,
+    RemoveMember: ReplicationListener._on_remove_member,
+    SubmitCommand: ReplicationListener._on_submit,
+    QueryRequest: ReplicationListener._on_query,
+    FollowRequest: ReplicationListener._on_follow,
+    FetchSnapshot: ReplicationListener._on_fetch_snapshot,
 }
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -168,7 +168,7 @@
                     return found
                 for told in news.entries:
                     if not told.data:
-                        machine.passed(told.index)
+                        machine.skip(told.index)
                         continue
                     act, result = Order_.decode(told.data).act, machine.apply(told.index, told.data)
                     if isinstance(act, FencedWrite) and act.duty == duty:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -78,18 +78,18 @@
         members = ", ".join(f"n{n}=127.0.0.1:{n + 1}" for n in range(3))
         part = ReplicationAgent(Loop(), "f0", Replication(members=members), lambda words, whole: None)
         machine, shown = Machine(), []
-        part._answered("s0", Said(0, False), 3)
-        part._answered("s1", Said(0, True), 4)
+        part._acknowledge("s0", Said(0, False), 3)
+        part._acknowledge("s1", Said(0, True), 4)
         for index, out in enumerate((True, True, False, True), 1):
             machine.apply(
                 index, encode(Command(f"session {index}", 1, SetOverride("s0" if index < 4 else "s1", out, 0)))
             )
-            part._tell(machine, frozenset({"id"}))
-            shown.append(part.out())
+            part._update_from(machine, frozenset({"id"}))
+            shown.append(part.disabled_providers())
         self.assertEqual(shown, [["s1"]] * 4)
         machine.apply(5, encode(Command("later", 1, SetOverride("s1", False, 0))))
-        part._tell(machine, frozenset({"id"}))
-        self.assertEqual(part.out(), [])
+        part._update_from(machine, frozenset({"id"}))
+        self.assertEqual(part.disabled_providers(), [])
 
 
 class LeaderTest(Faults):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -100,11 +100,11 @@
         one, clock = self.holders[n], self.own[n]
         for action in one.step(clock(self.now), event):
             if isinstance(action, SendOperation):
-                self.send(n, one.name, action.act, action.ask)
+                self.send(n, one.name, action.operation, action.request_id)
         if one.next_at is not None and one.next_at != self.ticks[n]:
             self.ticks[n] = one.next_at
             self.at(max(0, clock.true(one.next_at) - self.now), self.tick, n, one.next_at)
-        if TRAITS[one.state].acts:
+        if TRAITS[one.state].may_act:
             acting = [m for m in range(3) if self.holders[m].valid_token(self.own[m](self.now)) is not None]
             assert len(acting) < 2, f"two holders: {acting}"
 
@@ -158,8 +158,10 @@
         if isinstance(act, AcquireLease) and isinstance(result, Ok) and result.index == index:
             assert result.value > max(self.grants, default=0), "a token that is not higher"
             self.grants.append(result.value)
-        if machine.moved and self.leader is not None:
-            self.keepers[self.leader].saw(self.clocks[self.leader](self.now), "duty", machine.leases.get("duty"))
+        if machine.changed_lease and self.leader is not None:
+            self.keepers[self.leader].lease_changed(
+                self.clocks[self.leader](self.now), "duty", machine.leases.get("duty")
+            )
             self.keep_later()
         if isinstance(result, UnknownSession):  # its caller begins another, once it hears of it
             session, life = order.session.split(" ")
@@ -175,14 +177,14 @@
 
     def keep(self, leader):
         if leader == self.leader:
-            for expire in self.keepers[leader].due(self.clocks[leader](self.now)):
+            for expire in self.keepers[leader].due_expirations(self.clocks[leader](self.now)):
                 self.arrive(encode(Command("", 0, expire)))
             self.keep_later()
 
     def elect(self):
         """No leader for a while; then any, that has a part of what was under way."""
         if self.leader is not None:
-            self.keepers[self.leader].lost()
+            self.keepers[self.leader].lost_leadership()
         self.leader, self.flight = None, self.flight[: self.random.randint(0, len(self.flight))]
         self.at(self.random.randrange(1 + (not self.calm) * 1500 * MS), self.lead, self.random.randrange(3))
 
@@ -190,8 +192,8 @@
         for entry in self.flight:
             self.apply(*entry)
         self.leader, self.flight = leader, []
-        self.machine.passed(self.machine.index + 1)
-        self.keepers[leader].led(self.clocks[leader](self.now), self.machine.leases)
+        self.machine.skip(self.machine.index + 1)
+        self.keepers[leader].became_leader(self.clocks[leader](self.now), self.machine.leases)
         self.keep_later()
         if not self.calm:
             self.at(self.random.randrange(200 * MS, 8 * SECOND), self.elect)
@@ -219,42 +221,44 @@
 
 
 class FromTheAnswer(LeaseHolder):
-    def _answered(self, now, answer):
-        if answer.ask in self._asks:
-            self._asks[answer.ask] = self._asks[answer.ask]._replace(sent=now)
-        super()._answered(now, answer)
+    def _on_response(self, now, answer):
+        if answer.request_id in self._pending_requests:
+            self._pending_requests[answer.request_id] = self._pending_requests[answer.request_id]._replace(sent=now)
+        super()._on_response(now, answer)
 
 
 class TakesUp(LeaseHolder):
-    def _answered(self, now, answer):
+    def _on_response(self, now, answer):
         if isinstance(answer.result, LeaseHeld) and answer.result.holder == self.name:
-            answer = ResponseReceived(answer.ask, Ok(0, answer.result.token))
-        super()._answered(now, answer)
+            answer = ResponseReceived(answer.request_id, Ok(0, answer.result.token))
+        super()._on_response(now, answer)
 
 
 class Revives(LeaseHolder):
     """A late renewal brings back what had lapsed a while ago."""
 
-    def _take(self, now, step, sent=None):
-        if step is not Transition.UP or now > self.until + self.ttl // 2:
-            super()._take(now, step, sent)
+    def _transition(self, now, step, sent=None):
+        if step is not Transition.EXPIRED or now > self.until + self.ttl // 2:
+            super()._transition(now, step, sent)
 
 
 class OldTime(LeaseExpirer):
     old: dict = {}
 
-    def lost(self):
-        self.old = self.counts
-        super().lost()
+    def lost_leadership(self):
+        self.old = self.countdowns
+        super().lost_leadership()
 
-    def led(self, now, leases):
-        super().led(now, leases)
-        for duty in self.counts.keys() & self.old.keys():
-            self._count(duty, self.counts[duty]._replace(until=min(self.counts[duty].until, self.old[duty].until)))
+    def became_leader(self, now, leases):
+        super().became_leader(now, leases)
+        for duty in self.countdowns.keys() & self.old.keys():
+            self._start_countdown(
+                duty, self.countdowns[duty]._replace(until=min(self.countdowns[duty].until, self.old[duty].until))
+            )
 
 
 def same_token(machine, act):
-    result = Machine._acquire(machine, act)
+    result = Machine._acquire_lease(machine, act)
     if isinstance(result, Ok):
         machine.leases[act.duty] = machine.leases[act.duty]._replace(token=1)
         result = Ok(result.index, 1)
@@ -262,12 +266,12 @@
 
 
 def whatever_was_renewed(machine, act):
-    return Machine._expire(machine, ExpireLease(act.duty, act.token, machine.index))
+    return Machine._expire_lease(machine, ExpireLease(act.duty, act.token, machine.index))
 
 
 def any_token(machine, act):
     lease = machine.leases.get(act.duty)
-    return Machine._fenced(machine, FencedWrite(act.duty, lease.token, act.key, act.value) if lease else act)
+    return Machine._write_fenced(machine, FencedWrite(act.duty, lease.token, act.key, act.value) if lease else act)
 
 
 MUTANTS = {
@@ -316,7 +320,7 @@
     assert (holder.valid_token(until - 1), holder.valid_token(until)) == (7, None), "stopped: its clock alone tells it"
     (renew,) = holder.step(holder.next_at, Tick())
     assert renew == SendOperation(2, RenewLease("d", holder.name, 7)) and holder.state is HolderState.RENEWING
-    assert holder.step(until - 1, ResponseReceived(2, Ok(9, 7))) == [SendOperation(3, renew.act)], (
+    assert holder.step(until - 1, ResponseReceived(2, Ok(9, 7))) == [SendOperation(3, renew.operation)], (
         "from the asking a third has passed"
     )
     assert (
@@ -333,10 +337,12 @@
     ]
     assert holder.valid_token(until) is None and holder.step(until + 1, ResponseReceived(3, None)) == []
     (ask,) = holder.step(holder.next_at, Tick())
-    assert isinstance(ask.act, AcquireLease), "the release may be lost: it finds its own lease, and lets it go first"
-    assert holder.step(until + SECOND, ResponseReceived(ask.ask, LeaseHeld(1, holder.name, 7)))[0].act == ReleaseLease(
-        "d", holder.name, 7
+    assert isinstance(ask.operation, AcquireLease), (
+        "the release may be lost: it finds its own lease, and lets it go first"
     )
+    assert holder.step(until + SECOND, ResponseReceived(ask.request_id, LeaseHeld(1, holder.name, 7)))[
+        0
+    ].operation == ReleaseLease("d", holder.name, 7)
     assert holder.valid_token(until + SECOND) is None
 
 
@@ -349,10 +355,14 @@
     )
     (ask,) = holder.step(holder.next_at, Tick())
     assert holder.step(5 * SECOND, LeaseUnwanted()) == [] and holder.state is HolderState.IDLE
-    assert holder.step(6 * SECOND, ResponseReceived(ask.ask, Ok(12, 12)))[0].act == ReleaseLease("d", holder.name, 12)
+    assert holder.step(6 * SECOND, ResponseReceived(ask.request_id, Ok(12, 12)))[0].operation == ReleaseLease(
+        "d", holder.name, 12
+    )
     holder, until = held()
     stop, release = holder.step(2 * SECOND, LeaseUnwanted())
-    assert (stop, release.act) == (TaskStopped(7), ReleaseLease("d", holder.name, 7)), "it stops before it lets go"
+    assert (stop, release.operation) == (TaskStopped(7), ReleaseLease("d", holder.name, 7)), (
+        "it stops before it lets go"
+    )
 
 
 def test_without_any_answer_it_asks_on_and_keeps_no_more_than_it_must():
@@ -360,16 +370,16 @@
     sent = holder.step(0, LeaseWanted())
     for _ in range(400):
         sent += holder.step(holder.next_at, Tick())
-    assert len(sent) > 2 * holding.MAX_PENDING_REQUESTS >= 2 * len(holder._asks)
+    assert len(sent) > 2 * holding.MAX_PENDING_REQUESTS >= 2 * len(holder._pending_requests)
 
 
 def test_the_table_leads_from_every_state_to_rest_and_each_name_is_of_one_life():
     assert {state for state, _ in TRANSITIONS} == set(HolderState) == set(TRANSITIONS.values()) == set(TRAITS)
-    assert all((state, TRAITS[state].late) in TRANSITIONS for state in HolderState if TRAITS[state].late)
+    assert all((state, TRAITS[state].on_timeout) in TRANSITIONS for state in HolderState if TRAITS[state].on_timeout)
     assert all(
-        (state, Transition.UP) in TRANSITIONS and (state, Transition.LOST) in TRANSITIONS
+        (state, Transition.EXPIRED) in TRANSITIONS and (state, Transition.LOST) in TRANSITIONS
         for state in HolderState
-        if TRAITS[state].acts
+        if TRAITS[state].may_act
     )
     assert LeaseHolder("d", "me", SECOND, Random(1)).name != LeaseHolder("d", "me", SECOND, Random(2)).name
     for duty, name, ttl in (("", "me", SECOND), ("d", "m" * 112, SECOND), ("d", "me", SECOND - 1)):
@@ -379,12 +389,16 @@
 
 def test_a_keeper_counts_in_full_and_only_while_it_leads():
     keeper, lease = LeaseExpirer(), Lease("h", 5, 2 * SECOND, 5)
-    keeper.saw(0, "d", lease)
-    assert keeper.next_at is None and keeper.due(10**12) == []
-    keeper.led(10 * SECOND, {"d": lease})
-    assert keeper.due(12 * SECOND - 1) == [] and keeper.due(12 * SECOND) == [ExpireLease("d", 5, 5)]
-    assert keeper.due(12 * SECOND + 1) == [] and keeper.due(keeper.next_at) == [ExpireLease("d", 5, 5)], "made again"
-    keeper.saw(14 * SECOND, "d", lease._replace(renewed=9))
-    assert keeper.due(16 * SECOND) == [ExpireLease("d", 5, 9)]
-    keeper.saw(17 * SECOND, "d", None)
-    assert keeper.due(10**12) == []
+    keeper.lease_changed(0, "d", lease)
+    assert keeper.next_at is None and keeper.due_expirations(10**12) == []
+    keeper.became_leader(10 * SECOND, {"d": lease})
+    assert keeper.due_expirations(12 * SECOND - 1) == [] and keeper.due_expirations(12 * SECOND) == [
+        ExpireLease("d", 5, 5)
+    ]
+    assert keeper.due_expirations(12 * SECOND + 1) == [] and keeper.due_expirations(keeper.next_at) == [
+        ExpireLease("d", 5, 5)
+    ], "made again"
+    keeper.lease_changed(14 * SECOND, "d", lease._replace(renewed=9))
+    assert keeper.due_expirations(16 * SECOND) == [ExpireLease("d", 5, 9)]
+    keeper.lease_changed(17 * SECOND, "d", None)
+    assert keeper.due_expirations(10**12) == []
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -82,12 +82,15 @@
             assert copy.apply(index, data) == result and copy.dump() == dump
             if random.random() < 0.3:
                 copy = Machine.load(dump)
-                assert copy.dump() == dump and (copy.fenced_bytes, copy.words) == (first.fenced_bytes, first.words)
+                assert copy.dump() == dump and (copy.fenced_bytes, copy.overrides) == (
+                    first.fenced_bytes,
+                    first.overrides,
+                )
             if random.random() < 0.3:
-                whole, words = first.words_since(seen)
+                whole, words = first.overrides_since(seen)
                 view, seen = (words if whole else view | words), index
-                assert view == first.words and first.words_since(index + 1) == (False, {})
-            assert len(first.words) <= 3 and len(first.sessions) <= 4 and len(first.fenced_values) <= 3
+                assert view == first.overrides and first.overrides_since(index + 1) == (False, {})
+            assert len(first.overrides) <= 3 and len(first.sessions) <= 4 and len(first.fenced_values) <= 3
             kinds.add(type(result))
             digest.update(dump)
     assert kinds == {
@@ -110,16 +113,16 @@
     first = does(machine, SetOverride("p", True, 1), "s", 1)
     assert does(machine, SetOverride("p", False, 2), "t", 1) == Ok(2)
     assert does(machine, SetOverride("p", True, 1), "s", 1) == first == Ok(1)
-    assert machine.words["p"] == Override(False, 2, 2), "the second one holds"
+    assert machine.overrides["p"] == Override(False, 2, 2), "the second one holds"
     assert does(machine, SetOverride("p", True, 1), "s", 3) == Ok(4), "one that was given up leaves a gap"
-    assert does(machine, SetOverride("p", False, 1), "s", 2) == StaleNumber(5, 3) and machine.words["p"].out
+    assert does(machine, SetOverride("p", False, 1), "s", 2) == StaleNumber(5, 3) and machine.overrides["p"].out
     assert does(machine, SetOverride("p", False, 1), "u", 2) == UnknownSession(6)
     unfit = does(machine, AcquireLease("d", "", SECOND), "s", 4)
     assert does(machine, SetOverride("p", False, 1), "s", 4) == unfit == InvalidCommand(7, unfit.what), (
         "a refusal is kept too"
     )
     assert does(machine, EndSession("s"), "s", 5) == Ok(9) == does(machine, EndSession("s"), "s", 5)
-    assert does(machine, SetOverride("p", False, 1), "s", 6) == UnknownSession(11) and machine.words["p"].out
+    assert does(machine, SetOverride("p", False, 1), "s", 6) == UnknownSession(11) and machine.overrides["p"].out
     with pytest.raises(ValueError):
         machine.apply(11, b"")
 
@@ -132,23 +135,27 @@
     does(machine, EndSession("x"), "b", 2)
     does(machine, SetOverride("a", False, 2), "e", 1, since=machine.index)
     assert list(machine.sessions) == ["c", "d", "b", "e"]
-    assert does(machine, SetOverride("a", True, 1), "a", 1, since=0) == UnknownSession(7) and not machine.words["a"].out
+    assert (
+        does(machine, SetOverride("a", True, 1), "a", 1, since=0) == UnknownSession(7)
+        and not machine.overrides["a"].out
+    )
     assert isinstance(does(machine, SetOverride("a", True, 1), "f", 1, since=7), Ok)
     assert isinstance(does(machine, SetOverride("q", True, 1), "g", 1), Ok), "who states nothing is not kept out"
 
 
 def test_a_lease_its_token_and_its_fence():
     machine = Machine()
-    assert does(machine, AcquireLease("d", "h", SECOND)) == Ok(1, 1) and machine.moved == "d"
+    assert does(machine, AcquireLease("d", "h", SECOND)) == Ok(1, 1) and machine.changed_lease == "d"
     for holder in "hi":
         assert (
-            does(machine, AcquireLease("d", holder, SECOND)) == LeaseHeld(machine.index, "h", 1) and not machine.moved
+            does(machine, AcquireLease("d", holder, SECOND)) == LeaseHeld(machine.index, "h", 1)
+            and not machine.changed_lease
         )
     assert does(machine, RenewLease("d", "i", 1)) == LeaseNotHeld(4, 1), "another's"
-    assert does(machine, RenewLease("d", "h", 1)) == Ok(5, 1) and machine.moved == "d"
+    assert does(machine, RenewLease("d", "h", 1)) == Ok(5, 1) and machine.changed_lease == "d"
     assert does(machine, ExpireLease("d", 1, 1)) == LeaseHeld(6, "h", 1), "renewed since"
     assert does(machine, FencedWrite("d", 1, "k", b"one")) == Ok(7, 1)
-    assert does(machine, ExpireLease("d", 1, 5)) == Ok(8, 1) and machine.moved == "d"
+    assert does(machine, ExpireLease("d", 1, 5)) == Ok(8, 1) and machine.changed_lease == "d"
     assert does(machine, FencedWrite("d", 1, "k", b"late")) == LeaseNotHeld(9, 1)
     assert does(machine, AcquireLease("d", "i", SECOND)) == Ok(10, 10)
     for act in (
@@ -178,7 +185,7 @@
     assert does(machine, AcquireLease("one more", "h", SECOND)) == CapacityExceeded(machine.index, "leases", MAX_LEASES)
     for name, out in (("p", True), ("q", False), ("r", True), ("s", True)):
         assert isinstance(does(machine, SetOverride(name, out, 1)), Ok)
-    assert list(machine.words) == ["p", "r", "s"], "the one called back went"
+    assert list(machine.overrides) == ["p", "r", "s"], "the one called back went"
     assert does(machine, SetOverride("t", True, 1)) == CapacityExceeded(machine.index, "providers taken out", 3)
     assert isinstance(does(machine, SetOverride("p", False, 1)), Ok)
     for key in "abc":
@@ -201,7 +208,7 @@
 def test_what_is_never_taken_is_refused_before_the_log_too(act):
     order = Command("", 0, act) if isinstance(act, ExpireLease) else Command("s", 1, act)
     machine = Machine()
-    assert isinstance(machine.apply(1, encode(order)), InvalidCommand) and not machine.words and not machine.leases
+    assert isinstance(machine.apply(1, encode(order)), InvalidCommand) and not machine.overrides and not machine.leases
     assert isinstance(validate(encode(order)), InvalidCommand)
     assert validate(encode(Command("s", 1, SetOverride("p" * 64, True, 1)))) is None
     for order in (
--- a/tests/test_replication_disk.py
+++ b/tests/test_replication_disk.py
@@ -68,14 +68,14 @@
     reports = []
     while not reports or (reports[-1] != BatchSynced(batch) and not isinstance(reports[-1], StorageBroken)):
         assert select.select([disk], [], [], seconds)[0], "nothing was told"
-        reports += disk.taken()
+        reports += disk.take_reports()
     return reports
 
 
 def kept_by(disk, *keeps):
     """Each stable before the next is asked for."""
     for keep in keeps:
-        disk.keep(keep)
+        disk.persist(keep)
         assert told(disk, keep.batch)[-1] == BatchSynced(keep.batch)
     return disk
 
@@ -247,9 +247,9 @@
                 disk, _, _ = open_disk(path, "c", 300)
                 for keep in MORE:
                     if not disk.failure:
-                        disk.keep(keep)
+                        disk.persist(keep)
                         reports += told(disk, keep.batch)
-                calls, _ = failing.left, disk.keep(MORE[0]) if disk.failure else None
+                calls, _ = failing.left, disk.persist(MORE[0]) if disk.failure else None
                 reports, failure = reports + disk.close(), disk.failure
                 assert [r for r in reports if isinstance(r, StorageBroken)] == [StorageBroken(str(failure))] * bool(
                     failure
@@ -301,7 +301,7 @@
     """The pages of the first are in memory and look written: a later sync of that file would prove nothing."""
     disk, _, _ = open_disk(folder, "c")
     monkeypatch.setattr(os, "fdatasync", lambda descriptor: (_ for _ in ()).throw(OSError(errno.EIO, "failed")))
-    disk.keep(PersistBatch(1, entries=entries(32, 1, term=2)))
+    disk.persist(PersistBatch(1, entries=entries(32, 1, term=2)))
     assert [type(report) for report in told(disk, 1)] == [StorageBroken] and disk.failure.where == str(folder / LAST)
     disk.close()
     inode = (folder / LAST).stat().st_ino
@@ -326,7 +326,7 @@
     for wrong in (entries(33, 1), entries(31, 1), 3, snapshot(2), HardState(1, "a")):
         name = {tuple: "entries", int: "cut", Snapshot: "snapshot", HardState: "hard"}[type(wrong)]
         disk, _, _ = open_disk(folder, "c")
-        disk.keep(PersistBatch(1, **{name: wrong}))
+        disk.persist(PersistBatch(1, **{name: wrong}))
         assert "can't follow" in told(disk, 1)[-1].why
         disk.close()
         assert reopened(folder)[0] == kept
@@ -343,10 +343,10 @@
     at = first + 5 * batch - 5
     copy = Snapshot(at - 10, 1, (), b"machine") if batch % 7 == 0 else None
     entries = [Entry(i, 1, EntryKind.WRITE, b"x" * 40) for i in range(at, at + 5)]
-    disk.keep(PersistBatch(batch, entries=entries, snapshot=copy))
+    disk.persist(PersistBatch(batch, entries=entries, snapshot=copy))
     if batch % 3 == 0:
         select.select([disk], [], [])
-        print(first - 1 + 5 * disk.taken()[-1].batch, flush=True)
+        print(first - 1 + 5 * disk.take_reports()[-1].batch, flush=True)
 """
 
 
@@ -381,7 +381,7 @@
             ),
             "r": PersistBatch(batch),
         }[what]
-        disk.keep(keep)
+        disk.persist(keep)
         kept = states([keep], batch, kept)[0]
         if what == "r":
             disk.close()
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -125,7 +125,7 @@
     voter.found(members)
     place.line(place.hello("id-n1", "n1")).put(ask_vote(voter, "id-n1"))
     place.rest()
-    assert voter.core.role is Role.OUT and voter.core.term == 0 and not voter.am(tuple(voter.seats)).empty
+    assert voter.core.role is Role.OUT and voter.core.term == 0 and not voter.status(tuple(voter.seats)).empty
     gate.set()
     assert until(place.loop, lambda: voter.core.members == members)
 
@@ -162,7 +162,7 @@
     voter, ended = place.vote(), []
     voter.ended = ended.append
     monkeypatch.setattr(voter.core, "step", lambda now, event: 1 // 0)
-    voter.feed(Tick())
+    voter.process(Tick())
     assert until(place.loop, lambda: ended) and isinstance(ended[0], MemberBroken) and "ZeroDivision" in str(ended[0])
 
 
@@ -189,18 +189,18 @@
     ids = frozenset({"a", "b"})
     for number, (name, out) in enumerate((("s0", True), ("s1", True), ("s1", False)), 1):
         copies.apply(order_of(number, name, out))
-    part._tell(copies.machine, ids)
+    part._update_from(copies.machine, ids)
     part.close()  # writes what was not written yet
     told, fresh = [], ReplicationAgent(place.loop, "f0", part.options, lambda *said: told.append(said))
     fresh.recall()
     assert [(sorted(words), whole) for words, whole in told] == [(["s0", "s1"], True)]
-    assert (fresh.index, fresh.out()) == (3, ["s0"]) and fresh.age() is not None
+    assert (fresh.index, fresh.disabled_providers()) == (3, ["s0"]) and fresh.age() is not None
     behind = Machines()
     behind.apply(order_of(1, "s7", True))
-    fresh._tell(behind.machine, frozenset({"b"}))
-    assert len(told) == 1 and fresh.out() == ["s0"] and fresh.index == 3
-    fresh._tell(behind.machine, frozenset({"x"}))  # another cluster: begun anew
-    assert told[1][1] and fresh.out() == ["s7"]
+    fresh._update_from(behind.machine, frozenset({"b"}))
+    assert len(told) == 1 and fresh.disabled_providers() == ["s0"] and fresh.index == 3
+    fresh._update_from(behind.machine, frozenset({"x"}))  # another cluster: begun anew
+    assert told[1][1] and fresh.disabled_providers() == ["s7"]
     other = ReplicationAgent(place.loop, "f0", msgspec.structs.replace(part.options, cluster="other"), print)
     other.recall()
     assert other.index == 0
@@ -219,20 +219,20 @@
             StatusResponse(True, True, at, "", "", ()) if isinstance(frame, StatusRequest) else None
         )
     begun = place.vote()
-    assert until(place.loop, lambda: begun.begun), "all are empty"
+    assert until(place.loop, lambda: begun.has_state), "all are empty"
     place.part.close()
     (tmp_path / "copies" / "identity").write_bytes(b"?")
     for _ in range(2):  # the next start finds files that are whole
         place.part = ReplicationAgent(place.loop, "n0", place.part.options, lambda words, whole: None)
         voter = place.vote()
         place.rest(600 * MS)
-        assert voter.me != begun.me and not voter.begun and not voter.am(tuple(voter.seats)).empty
+        assert voter.me != begun.me and not voter.has_state and not voter.status(tuple(voter.seats)).empty
         place.part.close()
 
 
 def test_only_a_leader_whose_members_are_committed_takes_a_voter_out(place):
     voter, ended = place.vote(), []
-    voter.ended, voter.begun, place.part.joining.voted = ended.append, True, True
+    voter.ended, voter.has_state, place.part.joining.is_confirmed_voter = ended.append, True, True
     said = StatusResponse(False, True, "127.0.0.1:1", "n1", "", (Member("id-n1", "n1", "127.0.0.1:1"),))
     place.toys["n1"].answer = lambda frame: said if isinstance(frame, StatusRequest) else None
     place.rest(800 * MS)
@@ -311,14 +311,16 @@
 
 def test_who_asks_much_at_once_and_reads_nothing_is_answered_one_by_one(place, monkeypatch):
     voter, asked = place.vote(), []
-    news = msgspec.structs.replace(voter.news(0), entries=(wire.CommittedEntry(1, bytes(wire.MAX_FRAME_SIZE // 8)),))
-    monkeypatch.setattr(voter, "news", lambda after: (asked.append(after), news)[1])
+    news = msgspec.structs.replace(
+        voter.follow_response(0), entries=(wire.CommittedEntry(1, bytes(wire.MAX_FRAME_SIZE // 8)),)
+    )
+    monkeypatch.setattr(voter, "follow_response", lambda after: (asked.append(after), news)[1])
     line = place.line(place.hello("id-f", "f", ConnectionKind.FOLLOWER))
     line.sock.setblocking(True)
     line.sock.sendall(wire.encode_frame(wire.FollowRequest(0, 0)) * 500)
     place.rest(400 * MS)
-    (served,) = place.part.reception.others
-    assert 1 < len(asked) < 100 and served.held <= wire.MAX_FRAME_SIZE // 4 and not served.over
+    (served,) = place.part.reception.clients
+    assert 1 < len(asked) < 100 and served.unsent_bytes <= wire.MAX_FRAME_SIZE // 4 and not served.closed
     line.sock.setblocking(False)
     for _ in range(500):
         assert isinstance(run(place.loop, line.next(place.loop.now() + SECOND)), wire.FollowResponse)
@@ -341,7 +343,7 @@
         stranger = place.line(place.hello(f"stranger-{n}", f"s{n}"))
         stranger.put(ask_vote(voter, f"stranger-{n}", 10 + n))
         assert until(place.loop, lambda n=n: voter.core.term == 10 + n)
-    assert len(part.reception.members) <= 10 and len(voter.names) <= 10 and len(voter.links) <= 32
+    assert len(part.reception.member_connections) <= 10 and len(voter.connected_names) <= 10 and len(voter.links) <= 32
     newest.put(ask_vote(voter, "id-3", 60))
     assert until(place.loop, lambda: voter.core.term == 60)
     again = place.line(place.hello("id-3", "n1"))
@@ -356,18 +358,18 @@
 def test_a_word_that_was_promised_here_is_not_taken_back_by_news_from_before_it(place):
     copies, part = Machines(), place.part
     seen = []
-    part.told = lambda words, whole: seen.append({n: w.on for n, w in words.items()})
+    part.on_overrides = lambda words, whole: seen.append({n: w.on for n, w in words.items()})
     copies.apply(order_of(1, "s0", True))
-    part._tell(copies.machine, frozenset({"a"}))
+    part._update_from(copies.machine, frozenset({"a"}))
     part.proposer.write = lambda act, within: iter_of(Ok(3))
     assert run(place.loop, part.do(Call(Say.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
     copies.apply(order_of(2, "s0", False))  # another's word, between them in the log
-    part._tell(copies.machine, frozenset({"a"}))
-    assert part.out() == ["s0"] and not any(said.get("s0") is False for said in seen)
+    part._update_from(copies.machine, frozenset({"a"}))
+    assert part.disabled_providers() == ["s0"] and not any(said.get("s0") is False for said in seen)
     copies.apply(order_of(3, "s0", True))
     copies.apply(order_of(4, "s0", False))
-    part._tell(copies.machine, frozenset({"a"}))
-    assert part.out() == [] and seen[-1] == {"s0": False}
+    part._update_from(copies.machine, frozenset({"a"}))
+    assert part.disabled_providers() == [] and seen[-1] == {"s0": False}
 
 
 def iter_of(value):
@@ -427,7 +429,7 @@
     monkeypatch.setattr(part_module, "open_disk", lambda *a: (opened.append(a), open_disk(*a))[1])
     host, port = place.address.split(":")
     with socket.create_server((host, int(port))):
-        assert place.vote() is None and place.part.follower is not None
+        assert place.vote() is None and place.part.observer is not None
         place.rest(800 * MS)
         assert not opened
     assert until(place.loop, lambda: place.part.voter) and len(opened) == 1
@@ -452,15 +454,15 @@
         )
     voter = place.vote()
     place.rest(700 * MS)
-    assert not voter.begun
+    assert not voter.has_state
 
 
 def test_a_leader_that_has_just_begun_takes_nobodys_seat_and_gives_no_vote_to_one_it_has_not_met(place):
     voter = place.vote()
-    voter.led = (1, place.loop.now())
-    assert voter.lately("id-n1") and voter.behind("id-n1") > MAX_LEARNER_LAG
-    voter.led = (1, place.loop.now() - 2 * voter.options.election)
-    assert not voter.lately("id-n1") and voter.lately(voter.me) and not voter.near("id-n1")
+    voter.leadership = (1, place.loop.now())
+    assert voter.recently_heard("id-n1") and voter.replication_lag("id-n1") > MAX_LEARNER_LAG
+    voter.leadership = (1, place.loop.now() - 2 * voter.options.election)
+    assert not voter.recently_heard("id-n1") and voter.recently_heard(voter.me) and not voter.is_reachable("id-n1")
 
 
 def test_a_follower_gets_a_long_log_in_parts_and_a_longer_one_as_a_whole(trio, monkeypatch):
@@ -468,24 +470,24 @@
     for number in range(1, 601):
         leader.voter.write(order_of(number, f"s{number % 40}", number % 3 == 0).order, lambda how, *_: told.append(how))
     assert until(trio.loop, lambda: len(told) == 600) and set(told) == {wire.OutcomeCode.DONE}
-    news, voter = leader.voter.news(0), leader.voter
+    news, voter = leader.voter.follow_response(0), leader.voter
     assert [e.index for e in news.entries] == list(range(1, news.index + 1)) and len(news.entries) == 256
     with monkeypatch.context() as patched:
         patched.setattr(member_module, "MAX_FOLLOW_BYTES", 1000)
-        assert sum(len(e.data) for e in leader.voter.news(0).entries) < 1200
+        assert sum(len(e.data) for e in leader.voter.follow_response(0).entries) < 1200
     assert not news.whole and all(bool(e.data) == (e.index > 2) for e in news.entries)
     trio.parts["f0"] = first = trio.part("f0", None)
-    assert until(trio.loop, lambda: first.index == voter.machine.index) and first.words == leader.words
+    assert until(trio.loop, lambda: first.index == voter.machine.index) and first.overrides == leader.overrides
     for part in trio.others(first):  # all of them: a follower may ask any
         assert until(trio.loop, lambda part=part: part.voter.machine.index == voter.machine.index)
-        part.voter.feed(CompactLog(part.voter.machine.index, part.voter.machine.dump()))
-    assert voter.news(0).whole and not voter.news(voter.core.first_index - 1).whole
+        part.voter.process(CompactLog(part.voter.machine.index, part.voter.machine.dump()))
+    assert voter.follow_response(0).whole and not voter.follow_response(voter.core.first_index - 1).whole
     trio.parts["f1"] = second = trio.part("f1", None)
-    assert until(trio.loop, lambda: second.index == voter.machine.index) and second.words == leader.words
+    assert until(trio.loop, lambda: second.index == voter.machine.index) and second.overrides == leader.overrides
     line, snapshot = [], voter.core.snapshot
     line_ = type("Line", (), {"put": lambda self, frame: line.append(frame)})()
     for frame in (wire.FetchSnapshot(snapshot.index, 100), wire.FetchSnapshot(snapshot.index - 1, 100)):
-        leader.reception._fetch(line_, frame)
+        leader.reception._on_fetch_snapshot(line_, frame)
     assert [(piece.index, piece.at) for piece in line] == [(snapshot.index, 100), (snapshot.index, 0)]
 
 
@@ -497,10 +499,10 @@
     heirs = trio.others(leader)
     assert until(trio.loop, lambda: any(p.voter.core.role is Role.LEADER for p in heirs) and leader.voter is None)
     assert [p.voter.core.term for p in heirs] == [term + 1] * 2 and voter.core.role is not Role.LEADER
-    assert until(trio.loop, lambda: leader.index >= 3 and leader.out() == ["s0"]), "it follows on"
+    assert until(trio.loop, lambda: leader.index >= 3 and leader.disabled_providers() == ["s0"]), "it follows on"
     assert voter.age() is not None and voter.age() < 10 * SECOND
     trio.parts["again"] = again = trio.part(leader.name, Path(voter.options.folder))
-    assert until(trio.loop, lambda: again.voter is not None and again.out() == ["s0"])
+    assert until(trio.loop, lambda: again.voter is not None and again.disabled_providers() == ["s0"])
     assert again.voter.me == voter.me
 
 
@@ -529,14 +531,14 @@
         hello = Hello(wire.VERSION, "loftweir", f"id-{name}", name, ConnectionKind.CALLER)
         lines.append(run(trio.loop, dial(trio.loop, leader.seats[leader.name], hello, trio.loop.now() + SECOND))[0])
     monkeypatch.setattr(os, "fdatasync", lambda fd: (gate.wait(10), sync(fd))[1])
-    before = len(leader.voter.waiting)
+    before = len(leader.voter.callbacks)
     for number in range(1, 31):
         lines[0].put(msgspec.structs.replace(order_of(number, "s0", True), token=number))
     lines[1].put(SubmitCommand(1, encode(Command("v", 1, SetOverride("s1", True, 1), 0))))
     run_for(trio.loop, 200 * MS)
-    assert before < len(leader.voter.waiting) <= before + 2
+    assert before < len(leader.voter.callbacks) <= before + 2
     lines[1].close()
-    others = leader.reception.others
+    others = leader.reception.clients
     assert until(trio.loop, lambda: all(hello.name != "f1" for hello in others.values()))
     gate.set()
     answers = [run(trio.loop, lines[0].next(trio.loop.now() + 5 * SECOND)) for _ in range(30)]
@@ -546,7 +548,7 @@
 
 def test_a_member_at_another_address_joins_anew_and_one_without_a_leader_for_long_asks_whether_it_is_out(place):
     voter, ended = place.vote(), []
-    voter.ended, voter.begun, place.part.joining.voted = ended.append, True, True
+    voter.ended, voter.has_state, place.part.joining.is_confirmed_voter = ended.append, True, True
     own, asked = Member(voter.me, "n0", "127.0.0.1:1"), []
     members = [(own, Member("id-n1", "n1", "127.0.0.1:2"))]
     voter.member = lambda id: own
@@ -561,7 +563,7 @@
     assert until(place.loop, lambda: any(isinstance(frame, wire.JoinRequest) for frame in asked))
     assert [f.address for f in asked if isinstance(f, wire.JoinRequest)][0] == place.address
     own = msgspec.structs.replace(own, address=place.address)
-    voter.voted = True  # by a log that had all that was committed
+    voter.is_confirmed_voter = True  # by a log that had all that was committed
     place.rest(1300 * MS)
     asked.clear()
     place.rest(1300 * MS)
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -105,7 +105,7 @@
     near, far = socket.socketpair()
     near.setblocking(False)
     loop = Loop()
-    line = FrameConnection(loop, near, most=1024 * 1024)
+    line = FrameConnection(loop, near, max_unsent_bytes=1024 * 1024)
     for n in range(80):
         entry = Entry(n + 1, 1, EntryKind.WRITE, bytes(64 * 1024))
         line.put(
@@ -114,11 +114,11 @@
         )
         if n == 40:
             line.put(TimeoutNow(sender="a", to="b", term=1))
-        assert line.held <= line.most
+        assert line.unsent_bytes <= line.max_unsent_bytes
     reader, found = FrameReader(), []
     reader.first = False
     far.setblocking(False)
-    while line.held or select.select([far], [], [], 0)[0]:
+    while line.unsent_bytes or select.select([far], [], [], 0)[0]:
         reader.feed(far.recv(1024 * 1024))
         found += reader.all()
         line._flush()
@@ -128,7 +128,7 @@
     for _ in range(40):  # what must not be dropped is too much: the line ends
         line.put(FollowRequest(0, 0))
         line.write(bytes(64 * 1024))
-    assert line.over and line.held == 0
+    assert line.closed and line.unsent_bytes == 0
     line.close(), far.close()
 
 
@@ -320,12 +320,12 @@
     made = voters(first, lambda frame: copies.apply(frame))
     loop = Loop()
     calls = caller(loop, made)
-    calls.writes.at, calls.writes.address = "n0", made[0].address
+    calls.writes.target, calls.writes.address = "n0", made[0].address
     results = [run(loop, calls.write(SetOverride(f"s{n}", True, 1), 2 * SECOND)) for n in range(2)]
     assert [type(result) for result in results] == [Ok, Ok]
     sent = [order_of(frame) for voter in made for frame in voter.seen]
     assert [order.number for order in sent] == [1, 1, 2] and len({order.session for order in sent}) == 1
-    assert sent[0] == sent[1] and copies.machine.words["s0"].order == 1
+    assert sent[0] == sent[1] and copies.machine.overrides["s0"].log_index == 1
     calls.close()
 
 
@@ -336,8 +336,8 @@
     )
     loop = Loop()
     calls = caller(loop, made)
-    calls.writes.order = ["n0", "n1", "n2"]
-    calls.writes.at, calls.writes.address = "n0", made[0].address
+    calls.writes.names = ["n0", "n1", "n2"]
+    calls.writes.target, calls.writes.address = "n0", made[0].address
     assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), Ok)
     assert [len(voter.seen) for voter in made] == [1, 0, 1]
     calls.close()
@@ -382,10 +382,10 @@
     made = voters(let_go, lambda frame: ...)
     loop = Loop()
     calls = caller(loop, made)
-    calls.writes.at, calls.writes.address = "n0", made[0].address
+    calls.writes.target, calls.writes.address = "n0", made[0].address
     assert run(loop, calls.write(SetOverride("s", True, 1), SECOND)) == Ok(9)
     calls.session, calls.since = "", 0
-    calls.writes.at, calls.writes.address = "n1", made[1].address
+    calls.writes.target, calls.writes.address = "n1", made[1].address
     calls.writes.close()
     assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), OutcomeUnknown)
     calls.close()
@@ -431,7 +431,7 @@
     first.close()
     entries += history(5)[3:]
     assert until(loop, lambda: follow.machine.index == 5) and seen == [3, 5]
-    assert set(follow.machine.words) == {f"s{n}" for n in range(1, 6)}
+    assert set(follow.machine.overrides) == {f"s{n}" for n in range(1, 6)}
     follow.close()
 
 
@@ -475,9 +475,9 @@
         and not any(isinstance(f, wire.FetchSnapshot) for f in made[0].seen)
     )
     made[0].answer = follows(other, members=("x", "y"))  # begun anew: all members are others
-    assert until(loop, lambda: set(follow.machine.words) == {f"t{n}" for n in range(1, 8)})
+    assert until(loop, lambda: set(follow.machine.overrides) == {f"t{n}" for n in range(1, 8)})
     made[0].answer = made[1].answer = follows(history(1, "u"), members=("x", "y"))  # what was promised is gone
-    assert until(loop, lambda: set(follow.machine.words) == {"u1"})
+    assert until(loop, lambda: set(follow.machine.overrides) == {"u1"})
     follow.close()
 
 
@@ -550,7 +550,7 @@
     link = MemberLink(loop, "id", HELLO, lambda: address, lambda *why: turned.append(why))
     for n in range(100):
         link.put(TimeoutNow(sender="a", to="id", term=n))
-    assert len(link.waiting) == 8 and link.waiting[-1].term == 99
+    assert len(link.queue) == 8 and link.queue[-1].term == 99
     kept = []
     link.line = type("Line", (), {"put": lambda self, message, may_drop: kept.append(may_drop)})()
     link.put(TimeoutNow(sender="a", to="id", term=1))
