--- a/loftweir/replication/__init__.py
+++ b/loftweir/replication/__init__.py
@@ -1,5 +1,6 @@
-"""Copies: what a sidecar holds for others is kept by further sidecars. Off unless the operator's file names members.
+"""Replication of a site's shared state among its sidecars with Raft. Off unless the operator's file names members.
 
-From the bottom up: `api` (the types), `core` (consensus, pure), `machine` (what is kept, pure), `disk` (the files),
-`wire` (frames on a connection), `member` (a voter on sockets), `follower` (all others), `caller` (writes and reads).
+The modules from the bottom up: `api` (the types), `core` (consensus, without I/O), `machine` (the replicated state
+machine, without I/O), `disk` (stable storage), `wire` (frames on a connection), `member` (a voter with its sockets),
+`follower` (an observer: every sidecar that does not vote), `caller` (commands and queries).
 """
--- a/loftweir/replication/core.py
+++ b/loftweir/replication/core.py
@@ -1,27 +1,29 @@
-"""The consensus core of the replicated state, put together from its parts in `replication/raft/`. No I/O, no clock.
-
-From the Raft paper (Ongaro and Ousterhout, 2014; "paper") and Ongaro's dissertation (2014; "diss."). `step(now, event)`
-takes one event and gives the actions that follow from it, in order; `next_at` is when a `Tick` is due, if nothing else
-comes before.
-
-Stable storage answers late: a `Keep` is only asked for, `Stable` tells of it, and any number may be under way. The disk
-is so a prefix of this member's own history, and a message leaves only once the part that it rests on is stable
-(`Say.after`): as if the storage answered at once and the network were slower.
-
-Invariants, which `check` holds against the state:
-
-1. snapshot <= applied = commit <= last index; entries follow one another without gap and their terms never fall; no
-   entry has a term above the member's own.
-2. What is committed is never cut. A leader never cuts its own log (paper, 5.3, 5.4).
-3. The members in force are those of the last MEMBERS entry in the log, committed or not (diss. 4.1), and a
-   leader adds one only once the one before it, and an entry of its own term, are committed.
-4. A leader counts itself only up to `stable_index`, and a member only by what it said was stable; it commits only by an
-   entry of its own term (paper, 5.4.2). A candidate counts its own vote only once that is stable.
-5. Only a leader owes answers to tokens; who stops being one gives them all back at once (`Refused`).
-6. A leader that has no answer of a majority to what it sent in the last `Timing.election_timeout` is none (diss. 6.2). This is
-   seen to before anything else in a step, so that one that was stalled answers nothing. The time of an answer is the
-   time when what it answers was sent, and members wait at least `Timing.election_timeout` from when they heard it: where the
-   clocks run equally fast, one leader has stepped down before the next one stands, unless it handed over.
+"""The consensus core of the replicated state, composed of the classes in `replication/raft/`. No I/O and no clock.
+
+It follows the Raft paper (Ongaro and Ousterhout, 2014; "paper") and Ongaro's dissertation (2014; "diss."). `step(now,
+event)` takes one event and returns the resulting actions in order; `next_at` is the time at which a `Tick` is due
+unless another event comes first.
+
+Stable storage is asynchronous: a `PersistBatch` starts a write, `BatchSynced` reports its end, and any number may be
+pending. The disk thus always holds a prefix of this member's history, and a message is sent only once the part that it
+depends on is stable (`SendMessage.after`). The effect is that of synchronous storage with a slower network.
+
+Invariants, which `check` verifies on the state:
+
+1. snapshot <= applied = commit <= last index; entries have consecutive indexes and terms that never decrease; no entry
+   has a term above the member's own.
+2. A committed entry is never removed from the log. A leader never truncates its own log (paper, 5.3, 5.4).
+3. The current members are those of the last MEMBERS entry in the log, committed or not (diss. 4.1). A leader appends
+   one only once the previous one and an entry of its own term are committed.
+4. A leader counts itself only up to `stable_index`, and another member only up to the index that this one reported as
+   stable; it commits only by way of an entry of its own term (paper, 5.4.2). A candidate counts its own vote only once
+   that is stable.
+5. Only a leader has pending requests; when it stops being one, it rejects all of them at once (`RequestRejected`).
+6. A leader without a majority's responses to messages that it sent within the last `Timing.election_timeout` is none
+   (diss. 6.2). This is checked before anything else in a step, so that a process that was stalled answers nothing. A
+   response counts with the time at which the message was sent that it answers, and members wait at least
+   `Timing.election_timeout` after they received a leader's message: if the clocks run equally fast, one leader has
+   stepped down before the next election starts, except after a leadership transfer.
 """
 
 from __future__ import annotations
@@ -71,15 +73,16 @@
 
 
 def founding_state(members: Iterable[Member]) -> PersistentState:
-    """The disk that founds a cluster: for one member only, which leads first; the others begin with empty disks."""
+    """The storage of the member that founds a cluster and leads first; the others start with empty storage."""
     data = msgspec.msgpack.encode(tuple(members))
     return PersistentState(HardState(1), None, (Entry(1, 1, EntryKind.MEMBERS, data),))
 
 
 class Core(Election, Follower, Invariants):
-    """One member. `kept` is what its disk holds: all that is in it is stable; an empty one is of a member that isn't
-    taken in yet. The machine is rebuilt from the first actions on: a `Restore` where there is a snapshot, then what is
-    committed behind it."""
+    """One member. `kept` is the content of its stable storage; empty: the member has not been added to the cluster yet.
+    The state machine is rebuilt by the first actions: a `RestoreSnapshot` if there is a snapshot, then the committed
+    entries after it.
+    """
 
     def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
         super().__init__(me, kept, timing, random, now)
@@ -89,7 +92,9 @@
             self._actions.append(RestoreSnapshot(kept.snapshot))
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """Times that go back are taken as the latest seen. Raises nothing on what others send."""
+        """Handles one event. A time before the latest one counts as the latest. No message of another member raises an
+        error.
+        """
         if now > self._now:
             self._now = now
         if self.broken:
@@ -105,7 +110,7 @@
 
     @property
     def next_at(self) -> int:
-        """When a `Tick` is due, ns; `NEVER` where none is."""
+        """The time at which a `Tick` is due in ns; `NEVER` if none is."""
         if self.role is Role.LEADER:
             return min(self._heartbeat_at, self._quorum_deadline, self._transfer_deadline) if self._peers else NEVER
         if not self._may_campaign or self.broken:
@@ -152,7 +157,7 @@
         if m.to == self.me:
             getattr(self, _MESSAGE_HANDLERS[type(m)])(m)
 
-    # ---- what the host asks ---------------------------------------------------------------------
+    # ---- requests of the host ---------------------------------------------------------------------
 
     def _on_write(self, event: WriteRequest) -> None:
         if not self._can_accept(event.token):
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -49,9 +49,8 @@
         self.random = Random(f"{voter.me} joining")
         self.begun_at = loop.now()
         self.joining = False
-        self.is_confirmed_voter = (
-            False  # it was found in its place, in the life of this process: the disk alone does not tell
-        )
+        # it was found in its place, in the life of this process: the disk alone does not tell
+        self.is_confirmed_voter = False
         self.collecting = False  # it waits for answers; woken in any other wait, it would take that for its end
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -108,9 +108,8 @@
         self.notified_index = 0
         self.leader_known_at = 0  # when it last knew a leader with a majority, itself or another; 0: never
         self.leadership = (0, 0)  # the term that it led last, and when it began to
-        self.is_confirmed_voter = (
-            False  # in the life of this process it was a voter, by a log that had all that was committed then
-        )
+        # in the life of this process it was a voter, by a log that had all that was committed then
+        self.is_confirmed_voter = False
         self.hello = Hello(VERSION, options.cluster, self.me, name, Who.MEMBER)
         self.ticker: Task = loop.spawn(self._tick(), self._crashed, urgent=True)
         self.disk_task: Task = loop.spawn(self._read_disk(), self._crashed, urgent=True)
--- a/loftweir/replication/raft/__init__.py
+++ b/loftweir/replication/raft/__init__.py
@@ -1,3 +1,4 @@
-"""The parts of the consensus core, by those of the Raft paper (Ongaro and Ousterhout, 2014; "paper") and of Ongaro's
-dissertation (2014). Each is a class that adds its part to those that it rests on; `replication.core.Core` is the whole.
-No I/O, no clock."""
+"""The parts of the consensus core, divided as in the Raft paper (Ongaro and Ousterhout, 2014; "paper") and Ongaro's
+dissertation (2014; "diss."). Each class adds its part to those that it is based on; `replication.core.Core` combines
+them. No I/O and no clock.
+"""
--- a/loftweir/replication/raft/commit.py
+++ b/loftweir/replication/raft/commit.py
@@ -1,4 +1,4 @@
-"""Commitment: what a majority has stable is committed, applied and answered for (paper, 5.4.2)."""
+"""Commitment: what is stable on a majority is committed, applied and answered (paper, 5.4.2)."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Commit(Reads, LeadershipTransfer):
-    """The commit index, and all that follows when it rises."""
+    """The commit index and everything that follows when it rises."""
 
     def _advance_commit(self) -> None:
-        """Commit what a majority has stable, by way of an entry of this term only (paper, 5.4.2)."""
+        """Commits what is stable on a majority, only by way of an entry of the current term (paper, 5.4.2)."""
         matches = [peer.match for peer in self._voting_peers]
         if self.me in self.voters:
             matches.append(self._leader_match())
@@ -27,7 +27,9 @@
         return self.term_at(index) == self.term
 
     def _commit_to(self, index: int) -> None:
-        """Committed up to there: applied, and answered for. Who leads and is removed by it leads no more."""
+        """Raises the commit index: applies the entries and completes the requests up to it. A leader that a committed
+        membership change has removed steps down.
+        """
         changing = self.commit < self._configurations[-1][0]
         self.commit = index
         entries = tuple(self._log[self.applied - self._base : index - self._base])
--- a/loftweir/replication/raft/election.py
+++ b/loftweir/replication/raft/election.py
@@ -1,4 +1,4 @@
-"""Leader election: pre-vote (dissertation, 9.6), votes (paper, 5.2), and standing at once after a transfer."""
+"""Leader election: pre-votes (diss. 9.6), votes (paper, 5.2), and the immediate election of a leadership transfer."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Election(Leader):
-    """Who stands, who is voted for, and who wins."""
+    """Who becomes a candidate, who gets this member's vote, and who wins."""
 
     def _start_pre_vote(self) -> None:
-        """Nothing was heard from a leader: ask whether one could be elected, without a new term (diss. 9.6)."""
-        self.role, self.leader, self._transfer_election = Role.ASKING, "", False
+        """No leader was heard of: asks the voters for pre-votes, without entering a new term (diss. 9.6)."""
+        self.role, self.leader, self._transfer_election = Role.PRE_CANDIDATE, "", False
         self._reset_election_timer()
         self._votes = {self.me}
         if len(self._votes & self.voters) >= self._majority:
@@ -20,6 +20,7 @@
             self._request_votes()
 
     def _start_election(self, handed: bool) -> None:
+        """Enters the next term as a candidate, with a vote for itself. `handed`: a leader sent `TimeoutNow`."""
         self.role, self.leader, self._transfer_election = Role.CANDIDATE, "", handed
         self._set_hard_state(self.term + 1, self.me)
         self._reset_election_timer()
@@ -27,8 +28,9 @@
         self._request_votes()
 
     def _request_votes(self) -> None:
+        """Asks the voters that have not granted a vote yet, again after each heartbeat interval."""
         self._vote_retry_at = self._now + self.timing.heartbeat_interval
-        pre = self.role is Role.ASKING
+        pre = self.role is Role.PRE_CANDIDATE
         for id in sorted(self.voters - self._votes - {self.me}):
             last, term = self.last_index, self.term_at(self.last_index)
             self._send(
@@ -61,12 +63,12 @@
         self._send(RequestVoteResponse(sender=self.me, to=m.sender, term=self.term, granted=granted, pre=False))
 
     def _up_to_date(self, m: RequestVote) -> bool:
-        """The asker's log holds all that may be committed as far as this one knows (paper, 5.4.1)."""
+        """Whether the sender's log has everything that may be committed as far as this member knows (paper, 5.4.1)."""
         return (m.last_term, m.last_index) >= (self.term_at(self.last_index), self.last_index)
 
     def _on_vote_response(self, m: RequestVoteResponse) -> None:
         if m.pre and m.granted:
-            if self.role is Role.ASKING and m.term == self.term + 1:
+            if self.role is Role.PRE_CANDIDATE and m.term == self.term + 1:
                 self._votes.add(m.sender)
                 if len(self._votes & self.voters) >= self._majority:
                     self._start_election(False)
@@ -78,6 +80,7 @@
             self._count_votes()
 
     def _count_votes(self) -> None:
+        """Becomes the leader with the votes of a majority; the own vote counts once it is stable."""
         own = self.me in self.voters and self._own_vote_synced()
         if len(self._votes & self.voters) + own >= self._majority:
             self._become_leader()
--- a/loftweir/replication/raft/follower.py
+++ b/loftweir/replication/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower: it takes the entries and the snapshots of its leader (paper, 5.3 and 7)."""
+"""The follower: accepts log entries and snapshots of its leader (paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Follower(Commit):
-    """What a member does with what its leader sends."""
+    """How a member handles the messages of its leader."""
 
     def _accept_leader(self, m: AppendEntries | InstallSnapshot) -> bool:
-        """Whether it is of the term's leader, who is followed then."""
+        """Whether the sender is the leader of the current term or of a later one, which is then entered."""
         if m.term < self.term or self.role is Role.LEADER and m.term == self.term:
             return False
         if m.term > self.term or self.leader != m.sender:
@@ -31,7 +31,7 @@
 
     def _on_append_entries(self, m: AppendEntries) -> None:
         if not self._accept_leader(m):
-            if m.term < self.term:  # so that it learns of the later term
+            if m.term < self.term:  # the sender learns of the later term
                 self._respond_to_append(m, False, self.last_index)
             return
         if m.prev_index > self.last_index:
@@ -44,21 +44,22 @@
         self._store_entries(m.entries)
         if self.commit < m.commit and self.commit < matched:
             self._commit_to(min(m.commit, matched))
-        if not m.entries:  # a sign of life is answered at once: only what is stable already
+        if not m.entries:  # a heartbeat is answered at once, with what is already stable
             self._respond_to_append(m, True, min(matched, self.stable_index))
         else:
             self._respond_to_append(m, True, matched, self._batch_covering(matched))
 
     def _before_conflicting_term(self, index: int) -> int:
-        """The last entry before the term that conflicts at `index`: no entry of that term can be the leader's behind
-        where it began (paper, 5.3)."""
+        """The last index before the term that conflicts at `index`. The leader can have no entry of that term after the
+        index at which it began (paper, 5.3).
+        """
         conflicting, index = self.term_at(index), index - 1
         while index > self.commit and self.term_at(index) == conflicting:
             index -= 1
         return index
 
     def _store_entries(self, entries: tuple[Entry, ...]) -> None:
-        """Appends what is not in the log yet, in place of what conflicts with it."""
+        """Appends the entries that are not in the log yet and removes those that conflict with them."""
         for entry in entries:
             if entry.index <= self.commit:
                 continue
@@ -78,7 +79,7 @@
             if m.term < self.term:
                 self._respond_to_snapshot(m, 0)
             return
-        if m.index <= self.commit:  # all that it holds is here
+        if m.index <= self.commit:  # everything in the snapshot is already committed here
             self._incoming = None
             self._respond_to_snapshot(m, m.size, self._batch_covering(m.index))
             return
@@ -91,7 +92,7 @@
         self._respond_to_snapshot(m, m.size, self._batch + 1)
 
     def _collect_chunk(self, m: InstallSnapshot) -> bytearray:
-        """What is held of a snapshot, this piece with it where it comes next."""
+        """The data of the incoming snapshot so far, with this chunk if it is the next one."""
         key = (m.sender, m.term, m.index, m.size)
         if self._incoming is None or self._incoming.key != key:
             self._incoming = IncomingSnapshot(key)
@@ -109,7 +110,9 @@
         )
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
-        """In place of the log up to it; what is behind it stays only if the log agrees with it there (paper, 7)."""
+        """Replaces the log up to the snapshot; later entries stay only if the log agrees with the snapshot there
+        (paper, 7).
+        """
         index = snapshot.index
         if index <= self.last_index and self.term_at(index) == snapshot.term:
             del self._log[: index - self._base]
--- a/loftweir/replication/raft/invariants.py
+++ b/loftweir/replication/raft/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the consensus core, held against its state; they are listed in `replication.core`."""
+"""Verifies the invariants of the consensus core, which `replication.core` lists."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Invariants(RaftState):
-    """Checks that cost as much as the log is long: for tests and emulation."""
+    """Checks whose cost is proportional to the length of the log, for tests and simulations."""
 
     def check(self) -> None:
-        """AssertionError where an invariant doesn't hold."""
+        """Raises AssertionError if an invariant does not hold."""
         self._check_log()
         self._check_members()
         assert not any(
@@ -39,7 +39,8 @@
 
     def _check_leader(self) -> None:
         assert self.leader == self.me and self.term_at(self.last_index) == self.term
-        own = max(self.commit, self._term_start_index)  # what is before it may be committed, unknown to this leader
+        # entries before it may be committed without this leader's knowledge
+        own = max(self.commit, self._term_start_index)
         assert sum(i > own for i, _ in self._configurations) <= 1, "two changes of members under way"
         assert self._now < self._quorum_deadline
         assert self.me in self.voters or self._configurations[-1][0] > self.commit, "a leader that was removed"
--- a/loftweir/replication/raft/leader.py
+++ b/loftweir/replication/raft/leader.py
@@ -1,4 +1,4 @@
-"""The leader: it begins its term with an entry of its own, beats, and takes the answers of the others."""
+"""The leader: starts its term with an entry of its own, sends heartbeats, and handles the members' responses."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class Leader(Commit):
-    """What a leader does in its term."""
+    """What a leader does during its term."""
 
     def _become_leader(self) -> None:
+        """Wins the election: a no-op entry of the new term goes to all members."""
         self.role, self.leader = Role.LEADER, self.me
         self._peers = {}
         self._round = max(self._round, self._now)
@@ -21,6 +22,7 @@
         self._advance_commit()
 
     def _send_heartbeats(self) -> None:
+        """Sends heartbeats, and resumes what was lost on the way to a peer."""
         self._heartbeat_at = self._now + self.timing.heartbeat_interval
         for peer in list(self._peers.values()):
             if peer.removed_at and (0 < peer.removal_round <= peer.round or self._now >= peer.removed_until):
@@ -28,22 +30,24 @@
             elif peer.snapshot is not None:
                 self._resend_snapshot(peer, peer.snapshot)
             elif peer.next <= self._base:
-                self._send_snapshot(peer)  # what it lacks was let go, whether all that was sent got there or not
+                self._send_snapshot(peer)  # it needs compacted entries, whether the earlier messages arrived or not
         self._heartbeat_all()
         if self._transfer_target:
             self._continue_transfer()
 
     def _resend_snapshot(self, peer: Peer, snapshot: Snapshot) -> None:
-        """Sends a piece of the snapshot again, where none was taken since the last beat."""
+        """Retransmits the current chunk if none was acknowledged since the last heartbeat."""
         if not peer.snapshot_progressed and snapshot.index < self._base:
-            self._send_snapshot(peer)  # a newer one: behind the old one there would be a gap
+            self._send_snapshot(peer)  # a newer one: the log has a gap after the old one
         elif not peer.snapshot_progressed:
             peer.snapshot_sent, peer.probing = peer.snapshot_acknowledged, True
             self._send_chunk(peer, snapshot)
         peer.snapshot_progressed = False
 
     def _responding_peer(self, m: AppendEntriesResponse | InstallSnapshotResponse) -> Peer | None:
-        """Whose answer it is to this leader of this term. A later term ends this one, if a member says so."""
+        """The peer that answers this leader in this term; None: the response is ignored. A response of a member with a
+        later term ends the leadership.
+        """
         if m.term > self.term:
             if m.sender in self._ids:
                 self._become_follower(m.term, "")
@@ -75,14 +79,14 @@
             self._replicate_to(peer)
 
     def _advance_match(self, peer: Peer, index: int) -> None:
-        """It has the log stable up to there."""
+        """The peer's log is stable up to `index`."""
         peer.match = index
         peer.next = max(peer.next, index + 1)
         while peer.in_flight and peer.in_flight[0][0] <= index:
             peer.bytes_in_flight -= peer.in_flight.popleft()[1]
         if peer.votes and index > self.commit:
             self._advance_commit()
-        if self.role is Role.LEADER:  # it may have been removed by what this committed
+        if self.role is Role.LEADER:  # the commit may have removed this member from the cluster
             self._replicate_to(peer)
             if self._transfer_target:
                 self._continue_transfer()
@@ -105,7 +109,7 @@
                 False,
             )
             self._send_chunks(peer, snapshot)
-        elif m.upto < peer.snapshot_acknowledged and m.round > peer.restart_round:  # it lost what it held
+        elif m.upto < peer.snapshot_acknowledged and m.round > peer.restart_round:  # it has lost the received chunks
             peer.restart(peer.next, self._round)
             peer.snapshot_acknowledged = peer.snapshot_sent = m.upto
             self._send_chunk(peer, snapshot)
--- a/loftweir/replication/raft/leadership_transfer.py
+++ b/loftweir/replication/raft/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer: a leader that is about to end lets the nearest voter stand (dissertation, 3.10)."""
+"""Leadership transfer: a leader that is about to stop lets the most up-to-date voter start an election (diss. 3.10)."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 
 
 class LeadershipTransfer(LogReplication):
-    """Handing the leadership over to another member."""
+    """Transfer of the leadership to another member."""
 
     def _on_transfer_leadership(self, event: TransferLeadership) -> None:
-        """Take no more writes until another, which has all, leads; or for `Timing.election_timeout` at most (diss. 3.10)."""
+        """Accepts no more writes until another member, which has the whole log, leads, or for `Timing.election_timeout`
+        (diss. 3.10).
+        """
         best = self._best_successor()
         if best is not None and not self._transfer_target:
             self._transfer_target, self._transfer_deadline = best.id, self._now + self.timing.election_timeout
             self._continue_transfer()
 
     def _best_successor(self) -> Peer | None:
-        """The voter that is nearest to having all."""
+        """The reachable voter with the most up-to-date log."""
         return max((p for p in self._voting_peers if self._is_alive(p)), key=lambda p: (p.match, p.id), default=None)
 
     def _continue_transfer(self) -> None:
--- a/loftweir/replication/raft/log.py
+++ b/loftweir/replication/raft/log.py
@@ -1,4 +1,4 @@
-"""The log: it grows, is cut where a leader has other entries, and is compacted behind a snapshot (paper, 5.3 and 7)."""
+"""The log: appending, truncation on a conflict with the leader, and compaction to a snapshot (paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from loftweir.replication.raft.membership import Membership
 from loftweir.replication.raft.state import decode_members
 
-LEARNER_LOG_FACTOR = 4  # times `log_entries` that are held at most for members that take a snapshot now
+# While a live member receives a snapshot, the log keeps at most this many times `snapshot_after_entries` entries (and
+# `snapshot_after_bytes` bytes).
+LEARNER_LOG_FACTOR = 4
 
 
 class RaftLog(Membership):
-    """Changes of the log, and of the members that its entries name."""
+    """Changes of the log, and of the members that its entries define."""
 
     def _append_to_log(self, entry: Entry) -> None:
         self._log.append(entry)
@@ -21,7 +23,7 @@
             self._membership_changed()
 
     def _truncate_from(self, index: int) -> None:
-        """Drop entries that were never committed; the members that they named go with them."""
+        """Removes entries that were never committed, and the memberships that they define."""
         assert index > self.commit, "a committed entry would be cut"
         del self._log[index - self._base - 1 :]
         self.last_index = index - 1
@@ -35,7 +37,7 @@
     def _on_compact_log(self, event: CompactLog) -> None:
         had = self.snapshot.index if self.snapshot else 0
         if not had < event.index <= self.applied:
-            return  # an older one, made while a newer one was taken in
+            return  # older than the current one, which was installed meanwhile
         self._snapshot_requested_index = max(self._snapshot_requested_index, event.index)
         snapshot = Snapshot(event.index, self.term_at(event.index), self._members_at(event.index), event.data)
         self.snapshot = self._new_snapshot = snapshot
@@ -48,11 +50,12 @@
             self._configurations.pop(0)
 
     def _first_index_to_keep(self, index: int) -> int:
-        """Behind which entry the log is kept, once there is a snapshot of `index`."""
+        """The index after which entries are kept once there is a snapshot of `index`."""
         timing = self.timing
         keep_from = self._bounded_first_index(index, timing.trailing_entries, timing.snapshot_after_bytes // 2)
         taking = [peer.snapshot.index for peer in self._peers.values() if peer.snapshot and self._is_alive(peer)]
-        if taking:  # they go on from their snapshot by the log, or they would need one snapshot after the other
+        # these members continue from their snapshot with the log; without it they would need one snapshot after another
+        if taking:
             most = self._bounded_first_index(
                 index,
                 LEARNER_LOG_FACTOR * timing.snapshot_after_entries,
@@ -62,7 +65,7 @@
         return keep_from
 
     def _bounded_first_index(self, index: int, entries: int, size: int) -> int:
-        """Where to begin, so that so many entries and so many bytes of them at most are left up to `index`."""
+        """The index after which at most `entries` entries and `size` bytes are left up to `index`."""
         least = max(index - entries, self._base)
         while index > least and size >= 0:
             size -= len(self._log[index - self._base - 1].data)
--- a/loftweir/replication/raft/log_replication.py
+++ b/loftweir/replication/raft/log_replication.py
@@ -1,4 +1,4 @@
-"""Log replication, as the leader sends it: entries, signs of life, snapshots in pieces (paper, 5.3 and 7)."""
+"""Log replication on the leader's side: entries, heartbeats and snapshot chunks (paper, 5.3 and 7)."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 from loftweir.replication.raft.quorum import Quorum
 from loftweir.replication.raft.state import Peer
 
-MAX_APPENDS_IN_FLIGHT = 32  # appends under way to a member at most; what comes meanwhile goes together in the next
-WINDOW_MESSAGES = 4  # bytes under way to a member at most, in times of a full append or piece
-ENTRY_OVERHEAD = 32  # bytes of an entry beside its data, about
+# AppendEntries in flight to one member; entries that arrive meanwhile go together into the next one.
+MAX_APPENDS_IN_FLIGHT = 32
+# Bytes in flight to one member, in multiples of a full AppendEntries or snapshot chunk.
+WINDOW_MESSAGES = 4
+ENTRY_OVERHEAD = 32  # approximate bytes of an encoded entry besides its data
 
 
 class LogReplication(RaftLog, Quorum):
@@ -39,7 +41,7 @@
         )
 
     def _replicate_to(self, peer: Peer) -> None:
-        """What it lacks, as far as there is room under way."""
+        """Sends a peer the entries that it lacks, as far as the window allows."""
         if peer.snapshot is not None:
             return
         window = WINDOW_MESSAGES * self.timing.max_append_bytes
@@ -52,7 +54,7 @@
             self._send_entries(peer)
 
     def _send_entries(self, peer: Peer) -> None:
-        """Sends the next entries, as many as one append may hold and one at least."""
+        """Sends the next entries: at least one, and as many as fit into one message."""
         full = self.timing.max_append_bytes
         first = last = peer.next - self._base - 1
         size = 0
@@ -65,7 +67,7 @@
         self._send_append(peer, prev, tuple(self._log[first:last]))
 
     def _heartbeat_all(self) -> None:
-        """A sign of life to all. It names the last entry sent, so that one that was lost on the way is found out."""
+        """Sends a heartbeat to all. It names the last entry sent, so that a member notices a lost message."""
         self._heartbeat_round = self._round + 1
         for peer in self._peers.values():
             prev = peer.next - 1 if peer.snapshot is None and peer.next > self._base else 0
--- a/loftweir/replication/raft/membership.py
+++ b/loftweir/replication/raft/membership.py
@@ -1,4 +1,4 @@
-"""The members in force, and changes of them by one voter at a time (dissertation, 4)."""
+"""The current members, and membership changes by one voter at a time (diss. 4)."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from loftweir.replication.raft.storage import Storage
 
 MAX_VOTERS = 7
-MAX_MEMBERS = 16  # learners with them
+MAX_MEMBERS = 16  # voters and learners
 
 
 class Membership(Storage):
-    """Who the members are, as the log says, and what follows from it for this one."""
+    """The members that the log defines, and this member's place among them."""
 
     def _membership_changed(self) -> None:
-        """Other members are in force."""
+        """The log defines other members now."""
         index, self.members = self._configurations[-1]
         self._ids = frozenset(m.id for m in self.members)
         self.voters = frozenset(m.id for m in self.members if m.votes)
@@ -24,8 +24,9 @@
             self._update_peers(index)
 
     def _update_membership_role(self) -> None:
-        """Whether it may stand, and whether it is out. A voter may stand until its removal is known to be committed:
-        it may be the only one with the entry that all others wait for (diss. 4.2.2)."""
+        """Updates whether this member may campaign, and whether it is a member at all. A voter may campaign until its
+        removal is known to be committed: it may be the only one with the entry that all others wait for (diss. 4.2.2).
+        """
         self._may_campaign = False
         for at, members in reversed(self._configurations):
             if any(m.votes and m.id == self.me for m in members):
@@ -41,17 +42,18 @@
             self._reset_election_timer()
 
     def _update_peers(self, index: int) -> None:
-        """A leader's view of the members that are in force from `index` on, its next entry."""
+        """Updates a leader's peers to the members that are effective from `index` on, its next entry."""
         for id in sorted(self._ids - {self.me}):
             peer = self._peers.setdefault(id, Peer(id, index))
             peer.votes, peer.removed_at = id in self.voters, 0
         for peer in self._peers.values():
             if peer.id not in self._ids and not peer.removed_at:
-                # It still gets the entry that removes it, and that this is committed, so as to know; it counts no more.
+                # It is no longer counted, but still gets the entry that removes it and the commit index of that entry,
+                # so that it learns of its removal.
                 peer.votes, peer.removed_at, peer.removal_round = False, index, 0
                 peer.removed_until = self._now + 4 * self.timing.election_timeout
         self._voting_peers = [peer for peer in self._peers.values() if peer.votes]
-        self._quorum_since = self._now  # a new voter has not been asked anything yet
+        self._quorum_since = self._now  # a new voter has not been sent anything yet
         self._quorum_deadline = self._now + self.timing.election_timeout if self._others_needed() else NEVER
 
     def _others_needed(self) -> int:
@@ -62,13 +64,16 @@
 
     @property
     def can_change_members(self) -> bool:
-        """Of a leader: it may take a change of members. An entry of its term and the last change are committed."""
+        """On a leader: whether it may accept a membership change. An entry of its term and the last change are
+        committed.
+        """
         return self.role is Role.LEADER and self.commit >= max(self._term_start_index, self._configurations[-1][0])
 
     def _membership_rejection(self, members: tuple[Member, ...]) -> RejectionReason | None:
-        """One voter more or less at a time. None is under way, and an entry of this leader's term is committed: else
-        two leaders could each have made another change, with majorities that don't meet (diss. 4.1, and Ongaro's note
-        of 2015 on it)."""
+        """Why a membership change can't be accepted now; None: it can. The voters may change by one at a time, the
+        previous change must be committed, and so must an entry of this leader's term: otherwise two leaders could each
+        make a different change, with majorities that do not overlap (diss. 4.1, and Ongaro's note of 2015 on it).
+        """
         voters = {m.id for m in members if m.votes}
         if len({m.id for m in members}) < len(members) or len({m.name for m in members}) < len(members):
             return RejectionReason.UNFIT
--- a/loftweir/replication/raft/quorum.py
+++ b/loftweir/replication/raft/quorum.py
@@ -1,4 +1,4 @@
-"""The quorum: what a majority has answered, and when a leader without one steps down (dissertation, 6.2)."""
+"""The quorum: which round a majority has answered, and when a leader without one steps down (diss. 6.2)."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 class Quorum(Terms):
-    """Rounds of messages, and the latest that a majority has answered."""
+    """Rounds of messages, and the latest one that a majority has answered."""
 
     @property
     def quorum_confirmed_at(self) -> int:
-        """Of a leader: the latest time at which it sent something that a majority has answered since (or when it began
-        to lead, or its voters changed). Of others: when they last heard from the leader; 0: from none yet. ns."""
+        """On a leader: the latest time at which it sent something that a majority has answered since, or at which it
+        began to lead or its voters changed. On others: when they last heard from the leader; 0: never. In ns.
+        """
         if self.role is not Role.LEADER:
             return self._leader_heard_at
         return max(self._quorum_since, min(self._latest_quorum_round(), self._now))
@@ -23,7 +24,7 @@
         return self._round
 
     def _latest_quorum_round(self) -> int:
-        """The latest round that a majority has answered, this leader with it."""
+        """The latest round that a majority, including this leader, has answered."""
         needed = self._others_needed()
         if needed <= 0:
             return NEVER
--- a/loftweir/replication/raft/reads.py
+++ b/loftweir/replication/raft/reads.py
@@ -1,4 +1,4 @@
-"""Reads that see all that was promised before them, without an entry in the log (dissertation, 6.4)."""
+"""Linearizable reads without an entry in the log (diss. 6.4)."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 
 class Reads(LogReplication):
-    """Reads that wait for a majority to confirm this leader."""
+    """Reads that wait until a majority confirms this leader."""
 
     def _on_read(self, event: ReadRequest) -> None:
-        """Answered once a majority has answered something sent after this, and the log is committed up to where it was
-        then, an entry of this term with it (diss. 6.4)."""
+        """Completed once a majority has answered a message sent after the request, and the log is committed up to the
+        commit index at that time and includes an entry of this term (diss. 6.4).
+        """
         if not self._can_accept(event.token):
             return
         self._pending_reads.append((self._round + 1, max(self.commit, self._term_start_index), event.token))
@@ -22,6 +23,6 @@
         while reads and reads[0][0] <= answered and reads[0][1] <= self.commit:
             _, index, token = reads.popleft()
             self._actions.append(RequestCompleted(token, index))
-        # One round to all at a time: those that come meanwhile wait for the next.
+        # One round to all at a time: reads that arrive meanwhile wait for the next one.
         if reads and self._heartbeat_round < reads[0][0]:
             self._heartbeat_all()
--- a/loftweir/replication/raft/storage.py
+++ b/loftweir/replication/raft/storage.py
@@ -1,4 +1,4 @@
-"""Stable storage: what a step asks to be kept, and what may be said once that is stable."""
+"""Stable storage: what a step writes, and what may be sent only once that is stable."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Storage(RaftState):
-    """What is asked of the disk. Nothing is said before what it rests on is stable."""
+    """Writes to the storage. No message is sent before the data that it depends on is stable."""
 
     def _collect_actions(self) -> list[Action]:
-        """What the step did: first what is to be kept, since all that is said rests on it."""
+        """The actions of this step. Writing comes first, as all messages depend on it."""
         out, self._actions = self._actions, []
         if (
             self._hard_state_changed
@@ -45,18 +45,18 @@
         self._hard_state_batch = self._batch + 1
 
     def _send(self, message: AnyMessage, after: int = 0) -> None:
-        """What is said in a term leaves once that is stable."""
+        """Sends a message, at the earliest once the current term and vote are stable."""
         after = max(after, self._hard_state_batch)
         self._actions.append(SendMessage(message, after if after > self._stable_batch else 0))
 
     def _lower_stable_index(self, index: int) -> None:
-        """What was asked to be kept from here on is not this member's log any more."""
+        """Entries from `index` on, which were handed to the storage, are no longer part of this member's log."""
         self.stable_index = min(self.stable_index, index - 1)
         for pending in self._unsynced_batches:
             pending[1] = min(pending[1], index - 1)
 
     def _batch_covering(self, index: int) -> int:
-        """A batch with which the log is stable up to there; 0: it is."""
+        """A batch that makes the log stable up to `index`; 0: it already is."""
         if index <= self.stable_index:
             return 0
         return self._batch + bool(self._new_entries or self._new_snapshot)
--- a/loftweir/replication/raft/terms.py
+++ b/loftweir/replication/raft/terms.py
@@ -1,4 +1,4 @@
-"""Terms: a later one is followed, and who leads an older one steps down (paper, 5.1)."""
+"""Terms: a later term is entered, and a leader of an older one steps down (paper, 5.1)."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class Terms(Membership):
-    """Under whose leadership this member is, and what it owes where that ends."""
+    """The term and leader that this member follows, and the end of its own leadership."""
 
     def _become_follower(self, term: int, leader: str) -> None:
-        """Under this term, which is not below the member's own; the leader may not be known."""
+        """Enters a term that is not below the member's own. The leader may be unknown (empty)."""
         if term > self.term:
             self._set_hard_state(term, "")
         if self.role is Role.LEADER:
@@ -22,7 +22,7 @@
         self._incoming = None
 
     def _step_down(self) -> None:
-        """Lead no more: what was not answered is not known to come true here."""
+        """Stops leading. The outcome of the pending proposals is not known."""
         self._reject_pending(RejectionReason.NOT_LEADER)
         self._peers, self._voting_peers = {}, []
         self._transfer_target, self._transfer_deadline = "", NEVER
@@ -32,12 +32,13 @@
         self._reset_election_timer()
 
     def _leader_is_alive(self) -> bool:
-        """A leader is well: nobody may stand against it (diss. 4.2.3)."""
+        """Whether a leader is alive, in which case no election is supported (diss. 4.2.3)."""
         if self.role is Role.LEADER:
             return True
         return self.leader != "" and self._now - self._leader_heard_at < self.timing.election_timeout
 
     def _can_accept(self, token: int) -> bool:
+        """Whether a request can be accepted; rejects it otherwise."""
         if self.role is not Role.LEADER:
             self._actions.append(RequestRejected(token, RejectionReason.NOT_LEADER))
             return False
@@ -47,6 +48,7 @@
         return True
 
     def _reject_pending(self, reads: RejectionReason) -> None:
+        """Rejects all pending requests: proposals as LOST, and reads with the given reason."""
         self._actions += [RequestRejected(token, RejectionReason.LOST) for _, token in self._pending_proposals]
         self._actions += [RequestRejected(token, reads) for *_, token in self._pending_reads]
         self._pending_proposals.clear()
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -58,9 +58,8 @@
 BACKLOG = 512  # a voter that comes back is called by many at once
 MAX_UNGREETED = 64  # connections that have not said who they are; more wait to be accepted
 UNGREETED_EVICTION_AGE = 250 * MS  # of too many, the oldest goes after this
-MAX_CONNECTIONS_PER_LISTED_NAME = (
-    8  # lines of each listed member that asks or joins, beside those for others; two processes may be under way
-)
+# lines of each listed member that asks or joins, beside those for others; two processes may be under way
+MAX_CONNECTIONS_PER_LISTED_NAME = 8
 MAX_MEMBER_CONNECTIONS_PER_SLOT = 2  # lines of members of one name: an old id, and the one that takes its place
 MAX_MEMBER_CONNECTIONS_UNKNOWN = 8  # ... and of all whose names are neither listed nor members'
 IDLE_TIMEOUT = 30 * SECOND  # of a line that asks nothing
