--- a/loftweir/lease/__init__.py
+++ b/loftweir/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases over the copies: who may act on a duty, for how long, and under which fencing token."""
+"""Leases on the replicated state: which process may perform a task, for how long, and under which fencing token."""
--- a/loftweir/lease/duty.py
+++ b/loftweir/lease/duty.py
@@ -1,7 +1,9 @@
-"""A duty on the loop: its lease asked for, renewed and released at the copies, and acts under its token.
+"""A task that only one process may perform, on the event loop: acquires, renews and releases its lease, and makes the
+writes under its token.
 
-Nothing is written while another holds the duty: the machine here shows the lease, and only one that it shows as free is
-asked for. Times of the lease are of CLOCK_BOOTTIME, which goes on while the process is stopped or the host sleeps.
+No command is sent while another process holds the lease: this sidecar's state machine shows it, and the lease is only
+acquired if it is free there. Times of the lease are by CLOCK_BOOTTIME, which continues while the process is stopped or
+the host is suspended.
 """
 
 from __future__ import annotations
@@ -39,23 +41,27 @@
     StaleToken,
 )
 
-BUSY_POLL_INTERVAL = 2 * MS  # for the turn of a fenced write behind another one
-RESTART_DELAY = 1000 * MS  # after a fault of the program's own
+BUSY_POLL_INTERVAL = 2 * MS  # while a fenced write waits for the previous one
+RESTART_DELAY = 1000 * MS  # after an internal error
 
 
 class NotActing(LoftweirError):
-    """A write under a duty's token was not made, or was refused: this process does not hold the duty any more."""
+    """A write under a lease's token was not made or was rejected: this process does not hold the lease any more."""
 
-    remedy = "Nothing: whoever holds the duty goes on. If it comes again and again, see why this process stalls."
+    remedy = "Nothing: the holder of the lease continues the task. If this repeats, find out why this process stalls."
 
 
 def clock() -> int:
+    """The time for leases, ns: it continues while the process is stopped or the host is suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 class LeasedTask:
-    """Invariants: `begin` and `end` are called in turn, `begin` first; acts are made between the two, each right behind
-    `valid_token`; an act that is refused for its token is the last under it."""
+    """A task that is performed while its lease is held.
+
+    Invariants: `begin` and `end` are called alternately, `begin` first. Writes are made between the two, each right
+    after `valid_token`. A write that is rejected for its token is the last one under it.
+    """
 
     def __init__(
         self,
@@ -63,43 +69,45 @@
         name: str,
         duty: str,
         ttl: int,
-        callers: tuple[Proposer, Proposer],
+        proposers: tuple[Proposer, Proposer],
         begin: Callable[[int], None],
         end: Callable[[], None],
         bid_delay: int = 0,
     ) -> None:
-        """`callers`: for the lease, and for what is written under it, so that a renewal never waits behind much of
-        that. `apart`: for how long a free lease is left to others who prefer it, ns."""
+        """`callers`: one proposer for the lease and one for the writes under it, so that a renewal never waits behind
+        many writes. `bid_delay`: how long a free lease is left to the processes with a shorter delay, ns.
+        """
         self.loop = loop
         self.duty = duty
         self.ttl = ttl
         self.bid_delay = bid_delay
-        self.lease_proposer, self.writer = callers
+        self.lease_proposer, self.writer = proposers
         self.begin, self.end = begin, end
         self.holder = LeaseHolder(duty, name, ttl, Random(secrets.randbits(64)))
         self.wanted = False
-        self.lease_known = False  # what the copies hold was seen
-        self.lease: Lease | None = None  # as the machine here has it
-        self.acquire_scheduled = False  # it is about to ask for what it saw free
+        self.lease_known = False  # the replicated state was received
+        self.lease: Lease | None = None  # as in this sidecar's state machine
+        self.acquire_scheduled = False  # the lease was free, and `_acquire` is about to run
         self.closed = False
-        self.rejected_token: int | None = None  # a token that was refused
+        self.rejected_token: int | None = None  # rejected as stale by the state machine
         self.ticker: Task = loop.spawn(self._tick(), self._crashed, urgent=True)
 
-    # ---- wanting --------------------------------------------------------------------------------
+    # ---- the state --------------------------------------------------------------------------------
 
     def set_wanted(self, on: bool) -> None:
+        """Whether this process should hold the lease."""
         self.wanted = on
         self._update()
 
     def machine_changed(self, machine: Machine) -> None:
-        """The machine here has changed."""
+        """This sidecar's state machine has changed."""
         lease = machine.leases.get(self.duty)
         if not self.lease_known or lease != self.lease:
             self.lease_known, self.lease = True, lease
             self._update()
 
     def close(self) -> None:
-        """Nothing more is asked or told; what is held runs out, unless it was let go and that was answered."""
+        """Sends and handles nothing more. The lease expires, unless it was released and the response was received."""
         self.closed = True
         self.ticker.cancel()
 
@@ -143,10 +151,11 @@
         self._update()
         self.ticker.wake()
 
-    def _send(self, ask: int, act: AcquireLease | RenewLease | ReleaseLease) -> Coroutine[None]:
+    def _send(self, ask: int, operation: AcquireLease | RenewLease | ReleaseLease) -> Coroutine[None]:
         result: AnyResult | None = None
-        with suppress(LoftweirError):  # it may come true yet: the holder asks again, or lets the lease run out
-            result = yield from self.lease_proposer.write(act, self.ttl // 2)
+        # the operation may still take effect: the holder tries again, or lets the lease expire
+        with suppress(LoftweirError):
+            result = yield from self.lease_proposer.write(operation, self.ttl // 2)
         self._step(ResponseReceived(ask, result))
 
     def _tick(self) -> Coroutine[None]:
@@ -157,7 +166,7 @@
                 yield Wait(None, 0, None if left is None else self.loop.now() + left)
                 continue
             self._step(Tick())
-            yield Wait(None, 0, self.loop.now())  # one turn of the loop for the others
+            yield Wait(None, 0, self.loop.now())  # lets other tasks run
 
     def _crashed(self, _: Exception) -> None:
         self.loop.after(RESTART_DELAY, self._restart_ticker)
@@ -170,32 +179,35 @@
         if self.holder.token == token:
             self._step(LeaseUnwanted())
 
-    # ---- acts -----------------------------------------------------------------------------------
+    # ---- writes -----------------------------------------------------------------------------------
 
     def valid_token(self) -> int | None:
-        """The token to act under, at this moment only."""
+        """The token to write under, valid at this moment only."""
         token = None if self.closed else self.holder.valid_token(clock())
         return token if token != self.rejected_token else None
 
     def put(self, key: str, value: bytes, within: int) -> Coroutine[AnyResult]:
-        """Writes under the token; the empty value takes the key away. What the copies made of it. Raises `NotActing`
-        where the duty is not held, and what the caller raises where it is not known within that time (ns)."""
+        """Writes a value under the token; an empty value deletes the key. Returns the state machine's result. Raises
+        `NotActing` if the lease is not held, and the proposer's errors if the outcome is not known within that time
+        (ns).
+        """
         return (yield from self._write_fenced(lambda token: FencedWrite(self.duty, token, key, value), within))
 
-    def claim(self, act: bytes, within: int) -> Coroutine[AnyResult]:
-        """Says a word on a claim of a name (`catalog.claims.written`) under the token; else as `put`."""
-        return (yield from self._write_fenced(lambda token: ClaimName(self.duty, token, act), within))
+    def claim(self, operation: bytes, within: int) -> Coroutine[AnyResult]:
+        """Submits a command on a claim of a name (`catalog.claims.encode`) under the token; otherwise like `put`."""
+        return (yield from self._write_fenced(lambda token: ClaimName(self.duty, token, operation), within))
 
-    def _write_fenced(self, act: Callable[[int], FencedWrite | ClaimName], within: int) -> Coroutine[AnyResult]:
+    def _write_fenced(self, operation: Callable[[int], FencedWrite | ClaimName], within: int) -> Coroutine[AnyResult]:
         until = self.loop.now() + within
         while self.writer.writes.busy and self.loop.now() < until:
             yield Wait(None, 0, self.loop.now() + BUSY_POLL_INTERVAL)
         token = self.valid_token()
         if token is None:
             raise NotActing("its lease is over", self.duty)
-        result = yield from self.writer.write(act(token), max(MS, until - self.loop.now()))
+        result = yield from self.writer.write(operation(token), max(MS, until - self.loop.now()))
         if isinstance(result, StaleToken | LeaseNotHeld):
             self.rejected_token = token
-            self.loop.after(0, self._release, token)  # not in the middle of what acts: its end may be to end that
+            # in a separate loop turn, as `end` may cancel the task that makes this write
+            self.loop.after(0, self._release, token)
             raise NotActing(result.text, self.duty)
         return result
--- a/loftweir/lease/holder.py
+++ b/loftweir/lease/holder.py
@@ -1,30 +1,32 @@
-"""The holder's side of a lease, as a table of states and steps. Pure: times and a seeded `Random` come in.
+"""The holder's side of a lease, as a table of states and transitions. No I/O: times and a seeded `Random` are passed
+in.
 
-    IDLE --want--> FREE --due--> ASKING --granted--> HELD <--renewed / due--> RENEWING
-    ASKING --refused, unknown--> FREE            HELD, RENEWING --up--> LAPSED --released--> FREE
-    ASKING --mine--> LAPSED                      HELD, RENEWING --lost--> FREE
-    each but IDLE --let go--> IDLE, by way of LEAVING where there is a lease to release
+    IDLE --wanted--> FREE --due--> ACQUIRING --granted--> HELD <--renewed / due--> RENEWING
+    ACQUIRING --rejected, unknown--> FREE        HELD, RENEWING --expired--> LAPSED --released--> FREE
+    ACQUIRING --stale grant--> LAPSED            HELD, RENEWING --lost--> FREE
+    any but IDLE --unwanted--> IDLE, by way of RELEASING if there is a lease to release
 
-The holder may act until `sent + ttl - margin(ttl)` on its own clock, `sent` being read before the last request that was
-answered OK left. `valid_token` is asked right before each act: a process that was stopped for long finds out by its
-clock, whatever it believed. The clock must go on while the process is stopped and the host sleeps (CLOCK_BOOTTIME).
+The holder may write under its token until `sent + ttl - margin(ttl)` by its own clock, where `sent` is the time before
+the last request with an Ok was sent. `valid_token` is called right before each write: a process that was stopped for
+long notices it by the clock. The clock must therefore continue while the process is stopped and the host is suspended
+(CLOCK_BOOTTIME).
 
-The margin. Let clocks go at 1 - d to 1 + d of true time, d = 5 %. A request leaves at true time s, so the leader that
-applies it, or a later leader, begins to count at s or later, and ends the lease no earlier than s + ttl / (1 + d). The
-holder stops by its clock at the latest at true time s + (ttl - m) / (1 - d). It stops first if
+The margin. Let all clocks run at 1 - d to 1 + d of true time, with d = 5 %. A request is sent at true time s. The
+leader that applies it, or a later one, starts its countdown at s or later, and ends the lease no earlier than at s +
+ttl / (1 + d). The holder stops by its clock at true time s + (ttl - m) / (1 - d) at the latest. It stops first if
 
     m >= ttl * (1 - (1 - d) / (1 + d)) = ttl * 2 d / (1 + d)
 
-and to this 50 ms are added, for the way from `valid_token` to the act itself. What is later still (a process stopped
-between the two, a packet under way) is what the fencing token is for: the act is refused where it arrives.
+A fixed 50 ms are added for the time from `valid_token` to the write. What is even later (a process stopped between the
+two, a packet in flight) is handled by the fencing token: the write is rejected where it arrives.
 
 Invariants:
 
-- It acts in HELD and RENEWING only, under `token`, and before `until`.
-- A lapse ends a token for good: it is released and never taken up again, whatever late answers say. Nor is a lease
-  taken up that was granted by an answer that came too late or never: it is released, and the duty asked for anew.
-- Its name at the copies holds 64 random bits: it is of this life of this process. Another process can't be taken for
-  it, nor it for one before.
+- It writes in HELD and RENEWING only, under `token` and before `until`.
+- An expired token is never used again: it is released, whatever late responses say. A lease whose grant arrived too
+  late, or not at all, is not used either: it is released and acquired again.
+- The holder's name includes 64 random bits and identifies one life of one process. No other process can be taken for
+  it, nor it for an earlier one.
 """
 
 from __future__ import annotations
@@ -45,12 +47,14 @@
     StaleToken,
 )
 
-MAX_DRIFT_PERCENT = 5  # per cent, either way, of a clock against true time
-FIXED_MARGIN = 50_000_000  # ns
-MAX_PENDING_REQUESTS = 64  # requests whose answers are still awaited, at most; older ones count as unknown
+MAX_DRIFT_PERCENT = 5  # largest deviation of a clock's rate from true time, either way
+FIXED_MARGIN = 50_000_000  # ns; for the time from `valid_token` to the write
+# requests without a response that are remembered; the outcome of older ones counts as unknown
+MAX_PENDING_REQUESTS = 64
 
 
 def margin(ttl: int) -> int:
+    """How long before the end of the time to live the holder stops, ns."""
     return -(-ttl * 2 * MAX_DRIFT_PERCENT // (100 + MAX_DRIFT_PERCENT)) + FIXED_MARGIN
 
 
@@ -58,19 +62,19 @@
 
 
 class Tick(NamedTuple):
-    """The time that `next_at` named has come, or any other."""
+    """The time given by `next_at` has come; another time does no harm."""
 
 
 class LeaseWanted(NamedTuple):
-    """The duty is wanted from now on."""
+    """The lease is wanted from now on."""
 
 
 class LeaseUnwanted(NamedTuple):
-    """... and from now on no more."""
+    """The lease is not wanted any more."""
 
 
 class ResponseReceived(NamedTuple):
-    """What came of a `Send`. None: it is not known, and may happen yet."""
+    """The response to a `SendOperation`. None: the outcome is not known, and the operation may still take effect."""
 
     request_id: int
     result: AnyResult | None
@@ -80,20 +84,22 @@
 
 
 class SendOperation(NamedTuple):
-    """An order for the copies, sent under one session and number however often it is sent again. One `Answer`."""
+    """A command for the cluster, which keeps its session and number when it is retransmitted. Answered by one
+    `ResponseReceived`.
+    """
 
     request_id: int
     operation: AcquireLease | RenewLease | ReleaseLease
 
 
 class TaskStarted(NamedTuple):
-    """From now on acts under this token are allowed, each after `valid_token`."""
+    """Writes under this token are allowed from now on, each right after `valid_token`."""
 
     token: int
 
 
 class TaskStopped(NamedTuple):
-    """None more are, under this token. A `Release` comes after it, never before."""
+    """Writes under this token are not allowed any more. A `ReleaseLease` of it only comes after this."""
 
     token: int
 
@@ -105,31 +111,35 @@
 
 
 class Transition(Enum):
+    """The transitions of the table."""
+
     WANTED = "want"
     UNWANTED = "let_go"
-    DUE = "due"  # time to ask, or to renew
+    DUE = "due"  # time to acquire or to renew the lease
     GRANTED = "granted"
     REJECTED = "refused"
-    STALE_GRANT = (
-        "mine"  # a lease under this holder's name that it may not act on: it came too late, or its answer was lost
-    )
+    # A lease under this holder's name that must not be used: its grant came too late, or was lost.
+    STALE_GRANT = "mine"
     RENEWED = "renewed"
-    LOST = "lost"  # another token is in force, or none
+    LOST = "lost"  # another token is valid, or none
     RELEASED = "released"
-    UNKNOWN = "unknown"  # no answer, or none that says what holds
-    EXPIRED = "up"  # `until` is here
+    UNKNOWN = "unknown"  # no response, or one that does not show the state of the lease
+    EXPIRED = "up"  # `until` has passed
 
 
 class StateTraits(NamedTuple):
-    """What holds in a state."""
+    """The properties of a state."""
 
-    may_act: bool  # `valid_token` may say yes
-    operation: type[AcquireLease | RenewLease | ReleaseLease] | None  # as it is entered
-    on_timeout: Transition | None  # what it means that its time (`_at`) is here
-    timeout_range: tuple[int, int]  # that time, from its entry: at least and at most, in 24ths of the time to live
+    may_act: bool  # `valid_token` may return the token
+    operation: type[AcquireLease | RenewLease | ReleaseLease] | None  # sent when the state is entered
+    on_timeout: Transition | None  # the transition at `_next_transition_at`
+    # How long after its entry the state times out, at least and at most, in 24ths of the time to live.
+    timeout_range: tuple[int, int]
 
 
 class HolderState(Enum):
+    """The states of the table."""
+
     IDLE = "idle"
     FREE = "free"
     ACQUIRING = "asking"
@@ -141,17 +151,16 @@
 
 TRAITS = {
     HolderState.IDLE: StateTraits(False, None, None, (0, 0)),
-    HolderState.FREE: StateTraits(False, None, Transition.DUE, (2, 6)),  # at random: others ask too
+    HolderState.FREE: StateTraits(False, None, Transition.DUE, (2, 6)),  # random, as other processes try as well
     HolderState.ACQUIRING: StateTraits(False, AcquireLease, Transition.UNKNOWN, (24, 24)),
-    HolderState.HELD: StateTraits(
-        True, None, Transition.DUE, (2, 4)
-    ),  # after a renewal without an answer; after one with: a third
+    # The timeout after a renewal without a response; after one with a response it is a third of the time to live.
+    HolderState.HELD: StateTraits(True, None, Transition.DUE, (2, 4)),
     HolderState.RENEWING: StateTraits(True, RenewLease, Transition.UNKNOWN, (4, 4)),
     HolderState.LAPSED: StateTraits(False, ReleaseLease, Transition.UNKNOWN, (6, 6)),
     HolderState.RELEASING: StateTraits(False, ReleaseLease, Transition.UNKNOWN, (6, 6)),
 }
 
-# What is not named here changes nothing.
+# A transition that is not listed has no effect.
 TRANSITIONS: dict[tuple[HolderState, Transition], HolderState] = {
     (HolderState.IDLE, Transition.WANTED): HolderState.FREE,
     (HolderState.FREE, Transition.DUE): HolderState.ACQUIRING,
@@ -181,83 +190,86 @@
 
 
 class PendingRequest(NamedTuple):
+    """A request without a response yet."""
+
     operation: AcquireLease | RenewLease | ReleaseLease
     sent: int
 
 
 class LeaseHolder:
-    """One process's part in one duty. Raises ValueError for a name or a time that the copies would refuse."""
+    """One process's view of one lease. Raises ValueError for a name or time to live that the state machine would
+    reject.
+    """
 
     def __init__(self, duty: str, name: str, ttl: int, random: Random) -> None:
         self.duty, self.ttl = duty, ttl
         self.name = f"{name}~{random.getrandbits(64):016x}"
         if not machine.valid_name(duty, 128) or not machine.valid_name(self.name, 128):
-            raise ValueError("a duty's name has 1 to 128 printable characters, a holder's 1 to 111")
+            raise ValueError("a lease's name has 1 to 128 printable characters, a holder's 1 to 111")
         if not machine.MIN_TTL <= ttl <= machine.MAX_TTL:
             raise ValueError(f"a time to live of {ttl} ns; it is 1 s to 1 h")
         self.state = HolderState.IDLE
-        self.token: int | None = None  # of the lease held, or to be released
-        self.until = 0  # the end of acting under it
+        self.token: int | None = None  # of the lease that is held or to be released
+        self.until = 0  # end of the time for writes under it
         self._random = random
         self._next_transition_at: int | None = None
-        self._pending_requests: dict[int, PendingRequest] = {}  # the newest last
+        self._pending_requests: dict[int, PendingRequest] = {}  # newest last
         self._request_count = 0
-        self._awaited_request = 0  # the request that this state was entered with
+        self._awaited_request = 0  # the request that was sent when this state was entered
         self._actions: list[Action] = []
 
     def valid_token(self, now: int) -> int | None:
-        """The token to act under, at this moment only."""
+        """The token to write under, valid at this moment only."""
         return self.token if TRAITS[self.state].may_act and now < self.until else None
 
     @property
     def next_at(self) -> int | None:
-        """When a `Tick` is wanted."""
-        return (
-            self._next_transition_at
-            if self._next_transition_at is None or not TRAITS[self.state].may_act
-            else min(self._next_transition_at, self.until)
-        )
+        """When a `Tick` is due; None: no time."""
+        at = self._next_transition_at
+        return at if at is None or not TRAITS[self.state].may_act else min(at, self.until)
 
     def step(self, now: int, event: Event) -> list[Action]:
-        """What is to be done now, in order."""
+        """Handles one event; returns the resulting actions in order."""
         self._actions = []
         if TRAITS[self.state].may_act and now >= self.until:
-            self._transition(now, Transition.EXPIRED)  # first of all: no answer saves what has lapsed
+            # before anything else, as no response can extend an expired lease
+            self._transition(now, Transition.EXPIRED)
         if isinstance(event, LeaseWanted):
             self._transition(now, Transition.WANTED)
         elif isinstance(event, LeaseUnwanted):
             self._transition(now, Transition.UNWANTED)
         elif isinstance(event, ResponseReceived):
             self._on_response(now, event)
-        late = TRAITS[self.state].on_timeout
-        if late is not None and self._next_transition_at is not None and now >= self._next_transition_at:
-            self._transition(now, late)
+        on_timeout = TRAITS[self.state].on_timeout
+        if on_timeout is not None and self._next_transition_at is not None and now >= self._next_transition_at:
+            self._transition(now, on_timeout)
         return self._actions
 
     def _on_response(self, now: int, answer: ResponseReceived) -> None:
-        asked, result = self._pending_requests.pop(answer.request_id, None), answer.result
-        if asked is None:
+        request, result = self._pending_requests.pop(answer.request_id, None), answer.result
+        if request is None:
             return
         current = answer.request_id == self._awaited_request
-        until = asked.sent + self.ttl - margin(self.ttl)
-        if isinstance(asked.operation, AcquireLease):
+        until = request.sent + self.ttl - margin(self.ttl)
+        if isinstance(request.operation, AcquireLease):
             if not current or self.state is not HolderState.ACQUIRING:
                 if isinstance(result, Ok):
-                    self._send(now, ReleaseLease(self.duty, self.name, result.value))  # not waited for any more
+                    # the request was given up meanwhile
+                    self._send(now, ReleaseLease(self.duty, self.name, result.value))
             elif isinstance(result, Ok):
                 self.token, self.until = result.value, until
-                self._transition(now, Transition.GRANTED if now < until else Transition.STALE_GRANT, asked.sent)
+                self._transition(now, Transition.GRANTED if now < until else Transition.STALE_GRANT, request.sent)
             elif isinstance(result, LeaseHeld) and result.holder == self.name:
                 self.token = result.token
                 self._transition(now, Transition.STALE_GRANT)
             else:
                 self._transition(now, Transition.UNKNOWN if result is None else Transition.REJECTED)
-        elif isinstance(asked.operation, RenewLease):
-            if not TRAITS[self.state].may_act or asked.operation.token != self.token:
+        elif isinstance(request.operation, RenewLease):
+            if not TRAITS[self.state].may_act or request.operation.token != self.token:
                 return
             if isinstance(result, Ok):
                 self.until = max(self.until, until)
-                self._transition(now, Transition.RENEWED, asked.sent)
+                self._transition(now, Transition.RENEWED, request.sent)
             elif isinstance(result, LeaseNotHeld | StaleToken):
                 self._transition(now, Transition.LOST)
             elif current:
@@ -265,21 +277,23 @@
         elif current:
             self._transition(now, Transition.RELEASED)
 
-    def _transition(self, now: int, step: Transition, sent: int | None = None) -> None:
-        """A step, with what leaving and entering means. `sent`: of the request that was answered with a lease."""
-        before, after = self.state, TRANSITIONS.get((self.state, step))
-        if after is None:
+    def _transition(self, now: int, transition: Transition, sent: int | None = None) -> None:
+        """Makes a transition, with the actions for leaving and entering a state. `sent`: when the request was sent that
+        got a lease.
+        """
+        old_state, new_state = self.state, TRANSITIONS.get((self.state, transition))
+        if new_state is None:
             return
-        was, traits = TRAITS[before], TRAITS[after]
-        self.state = after
-        if was.may_act and not traits.may_act and self.token is not None:
+        old_traits, traits = TRAITS[old_state], TRAITS[new_state]
+        self.state = new_state
+        if old_traits.may_act and not traits.may_act and self.token is not None:
             self._actions.append(TaskStopped(self.token))
-        if traits.may_act and not was.may_act and self.token is not None:
+        if traits.may_act and not old_traits.may_act and self.token is not None:
             self._actions.append(TaskStarted(self.token))
-        least, most = traits.timeout_range
-        wait = self.ttl * least // 24 + self._random.randrange(self.ttl * (most - least) // 24 + 1)
-        self._next_transition_at = None if traits.on_timeout is None else now + wait
-        if step is Transition.WANTED and after is HolderState.FREE:
+        shortest, longest = traits.timeout_range
+        timeout = self.ttl * shortest // 24 + self._random.randrange(self.ttl * (longest - shortest) // 24 + 1)
+        self._next_transition_at = None if traits.on_timeout is None else now + timeout
+        if transition is Transition.WANTED and new_state is HolderState.FREE:
             self._next_transition_at = now
         elif sent is not None and traits.may_act:
             self._next_transition_at = sent + self.ttl // 3
@@ -290,10 +304,10 @@
         if not traits.may_act and traits.operation is not ReleaseLease:
             self.token = None
 
-    def _send(self, now: int, act: AcquireLease | RenewLease | ReleaseLease) -> int:
+    def _send(self, now: int, operation: AcquireLease | RenewLease | ReleaseLease) -> int:
         self._request_count += 1
-        self._pending_requests[self._request_count] = PendingRequest(act, now)
+        self._pending_requests[self._request_count] = PendingRequest(operation, now)
         while len(self._pending_requests) > MAX_PENDING_REQUESTS:
             del self._pending_requests[next(iter(self._pending_requests))]
-        self._actions.append(SendOperation(self._request_count, act))
+        self._actions.append(SendOperation(self._request_count, operation))
         return self._request_count
--- a/loftweir/lease/keeper.py
+++ b/loftweir/lease/keeper.py
@@ -1,15 +1,16 @@
-"""The leader's side of leases: whose time is up, by the leader's clock. Pure: times come in, ns, and only go forward.
+"""The leader's side of leases: expiry by the leader's clock. No I/O: times are passed in, in ns, and never decrease.
 
-The machine keeps a lease in force until it is released or an `Expire` is committed for it; only the leader proposes
-one, once the whole time to live has passed on its clock since it applied the last grant or renewal that it knows of.
+The state machine keeps a lease valid until it is released or an `ExpireLease` is committed for it. Only the leader
+proposes one, once the whole time to live has passed by its clock since it applied the last grant or renewal.
 
 Invariants:
 
-- An `Expire` names the renewal that was counted, and the machine refuses it where it has a later one. So whatever a
-  holder was told OK for has been counted in full by the leader that ends it, or ends nothing.
-- A new leader counts each lease anew in full from when the first entry of its term is applied. All that was ever
-  answered OK is applied then, and was asked for earlier. How long others had counted before does not matter.
-- Who is not the leader counts nothing, and proposes nothing.
+- An `ExpireLease` names the renewal that was timed, and the state machine rejects it if there was a later one. Every
+  renewal with an Ok has thus been timed in full by the leader that ends the lease, or it prevents the end.
+- A new leader restarts the countdown of each lease in full when the first entry of its term is applied. Everything that
+  ever got an Ok is applied by then, and was requested earlier. How much time earlier leaders had counted does not
+  matter.
+- A member that is not the leader counts nothing and proposes nothing.
 """
 
 from __future__ import annotations
@@ -19,35 +20,41 @@
 
 from loftweir.replication.machine import SECOND, ExpireLease, Lease
 
-REPROPOSE_DELAY = SECOND  # a proposal may be lost: it is made again
+REPROPOSE_DELAY = SECOND  # a proposal may be lost, and is repeated after this
 
 
 class LeaseCountdown(NamedTuple):
+    """When a lease ends by this leader's clock, and what that refers to."""
+
     until: int
     token: int
     renewed: int
 
 
 class LeaseExpirer:
-    """One member's. `led` and `lost` follow its leadership; `saw` follows each entry that it applies meanwhile."""
+    """One member's countdowns. `became_leader` and `lost_leadership` follow its role; `lease_changed` follows each
+    entry that it applies while it leads.
+    """
 
     def __init__(self) -> None:
         self.is_leader = False
-        self.countdowns: dict[str, LeaseCountdown] = {}  # by duty
-        self.next_at: int | None = None  # when `due` is to be asked; it may be early, never late
+        self.countdowns: dict[str, LeaseCountdown] = {}  # by lease
+        self.next_at: int | None = None  # when to call `due_expirations`; may be too early, never too late
 
     def became_leader(self, now: int, leases: Mapping[str, Lease]) -> None:
-        """The first entry of its term is applied; `now` is read after that."""
+        """The first entry of this leader's term is applied; `now` is read after that."""
         self.is_leader, self.countdowns, self.next_at = True, {}, None
         for duty, lease in leases.items():
             self.lease_changed(now, duty, lease)
 
     def lost_leadership(self) -> None:
-        """Another leads, or none."""
+        """Another member leads, or none."""
         self.is_leader, self.countdowns, self.next_at = False, {}, None
 
     def lease_changed(self, now: int, duty: str, lease: Lease | None) -> None:
-        """An entry granted, renewed or ended (None) this lease (`Machine.moved`); `now` is read after applying it."""
+        """An entry granted, renewed or ended (None) this lease (`Machine.changed_lease`); `now` is read after applying
+        it.
+        """
         if not self.is_leader:
             return
         self.countdowns.pop(duty, None)
@@ -55,7 +62,7 @@
             self._start_countdown(duty, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
 
     def due_expirations(self, now: int) -> list[ExpireLease]:
-        """What the leader is to propose now, each as `Order("", 0, act)`."""
+        """What the leader has to propose now, each as `Command("", 0, operation)`."""
         if self.next_at is None or now < self.next_at:
             return []
         over = [(duty, counted) for duty, counted in self.countdowns.items() if counted.until <= now]
--- a/loftweir/replication/api.py
+++ b/loftweir/replication/api.py
@@ -19,7 +19,7 @@
     """Base of the types that are stored or sent as msgpack; decoding rejects unknown fields and wrong types."""
 
 
-# ---- stored data -------------------------------------------------------------------------------
+# ---- stored data --------------------------------------------------------------------------------
 
 
 class Member(StrictStruct, frozen=True):
@@ -72,7 +72,7 @@
     entries: tuple[Entry, ...] = ()  # after the snapshot, without gaps
 
 
-# ---- messages between members -------------------------------------------------------------
+# ---- messages between members -------------------------------------------------------------------
 
 
 class Message(StrictStruct, frozen=True, kw_only=True):
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -1,8 +1,9 @@
-"""Writes and reads of one sidecar: under a session of its own, sent again under the same number until the outcome is
-known or the time is up.
+"""Sends commands and queries of one sidecar to the cluster. Commands belong to a session, and are retransmitted under
+the same number until the outcome is known or the time has passed.
 
-A write is sent to one voter at a time, the leader as far as it is known. The copies apply it once, however often it is
-sent. Writes of one caller are in order: the next one waits for the outcome of the one before, or for its time's end.
+A command is sent to one voter at a time, the leader as far as it is known. The state machine applies it once, however
+often it is sent. The commands of one proposer are ordered: the next one waits for the outcome of the previous one, or
+until the time for that has passed.
 """
 
 from __future__ import annotations
@@ -36,35 +37,40 @@
     TurnedAway,
 )
 
-BUSY_POLL_INTERVAL = 5 * MS  # for the turn of a write behind another one
-FINAL_MARGIN = 100 * MS  # before the end, after which none is begun: one that is cut short would leave its outcome open
-RETRY_DELAY = 20 * MS  # after a try that brought nothing; up to as long again at random
+BUSY_POLL_INTERVAL = 5 * MS  # while waiting until the previous write has ended
+# No attempt is started this shortly before the end: if it were cut off, its outcome would not be known.
+FINAL_MARGIN = 100 * MS
+RETRY_DELAY = 20 * MS  # after a failed attempt; up to twice as long at random
 
 
 class NoMajority(LoftweirError):
-    """No leader with a majority took a write or a read in time. A write does not hold, and never will."""
+    """No leader with a majority accepted a write or read in time. The write has no effect, and never will."""
 
     remedy = (
-        "See which of `replication.members` are up and reach each other (`replication.role` in their logs), then say "
-        "it again."
+        "Check which of `replication.members` are running and reach each other (`replication.role` in their logs), "
+        "then repeat the command."
     )
 
 
 class OutcomeUnknown(LoftweirError):
-    """A write went out, and what became of it was not told in time: it may hold, or come to hold yet."""
+    """A write was sent, and its outcome was not received in time: it may have taken effect, or may still do so."""
 
-    remedy = "Ask `FLEET` at a sidecar that knows a leader what holds, and say it again if that does not."
+    remedy = (
+        "Ask `FLEET` at a sidecar that knows a leader for the current state, and repeat the command if it had no "
+        "effect."
+    )
 
 
 class NotTaken(LoftweirError):
-    """The copies turned a write down; its text says why. Nothing has changed."""
+    """The cluster rejected a write; the text has the reason. Nothing was changed."""
 
-    remedy = "As the text says."
+    remedy = "Follow the text."
 
 
 class ReadResult(StrictStruct, frozen=True):
-    """`sure`: all that was promised before it was asked is in it. Else it is as old as `age` says (ns, None: unknown),
-    since nobody with a majority could be asked."""
+    """The result of a query. With `sure` it includes everything acknowledged before the query. Otherwise no majority
+    could be reached, and it is as old as `age` says (ns; None: not known).
+    """
 
     sure: bool
     index: int
@@ -73,21 +79,23 @@
 
 
 class Proposer:
+    """Commands and queries of one sidecar, each on a connection of its own."""
+
     def __init__(
         self,
         loop: Loop,
         name: str,
         id: str,
         options: Replication,
-        seats: dict[str, str],
+        slots: dict[str, str],
         known_index: Callable[[], int],
     ) -> None:
-        """`known`: an index that this sidecar has heard of."""
+        """`known_index`: returns an index that this sidecar knows of."""
         self.loop = loop
         self.known_index = known_index
         hello = Hello(VERSION, options.cluster, id, name, ConnectionKind.CALLER)
         self.writes, self.reads = (
-            LeaderConnection(loop, hello, options, seats, Random(f"{name} {id} {n}")) for n in range(2)
+            LeaderConnection(loop, hello, options, slots, Random(f"{name} {id} {n}")) for n in range(2)
         )
         self.session, self.number, self.since = "", 0, 0
 
@@ -95,8 +103,8 @@
         self.writes.close()
         self.reads.close()
 
-    def write(self, act: Operation, within: int) -> Coroutine[AnyResult]:
-        """What the copies made of it. Raises `NoMajority` and `OutcomeUnknown`, both within the time (ns)."""
+    def write(self, operation: Operation, within: int) -> Coroutine[AnyResult]:
+        """The state machine's result. Raises `NoMajority` and `OutcomeUnknown`, both within the time (ns)."""
         until = self.loop.now() + within
         yield from self.writes.reserve(until)
         try:
@@ -104,25 +112,25 @@
                 if not self.session:
                     self.session, self.number, self.since = secrets.token_hex(8), 0, max(self.since, self.known_index())
                 self.number += 1
-                command = encode(Command(self.session, self.number, act, self.since))
+                command = encode(Command(self.session, self.number, operation, self.since))
                 outcome, uncertain = yield from self.writes.request(_submit(command), until)
                 assert isinstance(outcome, CommandOutcome)
                 try:
                     result = decode_result(outcome.result)
                 except msgspec.MsgspecError:
-                    raise OutcomeUnknown("an outcome that can't be read", self.writes.target) from None
+                    raise OutcomeUnknown("a malformed outcome", self.writes.target) from None
                 if not isinstance(result, UnknownSession):
                     return result
-                # Unused for long, or let go for want of room: what was not sent before was not applied either.
+                # Unused for long, or evicted for lack of space: if it was not sent before, it was not applied either.
                 self.session, self.since = "", result.index
                 if uncertain:
                     break
-            raise OutcomeUnknown("its session was let go by the copies meanwhile")
+            raise OutcomeUnknown("the cluster has evicted its session meanwhile")
         finally:
             self.writes.busy = False
 
     def remove(self, name: str, within: int) -> Coroutine[None]:
-        """Takes a member out. Raises as `write` does, and `NotTaken` where there is none of that name."""
+        """Removes a member. Raises as `write` does, and `NotTaken` if there is no member of that name."""
         until = self.loop.now() + within
         yield from self.writes.reserve(until)
         try:
@@ -131,11 +139,12 @@
             self.writes.busy = False
         assert isinstance(outcome, CommandOutcome)
         if outcome.how is OutcomeCode.UNFIT and not uncertain:
-            raise NotTaken(outcome.result.decode("utf-8", "replace") or "not a change that can be made now")
+            raise NotTaken(outcome.result.decode("utf-8", "replace") or "the membership can't be changed now")
 
     def read(self, query: Query, within: int) -> Coroutine[ReadResult]:
-        """What holds, for sure where a leader with a majority is found in time; else the best of what was answered.
-        Raises `NoMajority` where nobody answered at all."""
+        """The value of a query: linearizable if a leader with a majority is found in time, else the most recent of the
+        answers. Raises `NoMajority` if nobody answered.
+        """
         until = self.loop.now() + within
         best: list[QueryResponse] = []
         yield from self.reads.reserve(until)
@@ -156,45 +165,49 @@
 
 
 class LeaderConnection:
-    """To whoever leads, by way of any voter; one at a time goes it.
+    """A connection to the leader, which is found by way of any voter. It is used for one request at a time.
 
-    Invariant: `line` is to `at`, by `address`, and only who took the way (`busy`) speaks on it."""
+    Invariant: `connection` is to `target` at `address`, and is only used by the one that reserved it (`busy`).
+    """
 
-    def __init__(self, loop: Loop, hello: Hello, options: Replication, seats: dict[str, str], random: Random) -> None:
+    def __init__(self, loop: Loop, hello: Hello, options: Replication, slots: dict[str, str], random: Random) -> None:
         self.loop = loop
         self.hello = hello
-        self.seats = seats
+        self.slots = slots
         self.random = random
-        self.attempt_timeout = 2 * options.election + 200 * MS  # a leader that is none finds out in less
-        self.names = list(seats)
+        self.attempt_timeout = 2 * options.election + 200 * MS  # a leader that has lost its majority notices it sooner
+        self.names = list(slots)
         random.shuffle(self.names)
         self.target = self.names[0]
-        self.address = seats[self.target]
-        self.line: FrameConnection | None = None
+        self.address = slots[self.target]
+        self.connection: FrameConnection | None = None
         self.tokens = 0
         self.busy = False
 
     def close(self) -> None:
-        if self.line is not None:
-            self.line.close()
-            self.line = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
 
     def reserve(self, until: int) -> Coroutine[None]:
+        """Waits until no other request uses this connection."""
         while self.busy:
             if self.loop.now() >= until:
-                raise NoMajority("what came before it took all the time")
+                raise NoMajority("the previous request took all the time")
             yield Wait(None, 0, min(until, self.loop.now() + BUSY_POLL_INTERVAL))
         self.busy = True
 
     def request(
         self, frame: Callable[[int], Frame], until: int, unsure: list[QueryResponse] | None = None
     ) -> Coroutine[tuple[CommandOutcome | QueryResponse, bool]]:
-        """The final answer, and whether an earlier try may have come true as well. `unsure` gets the others."""
-        uncertain, why = False, "none of the members could be reached"
+        """The final answer, and whether an earlier attempt may have taken effect as well. `unsure` receives the other
+        answers.
+        """
+        uncertain, why = False, "no member could be reached"
         last = max(self.loop.now() + 1, until - FINAL_MARGIN)
         while (now := self.loop.now()) < last:
             try:
-                line = yield from self._connect(min(until, now + SECOND))
+                connection = yield from self._connect(min(until, now + SECOND))
                 self.tokens += 1
             except (NotUp, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
@@ -203,9 +216,9 @@
                 yield from self._wait_before_retry(until)
                 continue
             try:
-                line.put(frame(self.tokens))
+                connection.put(frame(self.tokens))
                 answer = yield from self._read_response(
-                    line, self.tokens, min(until, self.loop.now() + self.attempt_timeout)
+                    connection, self.tokens, min(until, self.loop.now() + self.attempt_timeout)
                 )
             except CONNECTION_ERRORS as error:
                 uncertain, why = True, f"{self.target}: {str(error) or 'no answer'}"
@@ -224,33 +237,33 @@
                 yield from self._wait_before_retry(until)
         if uncertain:
             raise OutcomeUnknown(f"no outcome in time, last: {why}")
-        raise NoMajority(f"not taken in time, last: {why}")
+        raise NoMajority(f"not accepted in time, last: {why}")
 
     def _read_response(
-        self, line: FrameConnection, token: int, until: int
+        self, connection: FrameConnection, token: int, until: int
     ) -> Coroutine[CommandOutcome | QueryResponse]:
         while True:
-            found = yield from line.next(until)
+            found = yield from connection.next(until)
             if isinstance(found, CommandOutcome | QueryResponse) and found.token == token:
                 return found
 
     def _connect(self, until: int) -> Coroutine[FrameConnection]:
-        line = self.line
-        if line is None or not line.alive():
+        connection = self.connection
+        if connection is None or not connection.alive():
             self.close()
-            line, _ = yield from dial(self.loop, self.address, self.hello, until)
-            self.line = line
-        return line
+            connection, _ = yield from dial(self.loop, self.address, self.hello, until)
+            self.connection = connection
+        return connection
 
     def _switch(self, leader: str = "", address: str = "") -> None:
-        """On to the leader that was named, else to the next."""
+        """Switches to the leader that was named, else to the next voter."""
         self.close()
         if leader and leader != self.target:
-            self.target, self.address = leader, self.seats.get(leader, address)
+            self.target, self.address = leader, self.slots.get(leader, address)
             return
         place = self.names.index(self.target) + 1 if self.target in self.names else 0
         self.target = self.names[place % len(self.names)]
-        self.address = self.seats[self.target]
+        self.address = self.slots[self.target]
 
     def _wait_before_retry(self, until: int) -> Coroutine[None]:
         pause = RETRY_DELAY + self.random.randrange(RETRY_DELAY)
--- a/loftweir/replication/core.py
+++ b/loftweir/replication/core.py
@@ -157,7 +157,7 @@
         if m.to == self.me:
             getattr(self, _MESSAGE_HANDLERS[type(m)])(m)
 
-    # ---- requests of the host ---------------------------------------------------------------------
+    # ---- requests of the host -------------------------------------------------------------------
 
     def _on_write(self, event: WriteRequest) -> None:
         if not self._can_accept(event.token):
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -1,10 +1,11 @@
-"""All sidecars that don't vote: a long poll to one voter for what is committed, applied to a machine of their own.
+"""The observer: a sidecar that does not vote. It requests the committed entries from one voter with long polls and
+applies them to its own state machine.
 
-Invariants: entries are applied in order without gap and none twice; what was told once is never taken back for the
-word of a voter that is behind; a history that is another is found out, and fetched whole.
+Invariants: entries are applied in order, without gaps, and none twice. A voter that is behind never takes back what
+another one has sent. A different history is detected, and its snapshot is fetched.
 
-Spread: each begins at a voter chosen by a hash of its name and stays where it works; who lost its voter goes on to the
-next one after a short time at random, so that no voter is met by all at once.
+Load distribution: each observer starts with a voter chosen by a hash of its name, and stays with it while it works. One
+that lost its voter switches to the next after a short random delay, so that they do not all reach one voter at once.
 """
 
 from __future__ import annotations
@@ -32,39 +33,43 @@
 from loftweir.telemetry.catalogue import REPLICATION_FOLLOWS, REPLICATION_LOST
 from loftweir.telemetry.log import say
 
-RESPONSE_GRACE = SECOND  # past its wait, until a call for news is given up
-CHUNK_TIMEOUT = 2 * SECOND  # for a piece of the whole
-MAX_SWITCH_DELAY = 60 * MS  # at random, until the next voter is asked after one that failed
-MIN_ROUND_DELAY, MAX_ROUND_DELAY = (
-    100 * MS,
-    SECOND,
-)  # after a round over all voters that brought nothing; twice as long each time
-MAX_LEADERLESS_ELECTIONS = 3  # election timeouts that a voter may be without a leader, until another one is tried
-MAX_SNAPSHOT_SIZE = 512 * 1024 * 1024  # bytes of a machine as a whole
+# Time after the end of a poll's wait at which the request is given up.
+RESPONSE_GRACE = SECOND
+CHUNK_TIMEOUT = 2 * SECOND  # for one chunk of a snapshot
+MAX_SWITCH_DELAY = 60 * MS  # random delay before the next voter is tried after a failure
+
+# Delay after a round over all voters without success; doubled after each round.
+MIN_ROUND_DELAY = 100 * MS
+MAX_ROUND_DELAY = SECOND
+
+MAX_LEADERLESS_ELECTIONS = 3  # election timeouts that a voter may be without a leader before another one is tried
+MAX_SNAPSHOT_SIZE = 512 * 1024 * 1024  # bytes of a snapshot
 
 
 class NotFollowed(LoftweirError):
-    """News of the copies that do not go on from what this sidecar has: they are not taken."""
+    """The entries or snapshot of a voter do not continue the state of this sidecar, and were rejected."""
 
-    remedy = "Nothing, if rare: it asks another member, or gets the whole anew. Else look at the member that is named."
+    remedy = "Nothing, if rare: it uses another member, or fetches a snapshot. Else check the member that is named."
 
 
 class Gap(NotFollowed):
-    """Entries are missing between what this sidecar has and what it was told."""
+    """Entries are missing between this sidecar's state and the received ones."""
 
 
 class OtherCopies(NotFollowed):
-    """The members are all others than the ones followed so far, or what was promised is not there any more."""
+    """All members differ from those of the current state, or acknowledged entries no longer exist."""
 
-    remedy = "Look whether the cluster was begun anew, or an old copy of a disk put back; what holds now is fetched."
+    remedy = (
+        "Check whether the cluster was founded anew, or a disk restored from an old copy. The current state is fetched."
+    )
 
 
 class Behind(NotFollowed):
-    """A member that has less than this sidecar, or has been without a leader for long."""
+    """The voter has less than this sidecar, or has been without a leader for long."""
 
 
 class Observer:
-    """`applied` is called after each change of the machine."""
+    """This sidecar as an observer. `applied` is called after each change of the state machine."""
 
     def __init__(
         self,
@@ -72,22 +77,23 @@
         name: str,
         id: str,
         options: Replication,
-        seats: dict[str, str],
+        slots: dict[str, str],
         applied: Callable[[], None],
     ) -> None:
         self.loop = loop
         self.options = options
         self.hello = Hello(VERSION, options.cluster, id, name, ConnectionKind.FOLLOWER)
-        voters = [(other, address) for other, address in seats.items() if other != name]
+        voters = [(other, address) for other, address in slots.items() if other != name]
         first = crc32(name.encode()) % len(voters)
         self.voters = voters[first:] + voters[:first]
         self.applied = applied
         self.machine = Machine()
-        self.members: frozenset[str] = frozenset()  # ids of the ones followed
+        self.members: frozenset[str] = frozenset()  # ids of the members of the followed cluster
         self.leader = ""
-        self.member = ""  # who is asked
-        self.following = ""  # the member whose news it takes; empty: none has told it any yet
-        self.leader_known_at: int | None = None  # when what is held was last known to be of a leader with a majority
+        self.member = ""  # the voter in use
+        self.following = ""  # the voter that sent the last entries; empty: none yet
+        # ns; when the state was last known to be that of a leader with a majority
+        self.leader_known_at: int | None = None
         self.random = Random(f"{name} {id}")
         self.closed = False
         self.task: Task = loop.spawn(self._run(), self._crashed)
@@ -100,6 +106,7 @@
             self.task = self.loop.spawn(self._run(), self._crashed)
 
     def age(self) -> int | None:
+        """Time since the state was last known to be current, ns; None: not known."""
         return None if self.leader_known_at is None else max(0, self.loop.now() - self.leader_known_at)
 
     def close(self) -> None:
@@ -107,111 +114,115 @@
         self.task.cancel()
 
     def _run(self) -> Coroutine[None]:
-        turn, failed, apart = 0, 0, MIN_ROUND_DELAY
+        next_voter, failed, delay = 0, 0, MIN_ROUND_DELAY
         while True:
-            self.member, address = self.voters[turn % len(self.voters)]
+            self.member, address = self.voters[next_voter % len(self.voters)]
             begun_at, why = self.loop.now(), ""
             try:
-                line, _ = yield from dial(self.loop, address, self.hello, self.loop.now() + SECOND)
+                connection, _ = yield from dial(self.loop, address, self.hello, self.loop.now() + SECOND)
                 try:
-                    yield from self._follow(line)
+                    yield from self._follow(connection)
                 finally:
-                    line.close()
+                    connection.close()
             except NotUp:
-                why = "not up"
+                why = "not reachable"
             except TookTooLong:
-                why = "silent"
+                why = "no response in time"
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
             self.following = ""
             say(REPLICATION_LOST, member=self.member, why=why)
-            turn += 1
+            next_voter += 1
             if self.loop.now() - begun_at > self.options.follow_wait + RESPONSE_GRACE:
-                failed, apart = 0, MIN_ROUND_DELAY  # it worked for a while
+                failed, delay = 0, MIN_ROUND_DELAY  # this voter worked for a while
             failed += 1
             if failed % len(self.voters):
                 pause = self.random.randrange(MAX_SWITCH_DELAY)
             else:
-                pause = apart // 2 + self.random.randrange(apart)
-                apart = min(2 * apart, MAX_ROUND_DELAY)
+                pause = delay // 2 + self.random.randrange(delay)
+                delay = min(2 * delay, MAX_ROUND_DELAY)
             yield Wait(None, 0, self.loop.now() + pause)
 
-    def _follow(self, line: FrameConnection) -> Coroutine[None]:
-        """Call after call, until one fails."""
+    def _follow(self, connection: FrameConnection) -> Coroutine[None]:
+        """Sends one poll after another until one fails."""
         first = True
         while True:
-            # The first does not wait: it is soon known whether this one is of use.
+            # The first poll does not wait, so that a useless voter is noticed soon.
             wait = 0 if first else self.options.follow_wait
             after = self.machine.index
-            line.put(FollowRequest(after, wait))
-            news = yield from self._read_frame(line, wait + RESPONSE_GRACE)
-            if not isinstance(news, FollowResponse):
-                raise Gap(f"not news: {type(news).__name__}", self.member)
-            yield from self._apply_response(line, news, after)
+            connection.put(FollowRequest(after, wait))
+            response = yield from self._read_frame(connection, wait + RESPONSE_GRACE)
+            if not isinstance(response, FollowResponse):
+                raise Gap(f"not a FollowResponse: {type(response).__name__}", self.member)
+            yield from self._apply_response(connection, response, after)
             if first:
                 self.following = self.member
-                say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=news.index - after)
+                say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=response.index - after)
             first = False
 
-    def _read_frame(self, line: FrameConnection, within: int) -> Coroutine[Frame]:
-        return (yield from line.next(self.loop.now() + within))
+    def _read_frame(self, connection: FrameConnection, within: int) -> Coroutine[Frame]:
+        return (yield from connection.next(self.loop.now() + within))
 
-    def _apply_response(self, line: FrameConnection, news: FollowResponse, after: int) -> Coroutine[None]:
-        members = frozenset(news.members)
-        if news.after != after:
-            raise Gap(f"news from behind {news.after}, where {after} was asked", self.member)
+    def _apply_response(self, connection: FrameConnection, response: FollowResponse, after: int) -> Coroutine[None]:
+        members = frozenset(response.members)
+        if response.after != after:
+            raise Gap(f"entries after {response.after}, where those after {after} were requested", self.member)
         if self.members and members and not self.members & members:
-            say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members are others", self.member))
-            yield from self._fetch_snapshot(line, anew=True)
+            say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members differ", self.member))
+            yield from self._fetch_snapshot(connection, anew=True)
             return
-        if news.index < after:
-            if not news.leads:
-                raise Behind(f"at index {news.index}, behind {after}", self.member)
-            error = OtherCopies(f"its leader is at index {news.index}, and {after} was told", self.member)
+        if response.index < after:
+            if not response.leads:
+                raise Behind(f"at index {response.index}, behind {after}", self.member)
+            error = OtherCopies(
+                f"its leader is at index {response.index}, and {after} was received before", self.member
+            )
             say(REPLICATION_LOST, member=self.member, why=error)
-            yield from self._fetch_snapshot(line, anew=True)
+            yield from self._fetch_snapshot(connection, anew=True)
             return
-        if news.whole:
-            yield from self._fetch_snapshot(line, anew=False)
+        if response.whole:
+            yield from self._fetch_snapshot(connection, anew=False)
             return
-        if not news.entries and (news.age is None or news.age > MAX_LEADERLESS_ELECTIONS * self.options.election):
+        if not response.entries and (
+            response.age is None or response.age > MAX_LEADERLESS_ELECTIONS * self.options.election
+        ):
             raise Behind("without a leader", self.member)
-        for entry in news.entries:
+        for entry in response.entries:
             if entry.index != self.machine.index + 1:
                 raise Gap(f"entry {entry.index} after {self.machine.index}", self.member)
             if entry.data:
                 self.machine.apply(entry.index, entry.data)
             else:
                 self.machine.skip(entry.index)
-        if self.machine.index != news.index:
-            raise Gap(f"news up to {news.index} end at {self.machine.index}", self.member)
-        self._record_leader(news, members)
-        if news.entries:
+        if self.machine.index != response.index:
+            raise Gap(f"the entries up to {response.index} end at {self.machine.index}", self.member)
+        self._record_leader(response, members)
+        if response.entries:
             self.applied()
 
-    def _record_leader(self, news: FollowResponse | SnapshotChunk, members: frozenset[str]) -> None:
-        self.leader, self.members = news.leader, members or self.members
-        if news.age is not None:
-            self.leader_known_at = max(self.leader_known_at or 0, self.loop.now() - news.age)
+    def _record_leader(self, response: FollowResponse | SnapshotChunk, members: frozenset[str]) -> None:
+        self.leader, self.members = response.leader, members or self.members
+        if response.age is not None:
+            self.leader_known_at = max(self.leader_known_at or 0, self.loop.now() - response.age)
 
-    def _fetch_snapshot(self, line: FrameConnection, anew: bool) -> Coroutine[None]:
-        """The machine as a whole, piece by piece. `anew`: it need not be a later state of the one held."""
+    def _fetch_snapshot(self, connection: FrameConnection, anew: bool) -> Coroutine[None]:
+        """Fetches a snapshot chunk by chunk. `anew`: it may be older than the current state."""
         index, data = 0, bytearray()
         while True:
-            line.put(FetchSnapshot(index, len(data)))
-            piece = yield from self._read_frame(line, CHUNK_TIMEOUT)
-            if not isinstance(piece, SnapshotChunk) or piece.size > MAX_SNAPSHOT_SIZE:
-                raise Gap(f"not a piece of the whole: {type(piece).__name__}", self.member)
-            if piece.index != index or piece.at == 0:
-                index, data = piece.index, bytearray()  # a newer one
-            if piece.at != len(data) or (not piece.data and piece.size > len(data)):
-                raise Gap(f"a piece from byte {piece.at}, where {len(data)} was asked", self.member)
-            data += piece.data
-            if len(data) >= piece.size:
+            connection.put(FetchSnapshot(index, len(data)))
+            chunk = yield from self._read_frame(connection, CHUNK_TIMEOUT)
+            if not isinstance(chunk, SnapshotChunk) or chunk.size > MAX_SNAPSHOT_SIZE:
+                raise Gap(f"not a chunk of a snapshot: {type(chunk).__name__}", self.member)
+            if chunk.index != index or chunk.at == 0:
+                index, data = chunk.index, bytearray()  # a newer snapshot
+            if chunk.at != len(data) or (not chunk.data and chunk.size > len(data)):
+                raise Gap(f"a chunk from byte {chunk.at}, where {len(data)} was requested", self.member)
+            data += chunk.data
+            if len(data) >= chunk.size:
                 break
         machine = Machine.load(bytes(data)) if data else Machine()
         if machine.index != index or (machine.index < self.machine.index and not anew):
-            raise Behind(f"the whole is of index {machine.index}, behind {self.machine.index}", self.member)
+            raise Behind(f"the snapshot is of index {machine.index}, behind {self.machine.index}", self.member)
         self.machine = machine
-        self._record_leader(piece, frozenset(piece.members))
+        self._record_leader(chunk, frozenset(chunk.members))
         self.applied()
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -1,4 +1,4 @@
-"""A listed member that is not one yet, or no more: founding, joining step by step, and finding out that it is out."""
+"""A listed member that is not in the cluster: founds or joins it step by step, and notices its own removal."""
 
 from __future__ import annotations
 
@@ -25,33 +25,36 @@
 from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
 from loftweir.telemetry.log import say
 
-STATUS_INTERVAL = 200 * MS  # while it is no member; half as long again at random
-STEP_INTERVAL = 30 * MS  # from one step of joining to the next
-MEMBER_CHECK_INTERVAL = SECOND  # once it is a member
+STATUS_INTERVAL = 200 * MS  # while it is not a member; up to 1.5 times as long at random
+STEP_INTERVAL = 30 * MS  # between two steps of joining
+MEMBER_CHECK_INTERVAL = SECOND  # while it is a member
 RESPONSE_TIMEOUT = SECOND
-LEADERLESS_ELECTIONS = 4  # election timeouts without a leader, after which a member asks whether it still is one
-WAIT_LOG_DELAY = 3 * SECOND  # from the start, before waiting is worth a line
+# Election timeouts without a leader after which a member asks whether it still is one.
+LEADERLESS_ELECTIONS = 4
+WAIT_LOG_DELAY = 3 * SECOND  # after the start, before the reason for waiting is logged
 
 SET_ASIDE_WAIT = (
-    "files were set aside here, and no leader is known: it begins nothing, as more may have been promised; look at the "
-    "other members, and only where the copies are gone empty all folders, this one too"
+    "files were set aside here, and no leader is known: it founds no cluster, as writes may have been acknowledged; "
+    "check the other members, and empty all folders, this one too, only if the replicated data is lost"
 )
 
 
 class JoinProcess:
+    """Keeps a voter in the cluster: founds or joins it, and stops the voter if it was removed."""
+
     def __init__(self, loop: Loop, voter: Voter, is_active: Callable[[], bool]) -> None:
-        """`still`: whether the voter takes part."""
+        """`is_active`: whether the voter is still in use."""
         self.loop = loop
         self.voter = voter
         self.is_active = is_active
-        self.own = Member(voter.me, voter.name, voter.seats[voter.name])
+        self.own = Member(voter.me, voter.name, voter.slots[voter.name])
         self.hello = Hello(VERSION, voter.options.cluster, voter.me, voter.name, ConnectionKind.CALLER)
         self.random = Random(f"{voter.me} joining")
         self.begun_at = loop.now()
         self.joining = False
-        # it was found in its place, in the life of this process: the disk alone does not tell
+        # As observed during the life of this process; the disk alone does not prove it.
         self.is_confirmed_voter = False
-        self.collecting = False  # it waits for answers; woken in any other wait, it would take that for its end
+        self.collecting = False  # waits for responses; in any other wait, a wake-up would be taken for its end
         self.task: Task = loop.spawn(self._run(), self._crashed)
 
     def _crashed(self, _: Exception) -> None:
@@ -64,15 +67,15 @@
     def _run(self) -> Coroutine[None]:
         while self.is_active():
             if self._is_in_place():
-                pause = MEMBER_CHECK_INTERVAL
+                delay = MEMBER_CHECK_INTERVAL
             elif (yield from self._step()):
-                pause = STEP_INTERVAL
+                delay = STEP_INTERVAL
             else:
-                pause = STATUS_INTERVAL + self.random.randrange(STATUS_INTERVAL // 2)
-            yield Wait(None, 0, self.loop.now() + pause)
+                delay = STATUS_INTERVAL + self.random.randrange(STATUS_INTERVAL // 2)
+            yield Wait(None, 0, self.loop.now() + delay)
 
     def _is_in_place(self) -> bool:
-        """A member that votes, at the address that it has, with a leader or without one for a short time."""
+        """Whether it is a voter at its configured address, with a leader or without one for a short time only."""
         voter = self.voter
         own, age = voter.member(voter.me), voter.age()
         if (
@@ -86,38 +89,42 @@
             self.joining = False
             say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
         self.is_confirmed_voter = self.is_confirmed_voter or age is not None
-        away = age if age is not None else self.loop.now() - self.begun_at
-        return away < LEADERLESS_ELECTIONS * voter.options.election
+        leaderless_time = age if age is not None else self.loop.now() - self.begun_at
+        return leaderless_time < LEADERLESS_ELECTIONS * voter.options.election
 
     def _step(self) -> Coroutine[bool]:
-        """Whether something moved, so that the next step is worth a try at once."""
+        """Makes one step. Returns whether there was progress, so that the next step should follow at once."""
         voter = self.voter
         answers = yield from self._collect_status()
         if not self.is_active():
             return False
         if not voter.has_state and not voter.state_may_be_lost:
-            members = tuple(founding_members(self.own, min(voter.seats), voter.seats, answers))
+            members = tuple(founding_members(self.own, min(voter.slots), voter.slots, answers))
             if members:
                 say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
                 return True
-        without = [n for n, (_, am) in answers.items() if am.sure and all(m.id != voter.me for m in am.members)]
-        if without and self.is_confirmed_voter:
-            voter.end(Removed(f"{without[0]} leads, and its members are without {voter.me}", voter.name))
+        lacking_this = [
+            n for n, (_, status) in answers.items() if status.sure and all(m.id != voter.me for m in status.members)
+        ]
+        if lacking_this and self.is_confirmed_voter:
+            voter.end(Removed(f"{lacking_this[0]} leads, and {voter.me} is not among its members", voter.name))
             return False
         own = voter.member(voter.me)
-        if not without and own is not None and own.votes and own.address == self.own.address:
+        if not lacking_this and own is not None and own.votes and own.address == self.own.address:
             return False
-        leaders = {am.leader: am.address for _, am in answers.values() if am.leader not in ("", voter.name)}
+        leaders = {
+            status.leader: status.address for _, status in answers.values() if status.leader not in ("", voter.name)
+        }
         for name, address in leaders.items():
-            joined = yield from self._request(voter.seats.get(name, address), name, self._join())
+            joined = yield from self._request(voter.slots.get(name, address), name, self._join())
             if isinstance(joined, JoinResponse):
                 if joined.on:
                     self.joining = True
                     return True
                 say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
         if not leaders and self.loop.now() > self.begun_at + WAIT_LOG_DELAY:
-            why = waiting_reason(voter.name, min(voter.seats), voter.seats, answers)
+            why = waiting_reason(voter.name, min(voter.slots), voter.slots, answers)
             say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.state_may_be_lost else why)
         return False
 
@@ -125,15 +132,15 @@
         return JoinRequest(self.own.id, self.own.name, self.own.address)
 
     def _collect_status(self) -> Coroutine[dict[str, tuple[str, StatusResponse]]]:
-        """How the other listed members stand, all asked at once."""
+        """The status of the other listed members, requested from all at once."""
         answers: dict[str, tuple[str, StatusResponse]] = {}
-        others = {name: address for name, address in self.voter.seats.items() if name != self.voter.name}
+        others = {name: address for name, address in self.voter.slots.items() if name != self.voter.name}
         left = len(others)
 
         def one(name: str, address: str) -> Coroutine[None]:
             nonlocal left
             try:
-                frame = yield from self._request(address, name, StatusRequest(tuple(self.voter.seats)), answers)
+                frame = yield from self._request(address, name, StatusRequest(tuple(self.voter.slots)), answers)
                 if not isinstance(frame, StatusResponse):
                     answers.pop(name, None)
             finally:
@@ -153,25 +160,25 @@
     def _request(
         self, address: str, name: str, frame: Frame, answers: dict[str, tuple[str, StatusResponse]] | None = None
     ) -> Coroutine[Frame | None]:
-        """One question to a member, and its answer; None where none came."""
+        """Sends one request to a member and returns the response; None: there was none."""
         until = self.loop.now() + RESPONSE_TIMEOUT
         try:
-            line, there = yield from dial(self.loop, address, self.hello, until)
+            connection, peer = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
             say(REPLICATION_TURNED, name=name, why=error)
             return None
         except NotUp:
             return None
         try:
-            if there.name != name:
-                say(REPLICATION_TURNED, name=name, why=f"{there.name} is at {address}")
+            if peer.name != name:
+                say(REPLICATION_TURNED, name=name, why=f"{peer.name} is at {address}")
                 return None
-            line.put(frame)
-            answer = yield from line.next(until)
+            connection.put(frame)
+            answer = yield from connection.next(until)
             if answers is not None and isinstance(answer, StatusResponse):
-                answers[name] = there.id, answer
+                answers[name] = peer.id, answer
             return answer
         except CONNECTION_ERRORS:
             return None
         finally:
-            line.close()
+            connection.close()
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -1,12 +1,13 @@
-"""The form of what a voter keeps in files, as bytes and back: identity, segments of the log, snapshots, the mark. Pure.
+"""The format of a voter's files: identity, log segments, snapshots and the mark, encoded and decoded. No I/O.
 
-A segment is a line with name and version, then records: length and crc32 (both 32 bit, little-endian), then a letter
-for the kind and its msgpack. The crc is over length and body and is seeded with that of the record before: so each
-vouches for all before it in its segment, and one that was moved, left out or taken from elsewhere is found out. The
-first record of a segment, its `Head`, names the last crc of the segment before and all that held there except the
-entries; so the chain goes on from file to file, and the segments before it can go once no entry of theirs is needed.
+A segment is a line with a name and a version, followed by records: length and crc32 (both 32 bits, little-endian), one
+letter for the kind of record, and its msgpack. The crc covers length and body and is seeded with the crc of the
+previous record. Each record thus verifies all before it in the segment, and a record that was moved, removed or copied
+from elsewhere is detected. The first record of a segment, its `SegmentHeader`, has the last crc of the previous segment
+and the state before it except for the entries; this continues the chain from file to file, and lets earlier segments be
+removed once none of their entries is needed.
 
-Nothing is ever overwritten: what an earlier record said is taken back by a later one (`Cut`, `Take`).
+Nothing is ever overwritten: a later record (`TruncateRecord`, `SnapshotRecord`) revokes earlier ones.
 """
 
 from __future__ import annotations
@@ -23,17 +24,22 @@
 
 VERSION = 1
 FIRST_LINE = b"loftweir-log %d\n" % VERSION
-IDENTITY, SNAPSHOT, MARK = b"loftweir-member", b"loftweir-copy", b"loftweir-mark"
-RECORD_HEADER = Layout("<II")
+
+# The names at the beginning of the sealed files.
+IDENTITY = b"loftweir-member"
+SNAPSHOT = b"loftweir-copy"
+MARK = b"loftweir-mark"
+
+RECORD_HEADER = Layout("<II")  # length and crc32
 Decoded = TypeVar("Decoded")
 
 
 class Torn(Damaged):
-    """A record that is not whole: the end of a write that never finished, or damage; its place tells which."""
+    """A record that is incomplete: the end of an interrupted write, or damage, depending on its place."""
 
 
 class Unfit(ValueError):
-    """A record that can't come next, as asked of the disk or as found in it."""
+    """A record that is not allowed to come next, when written or when read."""
 
 
 class Identity(StrictStruct, frozen=True):
@@ -42,7 +48,7 @@
 
 
 class Mark(StrictStruct, frozen=True):
-    """How far everything is on stable storage."""
+    """The position up to which everything is on stable storage."""
 
     segment: int
     at: int  # byte of the segment
@@ -51,17 +57,17 @@
 
 
 class SnapshotFile(StrictStruct, frozen=True):
-    """A snapshot's file."""
+    """A snapshot's file, as the log names it."""
 
-    number: int  # in the file's name; grows
+    number: int  # in the file's name; increases
     index: int
     term: int
-    size: int  # of the whole file, bytes
+    size: int  # of the whole file, in bytes
     crc: int  # crc32 of the whole file
 
 
 class SnapshotContent(StrictStruct, frozen=True):
-    """What a snapshot's file holds."""
+    """The content of a snapshot's file."""
 
     identity: Identity
     number: int
@@ -69,24 +75,24 @@
 
 
 class SegmentHeader(StrictStruct, frozen=True):
-    """First in each segment: whose it is, and what held before it."""
+    """The first record of a segment: its member, and the state before it."""
 
     identity: Identity
-    segment: int  # from 1 on, without gap
-    before: int  # the last crc of the segment before
-    next: int  # the index that the next entry has
+    segment: int  # from 1, without gaps
+    before: int  # the last crc of the previous segment
+    next: int  # the index of the next entry
     hard: HardState
     named: SnapshotFile | None
 
 
 class TruncateRecord(StrictStruct, frozen=True):
-    """Entries from this index on are none."""
+    """Removes the entries from this index on."""
 
     index: int
 
 
 class SnapshotRecord(StrictStruct, frozen=True):
-    """A snapshot whose file is on stable storage is in place of the entries up to its index, or of all."""
+    """A snapshot, whose file is stable, replaces the entries up to its index, or all of them."""
 
     named: SnapshotFile
     all_gone: bool
@@ -118,8 +124,9 @@
 
 
 def scan_records(data: bytes) -> Iterator[tuple[int, Record, int, int]]:
-    """Each record of a segment: the byte where it starts, itself, its crc, and the byte behind it. `Torn` where one is
-    not whole, `Damaged` where what is whole is not in this form."""
+    """The records of a segment, each with its first byte, its crc, and the byte after it. Raises `Torn` if a record is
+    incomplete, and `Damaged` if a complete one is malformed.
+    """
     if not data.startswith(FIRST_LINE):
         if FIRST_LINE.startswith(data):
             raise Torn("cut short in its first line", len(data))
@@ -131,26 +138,27 @@
     at, crc = len(FIRST_LINE), 0
     while at < len(data):
         if at + RECORD_HEADER.size > len(data):
-            raise Torn("cut short in a record's frame", at)
+            raise Torn("cut short in a record's header", at)
         length, told = RECORD_HEADER.unpack_from(data, at)
         end = at + RECORD_HEADER.size + length
         if not length or end > len(data):
-            raise Torn(f"a record of {length} bytes, and {len(data) - at - RECORD_HEADER.size} are there", at)
+            raise Torn(f"a record of {length} bytes, of which {len(data) - at - RECORD_HEADER.size} are there", at)
         body = memoryview(data)[at + RECORD_HEADER.size : end]
         if _crc(body, crc) != told:
-            raise Torn("a record's checksum is another", at)
+            raise Torn("a record has a wrong checksum", at)
         try:
             yield at, RECORD_DECODERS[body[0]].decode(body[1:]), told, end
         except (KeyError, msgspec.MsgspecError) as error:
-            raise Damaged(f"a record that is not in its form: {error!r}", at) from None
+            raise Damaged(f"a malformed record: {error!r}", at) from None
         at, crc = end, told
 
 
 class LogState:
-    """What the records of one member come to, in order; the same rules when they are written and when they are read.
+    """The state that results from the records of one member. The same rules apply to writing and to reading.
 
-    Invariants: the next entry has the index `next`; every entry behind the snapshot and from `floor` on has been seen;
-    a term never falls, and a vote in it never changes; nothing that a snapshot stands for is cut.
+    Invariants: the next entry has the index `next_index`; every entry after the snapshot and from `first_index` on was
+    seen; the term never decreases, and the vote in a term never changes; entries that a snapshot includes are never
+    truncated.
     """
 
     def __init__(self, identity: Identity) -> None:
@@ -161,9 +169,8 @@
         self.snapshot_file: SnapshotFile | None = None
         self.next_index = 1
         self.first_index = 1
-        self.segment_ends: dict[
-            int, int
-        ] = {}  # for each segment, the index behind the last entry in it that still holds
+        # By segment: the index after its last entry that is still valid.
+        self.segment_ends: dict[int, int] = {}
 
     @property
     def snapshot_index(self) -> int:
@@ -172,104 +179,107 @@
     # ---- writing ----
 
     def begin_segment(self) -> bytes:
-        """The next segment's first bytes."""
-        head = SegmentHeader(
+        """The first bytes of the next segment."""
+        header = SegmentHeader(
             self.identity, self.segment + 1, self.crc, self.next_index, self.hard_state, self.snapshot_file
         )
         self.crc = 0
-        return FIRST_LINE + self.write(head)
+        return FIRST_LINE + self.write(header)
 
-    def write(self, value: Record) -> bytes:
-        """`Unfit` where it can't come next."""
-        self._apply(value)
-        data, self.crc = encode_record(value, self.crc)
+    def write(self, record: Record) -> bytes:
+        """The bytes of the next record. Raises `Unfit` if it is not allowed to come next."""
+        self._apply(record)
+        data, self.crc = encode_record(record, self.crc)
         return data
 
-    def records_of(self, keep: PersistBatch, named: SnapshotFile | None) -> Iterator[Record]:
-        """The records of a batch, to be written one after another; `named` is its snapshot's file. A crash may leave
-        the first few only, and that is sound: the vote comes first, and what is cut was never committed."""
-        if keep.hard is not None:
-            yield keep.hard
-        if keep.cut is not None and keep.cut < self.next_index:
-            yield TruncateRecord(keep.cut)
-        if named is not None:
-            yield SnapshotRecord(named, keep.all_gone)
-        yield from keep.entries
+    def records_of(self, batch: PersistBatch, snapshot_file: SnapshotFile | None) -> Iterator[Record]:
+        """The records of a batch, which must be written in this order; `snapshot_file` is its snapshot's file. After a
+        crash only the first few may be there, which is safe: the vote comes first, and truncated entries were never
+        committed.
+        """
+        if batch.hard is not None:
+            yield batch.hard
+        if batch.cut is not None and batch.cut < self.next_index:
+            yield TruncateRecord(batch.cut)
+        if snapshot_file is not None:
+            yield SnapshotRecord(snapshot_file, batch.all_gone)
+        yield from batch.entries
 
     # ---- reading ----
 
     def read_segment(self, number: int, data: bytes) -> Iterator[tuple[int, Record]]:
-        """Each record of the segment of that number with the byte behind it, once it has been taken. `Damaged`, and
-        its kind `Torn`: see `scanned`."""
-        before = self.crc
-        for start, value, crc, end in scan_records(data):
+        """The records of the segment with this number, each with the byte after it, once it has been applied. Raises
+        `Damaged`, and its subclass `Torn`: see `scan_records`.
+        """
+        previous_crc = self.crc
+        for start, record, crc, end in scan_records(data):
             try:
-                if isinstance(value, SegmentHeader) != (start == len(FIRST_LINE)):
-                    raise Unfit("a head is the first record of a segment, and nothing else is")
-                if isinstance(value, SegmentHeader):
-                    self._check(value, number, before)
-                self._apply(value)
-            except Unfit as unfit:
-                raise Damaged(str(unfit), start) from None
+                if isinstance(record, SegmentHeader) != (start == len(FIRST_LINE)):
+                    raise Unfit("a segment must begin with a header, and have no other one")
+                if isinstance(record, SegmentHeader):
+                    self._check(record, number, previous_crc)
+                self._apply(record)
+            except Unfit as error:
+                raise Damaged(str(error), start) from None
             self.crc = crc
-            yield end, value
+            yield end, record
         if number != self.segment:
             raise Torn("cut short before its first record", len(FIRST_LINE))
 
-    def _check(self, head: SegmentHeader, number: int, before: int) -> None:
-        """That a segment is this member's, of that number, and follows on the one before."""
-        if head.identity.cluster != self.identity.cluster:
-            raise Unfit(f"of another cluster, {head.identity.cluster!r}")
-        if head.identity != self.identity:
-            raise Unfit(f"of another member, {head.identity.member!r}")
-        if head.segment != number:
-            raise Unfit(f"segment {head.segment} in the place of {number}")
-        if not self.segment:  # the first that is left: all before it are taken at its word
+    def _check(self, header: SegmentHeader, number: int, previous_crc: int) -> None:
+        """Checks that a segment is this member's, has this number, and continues the previous one."""
+        if header.identity.cluster != self.identity.cluster:
+            raise Unfit(f"of another cluster, {header.identity.cluster!r}")
+        if header.identity != self.identity:
+            raise Unfit(f"of another member, {header.identity.member!r}")
+        if header.segment != number:
+            raise Unfit(f"segment {header.segment} in the place of {number}")
+        if not self.segment:  # the first one that is left: its header is relied on for everything before it
             self.hard_state, self.snapshot_file, self.next_index, self.first_index = (
-                head.hard,
-                head.named,
-                head.next,
-                head.next,
+                header.hard,
+                header.named,
+                header.next,
+                header.next,
             )
-        elif (head.before, head.next, head.hard, head.named) != (
-            before,
+        elif (header.before, header.next, header.hard, header.named) != (
+            previous_crc,
             self.next_index,
             self.hard_state,
             self.snapshot_file,
         ):
-            raise Unfit("it does not follow on the segment before")
+            raise Unfit("it does not continue the previous segment")
 
-    # ---- the rules ----
+    # ---- rules ----
 
-    def _apply(self, value: Record) -> None:
-        match value:
+    def _apply(self, record: Record) -> None:
+        match record:
             case Entry():
-                if value.index != self.next_index:
-                    raise Unfit(f"entry {value.index} where {self.next_index} is next")
+                if record.index != self.next_index:
+                    raise Unfit(f"entry {record.index} where {self.next_index} is next")
                 self.next_index += 1
                 self.segment_ends[self.segment] = self.next_index
             case HardState():
-                changed = value.term == self.hard_state.term and self.hard_state.vote not in ("", value.vote)
-                if value.term < self.hard_state.term or changed:
-                    raise Unfit(f"term {value.term} with vote {value.vote!r} after {self.hard_state}")
-                self.hard_state = value
+                changed = record.term == self.hard_state.term and self.hard_state.vote not in ("", record.vote)
+                if record.term < self.hard_state.term or changed:
+                    raise Unfit(f"term {record.term} with vote {record.vote!r} after {self.hard_state}")
+                self.hard_state = record
             case TruncateRecord():
-                if not self.snapshot_index < value.index <= self.next_index:
+                if not self.snapshot_index < record.index <= self.next_index:
                     raise Unfit(
-                        f"cut at {value.index}, with a snapshot at {self.snapshot_index}, {self.next_index} is next"
+                        f"cut at {record.index}, with a snapshot at {self.snapshot_index}, {self.next_index} is next"
                     )
-                self._truncate(value.index)
+                self._truncate(record.index)
             case SnapshotRecord():
-                index = value.named.index
+                index = record.named.index
                 if index < self.snapshot_index or (
-                    self.snapshot_file and value.named.number <= self.snapshot_file.number
+                    self.snapshot_file and record.named.number <= self.snapshot_file.number
                 ):
                     raise Unfit(f"a snapshot at {index} after {self.snapshot_file}")
-                self.snapshot_file = value.named
-                if value.all_gone or index >= self.next_index:
+                self.snapshot_file = record.named
+                if record.all_gone or index >= self.next_index:
                     self._truncate(index + 1)
             case SegmentHeader():
-                self.segment = value.segment
+                self.segment = record.segment
                 self.segment_ends[self.segment] = 0
 
     def _truncate(self, index: int) -> None:
@@ -278,17 +288,17 @@
         self.segment_ends = {segment: min(top, index) for segment, top in self.segment_ends.items()}
 
     def missing_entries(self) -> str:
-        """What is missing between the snapshot and the first entry; empty: nothing."""
+        """What is missing between the snapshot and the first entry, as text; empty: nothing."""
         first = self.snapshot_index + 1
         return f"entries {first} to {self.first_index - 1} are missing" if self.first_index > first else ""
 
     def obsolete_segment(self) -> int | None:
-        """The first segment, where nothing in it is needed any more."""
+        """The first segment, if nothing in it is needed any more."""
         first = next(iter(self.segment_ends))
         return first if first != self.segment and self.segment_ends[first] <= self.snapshot_index + 1 else None
 
 
-# ---- the other files ----------------------------------------------------------------------------
+# ---- other files ----------------------------------------------------------------------------
 
 
 def encode_identity(identity: Identity) -> bytes:
@@ -296,49 +306,51 @@
 
 
 def decode_identity(data: bytes) -> Identity:
-    """`Damaged` where it is not one."""
+    """Raises `Damaged` if it is none."""
     return _decode_sealed(IDENTITY, data, Identity)
 
 
-def encode_snapshot(copy: SnapshotContent) -> tuple[bytes, SnapshotFile]:
-    data = sealed(SNAPSHOT, VERSION, ENCODER.encode(copy))
-    snapshot = copy.snapshot
-    return data, SnapshotFile(copy.number, snapshot.index, snapshot.term, len(data), crc32(data))
+def encode_snapshot(content: SnapshotContent) -> tuple[bytes, SnapshotFile]:
+    data = sealed(SNAPSHOT, VERSION, ENCODER.encode(content))
+    snapshot = content.snapshot
+    return data, SnapshotFile(content.number, snapshot.index, snapshot.term, len(data), crc32(data))
 
 
-def decode_snapshot(data: bytes, identity: Identity, named: SnapshotFile) -> Snapshot:
-    """The snapshot that the log names; `Damaged` where this file is not the one."""
-    copy = _decode_sealed(SNAPSHOT, data, SnapshotContent)
-    if copy.identity != identity:
-        raise Damaged(f"of another member or cluster: {copy.identity}")
-    if named != SnapshotFile(copy.number, copy.snapshot.index, copy.snapshot.term, len(data), crc32(data)):
+def decode_snapshot(data: bytes, identity: Identity, snapshot_file: SnapshotFile) -> Snapshot:
+    """The snapshot that the log names. Raises `Damaged` if this file does not contain it."""
+    content = _decode_sealed(SNAPSHOT, data, SnapshotContent)
+    if content.identity != identity:
+        raise Damaged(f"of another member or cluster: {content.identity}")
+    if snapshot_file != SnapshotFile(
+        content.number, content.snapshot.index, content.snapshot.term, len(data), crc32(data)
+    ):
         raise Damaged("not the snapshot that the log names")
-    return copy.snapshot
+    return content.snapshot
 
 
 def encode_mark(mark: Mark, identity: Identity) -> bytes:
-    """Of the same length always: it is written over the one before."""
+    """The mark, always of the same length, as it is written over the previous one."""
     body = b"%020d %020d %020d %08x %s" % (mark.segment, mark.at, mark.index, mark.crc, identity.member.encode())
     return sealed(MARK, VERSION, body)
 
 
 def decode_mark(data: bytes, identity: Identity) -> Mark:
-    """`Damaged` where it is not one of this member's."""
+    """Raises `Damaged` if it is none of this member's."""
     words = opened(MARK, VERSION, data).split(b" ")
     try:
         mark = Mark(int(words[0]), int(words[1]), int(words[2]), int(words[3], 16))
     except (ValueError, IndexError) as error:
-        raise Damaged(f"not in its form: {error!r}") from None
+        raise Damaged(f"malformed: {error!r}") from None
     if data != encode_mark(mark, identity):
-        raise Damaged("of another member, or not in its form")
+        raise Damaged("of another member, or malformed")
     return mark
 
 
 def _decode_sealed(name: bytes, data: bytes, kind: type[Decoded]) -> Decoded:
     body = opened(name, VERSION, data)
-    if data != sealed(name, VERSION, body):  # its last newline
+    if data != sealed(name, VERSION, body):  # the last newline may be missing
         raise Damaged("cut short: its end is missing", len(data))
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except msgspec.MsgspecError as error:
-        raise Damaged(f"not in its form: {error!r}") from None
+        raise Damaged(f"malformed: {error!r}") from None
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -1,7 +1,7 @@
-"""Frames over one socket, both ways, and the greeting that comes first.
+"""Frames on one socket, in both directions, after an exchange of `Hello`.
 
-One coroutine runs a line by `next`; whoever has something to say calls `put`, which writes at once what the socket
-takes and leaves the rest to that coroutine. Nothing here waits for a reader: what it does not take is held, bounded.
+One coroutine reads with `next`. Any code can call `put`, which writes at once what the socket accepts and leaves the
+rest to that coroutine. Nothing here waits for the other side: what it does not read is buffered, up to a limit.
 """
 
 from __future__ import annotations
@@ -14,29 +14,30 @@
 from loftweir.net.stream import READ_SIZE, NotUp, TookTooLong, connect
 from loftweir.replication.wire import BadFrame, ConnectionRejected, Frame, FrameReader, Hello, TurnedAway, encode_frame
 
-GREETING_TIMEOUT = SECOND  # from a connection's opening until both have said who they are
-TCP_USER_TIMEOUT_MS = 5_000  # ms without the other side's kernel taking what was sent, until the connection is given up
-MAX_FRAMES_PER_WRITE = 64  # frames in one write
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes held for one that does not read
+GREETING_TIMEOUT = SECOND  # from the connection's start until both sides have sent a `Hello`
+TCP_USER_TIMEOUT_MS = 5_000  # until the connection is closed if the other side's kernel acknowledges nothing
+MAX_FRAMES_PER_WRITE = 64  # frames passed to one `sendmsg`
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # buffered for a peer that does not read
 
-CONNECTION_ERRORS = (TookTooLong, OSError, BadFrame)  # what ends a line
+CONNECTION_ERRORS = (TookTooLong, OSError, BadFrame)  # exceptions that end a connection
 
 
 class FrameConnection:
-    """Invariant: `held` is the length of all in `out`; `out` is not empty only where the socket took no more when it
-    was last tried, and then whoever runs the line waits for it to be writable."""
+    """A connection that carries frames.
+
+    Invariant: `unsent_bytes` is the total length of `unsent`. `unsent` is only non-empty if the socket accepted no more
+    at the last attempt, and then the coroutine waits until it is writable.
+    """
 
     def __init__(self, loop: Loop, sock: socket.socket, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
         self.loop = loop
         self.sock = sock
         self.max_unsent_bytes = max_unsent_bytes
-        self.task: Task | None = None  # who runs it
+        self.task: Task | None = None  # the coroutine that reads
         self.reader = FrameReader()
-        self.unsent: deque[tuple[memoryview, bool]] = (
-            deque()
-        )  # what is left of each frame, and whether it may be dropped
+        self.unsent: deque[tuple[memoryview, bool]] = deque()  # the rest of each frame, and whether it may be dropped
         self.unsent_bytes = 0
-        self.waiting_writable = False  # whoever runs it waits for it to be writable
+        self.waiting_writable = False  # the coroutine waits until the socket is writable
         self.closed = False
 
     # ---- out ----
@@ -45,8 +46,9 @@
         self.write(encode_frame(frame), may_drop)
 
     def write(self, data: bytes, may_drop: bool = False) -> None:
-        """A frame as it goes out. Over the bound the oldest that may be dropped go; where that does not help, the line
-        is of no use, and ends."""
+        """Sends an encoded frame. Above the limit, the oldest frames that may be dropped are; if that does not suffice,
+        the connection is useless and is aborted.
+        """
         if self.closed:
             return
         self.unsent.append((memoryview(data), may_drop))
@@ -61,7 +63,7 @@
     def _drop(self) -> None:
         kept: deque[tuple[memoryview, bool]] = deque()
         for number, (data, may_drop) in enumerate(self.unsent):
-            if number and may_drop and self.unsent_bytes > self.max_unsent_bytes:  # the first may have gone out in part
+            if number and may_drop and self.unsent_bytes > self.max_unsent_bytes:  # the first one may be partly sent
                 self.unsent_bytes -= len(data)
             else:
                 kept.append((data, may_drop))
@@ -87,7 +89,7 @@
             self.abort()
 
     def alive(self) -> bool:
-        """Whether the other side has not ended it, as far as its packets tell by now."""
+        """Whether the other side has not closed the connection, as far as its packets show."""
         if self.closed:
             return False
         try:
@@ -98,7 +100,7 @@
             return False
 
     def abort(self) -> None:
-        """Nothing more goes out, and whoever runs the line finds it at its end."""
+        """Sends nothing more; the reading coroutine finds the connection ended."""
         if not self.closed:
             self.closed = True
             self.unsent.clear()
@@ -113,7 +115,7 @@
     # ---- in ----
 
     def next(self, until: int | None) -> Coroutine[Frame]:
-        """The next frame; one of `Broken` where none comes any more, or none in time."""
+        """The next frame. Raises one of `CONNECTION_ERRORS` if the connection ends, or at `until`."""
         while True:
             frame = self.reader.next()
             if frame is not None:
@@ -138,7 +140,9 @@
             self.reader.feed(data)
 
     def flushed(self, until: int) -> Coroutine[None]:
-        """Until the other side's kernel has taken all that was put; one of `Broken` where it doesn't in time."""
+        """Waits until the other side's kernel has accepted everything. Raises one of `CONNECTION_ERRORS`, also at
+        `until`.
+        """
         while self.unsent and not self.closed:
             self.waiting_writable = True
             events = yield Wait(self.sock, WRITABLE, until)
@@ -148,27 +152,27 @@
             self._flush()
 
     def read_hello(self, until: int) -> Coroutine[Hello]:
-        """The other side's first frame; `TurnedAway` where that says no, or says something else."""
+        """The other side's first frame. Raises `TurnedAway` if it is a rejection or anything else than a `Hello`."""
         frame = yield from self.next(until)
         if isinstance(frame, ConnectionRejected):
             raise TurnedAway(f"{frame.why.value} {frame.about}".strip())
         if not isinstance(frame, Hello):
-            raise TurnedAway("it did not say who it is")
+            raise TurnedAway("the first frame is not a Hello")
         return frame
 
 
 def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[FrameConnection, Hello]]:
-    """A line to an address, greeted. Raises `NotUp` where nobody answers there in time, and `TurnedAway`."""
+    """Connects to an address and exchanges `Hello`. Raises `NotUp` if nobody answers in time, and `TurnedAway`."""
     sock = yield from connect(loop, address, GREETING_TIMEOUT, until)
-    line = FrameConnection(loop, sock)
+    connection = FrameConnection(loop, sock)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-        line.put(hello)
-        there = yield from line.read_hello(min(until, loop.now() + GREETING_TIMEOUT))
+        connection.put(hello)
+        peer = yield from connection.read_hello(min(until, loop.now() + GREETING_TIMEOUT))
     except CONNECTION_ERRORS:
-        line.close()
+        connection.close()
         raise NotUp(Outcome.CONNECT_FAILED) from None
     except BaseException:
-        line.close()
+        connection.close()
         raise
-    return line, there
+    return connection, peer
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -58,7 +58,7 @@
     )
 
 
-# ---- commands -------------------------------------------------------------------------------------
+# ---- commands -----------------------------------------------------------------------------------
 
 
 class SetOverride(StrictStruct, frozen=True, tag="word"):
@@ -313,7 +313,7 @@
     return _validation_error(0, command) if command.session else InvalidCommand(0, "an order without a session")
 
 
-# ---- the state -------------------------------------------------------------------------------
+# ---- the state ----------------------------------------------------------------------------------
 
 
 class Override(NamedTuple):
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -1,7 +1,7 @@
-"""A voter on the loop: owns the disk, the core, the machine and the leases' times, and carries the core's actions out.
+"""A voter on the event loop: owns the disk, the core, the state machine and the lease expiry, and executes the actions.
 
-Invariants: events are handed to the core one after another, each with all its actions carried out before the next; a
-message leaves only once the batch that it rests on is stable; who asked for a write, read or change is told once.
+Invariants: the core gets one event after another, and all actions of one are executed before the next. A message is
+sent only once the batch that it depends on is stable. Each write, read or membership change is answered once.
 """
 
 from __future__ import annotations
@@ -46,16 +46,27 @@
 from loftweir.replication.disk import Disk
 from loftweir.replication.links import MemberLink
 from loftweir.replication.machine import AnyResult, Command, Machine, encode
-from loftweir.replication.wire import VERSION, CommittedEntry, FollowResponse, Hello, OutcomeCode, StatusResponse
-from loftweir.replication.wire import ConnectionKind as Who
+from loftweir.replication.wire import (
+    VERSION,
+    CommittedEntry,
+    ConnectionKind,
+    FollowResponse,
+    Hello,
+    OutcomeCode,
+    StatusResponse,
+)
 from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED
 from loftweir.telemetry.log import say, where
 
-FOUNDING_BATCH = 0  # the batch that founds; the core counts its own from 1 on
-MAX_FOLLOW_ENTRIES, MAX_FOLLOW_BYTES = 256, 256 * 1024  # of one answer to a follower; the rest comes with the next
-LINK_IDLE_TIMEOUT = 10 * SECOND  # of a link to one that is no member
-MAX_LINKS = 32  # at most; twice the members that there may be
-UNKNOWN_LAG = 1 << 62
+FOUNDING_BATCH = 0  # the batch that founds a cluster; the core numbers its own from 1
+
+# Limits of one FollowResponse; the rest comes with the next one.
+MAX_FOLLOW_ENTRIES = 256
+MAX_FOLLOW_BYTES = 256 * 1024
+
+LINK_IDLE_TIMEOUT = 10 * SECOND  # of a link to an id that is not a member
+MAX_LINKS = 32  # twice the number of members that there may be
+UNKNOWN_LAG = 1 << 62  # entries; also a time that is never reached
 
 ResultCallback = Callable[[OutcomeCode, int, AnyResult | None], None]
 OUTCOME_CODES = {
@@ -67,14 +78,16 @@
 
 
 class Voter:
-    """`applied` is called after each step that changed the machine, `ended` once, with why this part is over."""
+    """This sidecar as a voting member. `applied` is called after each step that changed the state machine, and `ended`
+    once, with the reason, when this member stops.
+    """
 
     def __init__(
         self,
         loop: Loop,
         name: str,
         options: Replication,
-        seats: dict[str, str],
+        slots: dict[str, str],
         opened: tuple[Disk, PersistentState],
         applied: Callable[[], None],
         ended: Callable[[LoftweirError], None],
@@ -82,7 +95,7 @@
         self.loop = loop
         self.name = name
         self.options = options
-        self.seats = seats  # as this sidecar's operator lists them: where each name is reached from here
+        self.slots = slots  # by name: the members' addresses in this sidecar's configuration
         self.disk, kept = opened
         self.me = self.disk.member
         self.applied = applied
@@ -92,36 +105,40 @@
         self.core = Core(self.me, kept, self.timing, self.random, loop.now())
         self.machine = Machine()
         self.lease_expirer = LeaseExpirer()
-        self.has_state = kept != PersistentState()  # something was kept, or is asked to be, ever
-        self.state_may_be_lost = self.disk.state_may_be_lost  # ... or may have been, by files that were set aside
-        self.founding: PersistentState | None = None  # asked to be kept, and not yet stable
+        # its storage was ever written to, or is being written to for the first time
+        self.has_state = kept != PersistentState()
+        # files were set aside, which may have contained acknowledged writes
+        self.state_may_be_lost = self.disk.state_may_be_lost
+        self.founding: PersistentState | None = None  # the founding state while it is not stable yet
         self.closed = False
-        self.synced_batch = 0  # the last batch that is
-        self.unsent_messages: deque[SendMessage] = deque()  # until their batch is; in order of batches
+        self.synced_batch = 0  # the last batch that is stable
+        self.unsent_messages: deque[SendMessage] = deque()  # until their batch is stable; in the order of batches
         self.links: dict[str, MemberLink] = {}
-        self.connected_names: dict[str, str] = {}  # by id, of others that have connected
+        self.connected_names: dict[str, str] = {}  # by id; of other members that are connected
         self.pending: deque[Event] = deque()
         self.stepping = False
         self.tokens = 0
         self.callbacks: dict[int, ResultCallback] = {}
-        self.step_results: dict[int, AnyResult] = {}  # of writes applied in this step, by index
+        self.step_results: dict[int, AnyResult] = {}  # by index; of the writes applied in this step
         self.notified_index = 0
-        self.leader_known_at = 0  # when it last knew a leader with a majority, itself or another; 0: never
-        self.leadership = (0, 0)  # the term that it led last, and when it began to
-        # in the life of this process it was a voter, by a log that had all that was committed then
+        self.leader_known_at = 0  # ns; when it last knew of a leader with a majority, itself included; 0: never
+        self.leadership = (0, 0)  # the last term that it led, and when it began to
+        # During the life of this process it was a voter by a log that included everything committed at the time.
         self.is_confirmed_voter = False
-        self.hello = Hello(VERSION, options.cluster, self.me, name, Who.MEMBER)
+        self.hello = Hello(VERSION, options.cluster, self.me, name, ConnectionKind.MEMBER)
         self.ticker: Task = loop.spawn(self._tick(), self._crashed, urgent=True)
         self.disk_task: Task = loop.spawn(self._read_disk(), self._crashed, urgent=True)
 
     def start(self) -> None:
+        """Starts the election timer."""
         self.process(Tick())
 
     # ---- events and actions ---------------------------------------------------------------------
 
     def process(self, event: Event) -> None:
-        """One event to the core, after those that wait; all that follows from it is done when this returns, unless it
-        comes of an action of another one."""
+        """Passes an event to the core after those that are queued. When this returns all its actions are executed,
+        unless it is called from an action of another event.
+        """
         self.pending.append(event)
         if self.stepping or self.closed:
             return
@@ -129,20 +146,22 @@
         try:
             while self.pending and not self.closed:
                 if self.founding is None or isinstance(self.pending[0], StorageBroken):
-                    taken = self.pending.popleft()
-                    for action in self.core.step(self.loop.now(), taken):
+                    current = self.pending.popleft()
+                    for action in self.core.step(self.loop.now(), current):
                         ACTION_HANDLERS[type(action)](self, action)
-                    self.is_confirmed_voter = self.is_confirmed_voter or self._confirms_voter(taken)
-                else:  # nothing is heard, and nothing promised, until it is known what this member is
+                    self.is_confirmed_voter = self.is_confirmed_voter or self._confirms_voter(current)
+                # until the founding state is stable it is not known which member this is: nothing is handled or
+                # acknowledged
+                else:
                     self._reject(self.pending.popleft())
-        except Exception as error:  # a fault of the program's: whatever asked must not end for it, but this part must
+        except Exception as error:  # a bug: the caller must not fail for it, but this member has to stop
             self.stepping = False
             self.end(MemberBroken(repr(error), where(error)))
         self.stepping = False
         self.step_results.clear()
         self.leader_known_at = max(
             self.leader_known_at, self.core.quorum_confirmed_at
-        )  # of one that led the core forgets it
+        )  # a former leader's core forgets it
         if self.machine.index != self.notified_index and not self.closed:
             self.notified_index = self.machine.index
             self.applied()
@@ -150,7 +169,7 @@
             self.ticker.wake()
 
     def _confirms_voter(self, event: Event) -> bool:
-        """Whether it is a voter for sure: its own log may be of a time before it was taken out."""
+        """Whether this event proves that it is a voter. Its own log may be from a time before it was removed."""
         core = self.core
         if self.me not in core.voters:
             return False
@@ -174,7 +193,7 @@
             for act in self.lease_expirer.due_expirations(self.loop.now()):
                 self.write(encode(Command("", 0, act)), lambda *_: None)
             self.process(Tick())
-            yield Wait(None, 0, self.loop.now())  # one turn of the loop for the others
+            yield Wait(None, 0, self.loop.now())  # lets other tasks run
 
     def _read_disk(self) -> Coroutine[None]:
         while not self.closed:
@@ -204,15 +223,17 @@
         self.end(MemberBroken(repr(error), where(error)))
 
     def end(self, why: LoftweirError) -> None:
-        """This member's part is over; the sidecar serves on. Whoever owns it is told in a turn of its own, and closes
-        it: not in the middle of what was under way here."""
+        """Stops this member; the sidecar continues to serve. `ended` is called in a separate loop turn, as its owner
+        then closes this object, which must not happen in the middle of a step.
+        """
         if not self.closed:
             self.closed = True
             self.loop.after(0, self.ended, why)
 
     def close(self, within: float = 0.0) -> None:
-        """Nothing more is said or heard; what was asked to be kept is, and the folder is free then, which is waited for
-        `within` seconds of the loop's time. Not to be called by what this member itself runs."""
+        """Sends and handles nothing more. Pending batches are still written; `within` is how long to wait, in seconds
+        of the loop's time, until they are and the folder is free. Must not be called from a task of this member.
+        """
         self.closed = True
         for link in self.links.values():
             link.close()
@@ -265,7 +286,7 @@
 
         core = self.core
         if core.role is Role.LEADER and core.commit == core.last_index and self.step_results:
-            # The others learn what is committed by the next message, and their followers wait for it: a read sends one
+            # The others learn the commit index from the next message, and their observers wait for it. A read sends one
             # to all at once.
             self.pending.append(ReadRequest(self._register_callback(lambda *_: None)))
 
@@ -282,9 +303,9 @@
         self._respond(action.token, OUTCOME_CODES[action.why], 0, None)
 
     def _respond(self, token: int, how: OutcomeCode, index: int, result: AnyResult | None) -> None:
-        answered = self.callbacks.pop(token, None)
-        if answered is not None:
-            answered(how, index, result)
+        on_result = self.callbacks.pop(token, None)
+        if on_result is not None:
+            on_result(how, index, result)
 
     def _on_status_changed(self, action: StatusChanged) -> None:
         if action.role is not Role.LEADER:
@@ -310,34 +331,39 @@
     def _on_connection_rejected(self, id: str, why: str) -> None:
         say(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
 
-    # ---- what others ask of it ------------------------------------------------------------------
+    # ---- requests -------------------------------------------------------------------------------
 
-    def _register_callback(self, answered: ResultCallback) -> int:
+    def _register_callback(self, on_result: ResultCallback) -> int:
         self.tokens += 1
-        self.callbacks[self.tokens] = answered
+        self.callbacks[self.tokens] = on_result
         return self.tokens
 
-    def write(self, order: bytes, answered: ResultCallback) -> None:
-        self.process(WriteRequest(self._register_callback(answered), order))
+    def write(self, order: bytes, on_result: ResultCallback) -> None:
+        """Submits a command; `answered` gets the outcome, the log index and the result."""
+        self.process(WriteRequest(self._register_callback(on_result), order))
 
-    def read(self, answered: ResultCallback) -> None:
-        self.process(ReadRequest(self._register_callback(answered)))
+    def read(self, on_result: ResultCallback) -> None:
+        """Confirms the leadership for a linearizable read."""
+        self.process(ReadRequest(self._register_callback(on_result)))
 
-    def change(self, members: tuple[Member, ...], answered: ResultCallback) -> None:
-        self.process(MembershipChange(self._register_callback(answered), members))
+    def change(self, members: tuple[Member, ...], on_result: ResultCallback) -> None:
+        """Changes the members."""
+        self.process(MembershipChange(self._register_callback(on_result), members))
 
     def transfer_leadership(self) -> None:
+        """Lets another member lead, as this process is about to stop."""
         self.process(TransferLeadership())
 
     def found(self, members: tuple[Member, ...]) -> None:
-        """Begins the cluster, where nothing was kept here yet: stable first, then in force."""
+        """Founds a cluster if the storage was never used: the state takes effect once it is stable."""
         if not self.has_state and not self.state_may_be_lost:
             self.founding = founding_state(members)
             self._persist(PersistBatch(FOUNDING_BATCH, self.founding.hard, None, self.founding.entries))
 
-    # ---- what it knows --------------------------------------------------------------------------
+    # ---- state ----------------------------------------------------------------------------------
 
     def member(self, id: str) -> Member | None:
+        """The member with this id; None: there is none."""
         return next((m for m in self.core.members if m.id == id), None)
 
     def name_of(self, id: str) -> str:
@@ -348,77 +374,80 @@
         return found.name if found else self.connected_names.get(id, "")
 
     def address_of(self, id: str) -> str:
-        """Where it is reached from here: by the operator's list, else as the members have it; empty: not known."""
+        """The address from the operator's list, else the one in the members; empty: not known."""
         found = self.member(id)
-        return self.seats.get(self.name_of(id), found.address if found else "")
+        return self.slots.get(self.name_of(id), found.address if found else "")
 
     def leader(self) -> tuple[str, str]:
-        """Name and address, as far as they are known."""
+        """Name and address, as far as known."""
         id = self.core.leader
         return (self.name_of(id), self.address_of(id)) if id else ("", "")
 
     def leads(self) -> bool:
-        """With a majority, and all that was promised before it led is applied here."""
+        """Whether it leads with a majority, and everything acknowledged before its term is applied here."""
         core = self.core
         return core.role is Role.LEADER and core.commit > 0 and core.term_at(core.commit) == core.term
 
     def age(self) -> int | None:
-        """Since it last knew a leader with a majority, ns; None: never in the life of this process."""
+        """Time since it last knew of a leader with a majority, ns; None: never in the life of this process."""
         if self.core.role is Role.LEADER and self.core.voters == {self.me}:
-            return 0  # alone it is the majority, and nothing makes the core's time go on
+            return 0  # alone it is the majority, and the core has no events that advance its time
         known_at = max(self.leader_known_at, self.core.quorum_confirmed_at)
         return max(0, self.loop.now() - known_at) if known_at else None
 
     def recently_heard(self, id: str) -> bool:
-        """Whether a member was heard from in the last election timeout, or may have been before this one led."""
+        """Whether a member responded within the last election timeout, or may have done so before this one led."""
         now, election = self.loop.now(), self.options.election
         return id == self.me or max(self.core.last_response_at(id), self.leadership[1] + election) > now - election
 
     def is_reachable(self, id: str) -> bool:
-        """Whether a leader heard from a member in the last election timeout."""
+        """Whether a member responded to this leader within the last election timeout."""
         return id == self.me or self.core.last_response_at(id) > self.loop.now() - self.options.election
 
     def replication_lag(self, id: str) -> int:
-        """How many committed entries a member is not known to have."""
+        """The number of committed entries that a member is not known to have."""
         match = self.core.match(id)
         return self.core.commit - match if match else UNKNOWN_LAG
 
     def status(self, names: tuple[str, ...]) -> StatusResponse:
-        agrees = sorted(names) == sorted(self.seats)
+        """The answer to a `StatusRequest` with these member names."""
+        agrees = sorted(names) == sorted(self.slots)
         empty = agrees and not (self.has_state or self.state_may_be_lost or self.closed)
         return StatusResponse(
-            empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.can_change_members
+            empty, agrees, self.slots[self.name], *self.leader(), self.core.members, self.core.can_change_members
         )
 
     def follow_response(self, after: int, leads: bool = False) -> FollowResponse:
-        """What a follower that has all up to `after` lacks. `leads`: a majority has just said so."""
+        """The response to an observer that has everything up to `after`. `leads`: a majority has just confirmed this
+        leader.
+        """
         core, index = self.core, self.machine.index
-        whole = after < core.first_index - 1
+        snapshot_needed = after < core.first_index - 1
         entries: list[CommittedEntry] = []
-        if not whole and after < index:
+        if not snapshot_needed and after < index:
             size = 0
             for entry in core.entries(after + 1, min(index, after + MAX_FOLLOW_ENTRIES)):
                 entries.append(CommittedEntry(entry.index, entry.data if entry.kind is EntryKind.WRITE else b""))
                 size += len(entry.data)
                 if size > MAX_FOLLOW_BYTES:
                     break
-        told = entries[-1].index if entries else index
+        last_index = entries[-1].index if entries else index
         members = tuple(m.id for m in core.members)
-        return FollowResponse(after, told, self.age(), leads, self.leader()[0], members, tuple(entries), whole)
+        return FollowResponse(
+            after, last_index, self.age(), leads, self.leader()[0], members, tuple(entries), snapshot_needed
+        )
 
 
 class Removed(LoftweirError):
-    """This sidecar was a member of the copies, and was taken out; it follows the others from now on."""
+    """This sidecar was a member of the cluster and was removed; it is an observer now."""
 
-    remedy = (
-        "Nothing, if it was meant; else start it again while `replication.members` names it, and it is taken in anew."
-    )
+    remedy = "Nothing, if this was intended; else restart it while `replication.members` names it, and it joins again."
 
 
 class MemberBroken(LoftweirError):
-    """A fault of the program ended this sidecar's part as a member of the copies; it follows the others."""
+    """An internal error stopped this sidecar's member; it is an observer now."""
 
-    remedy = "Keep the log and report it; a new start takes the part up again."
+    remedy = "Keep the log and report the bug; after a restart it is a member again."
 
 
 ACTION_HANDLERS: dict[type, Callable[[Voter, Any], None]] = {
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -1,6 +1,7 @@
-"""This sidecar's part in the copies: it votes where its name is listed, and follows else, or while it can't vote.
+"""This sidecar's role in the replication: a voter if its name is listed as a member, else an observer. A listed member
+is an observer as well while it can't vote.
 
-The one module that `sidecar` imports of the copies, and only where the operator's file names members.
+`sidecar` imports only this module of the package, and only if the operator's file names members.
 """
 
 from __future__ import annotations
@@ -23,8 +24,7 @@
 from loftweir.replication.folder import FolderInUse, StorageFailed
 from loftweir.replication.follower import Observer
 from loftweir.replication.joining import JoinProcess
-from loftweir.replication.machine import Machine, Ok
-from loftweir.replication.machine import SetOverride as Say
+from loftweir.replication.machine import Machine, Ok, SetOverride
 from loftweir.replication.member import Voter
 from loftweir.replication.reception import ReplicationListener
 from loftweir.replication.remembered import OverrideCache
@@ -40,22 +40,26 @@
 )
 from loftweir.telemetry.log import say
 
-VOTE_RETRY_INTERVAL = 300 * MS  # for the folder and the address, that the process before this one may hold yet
-MIN_SAVE_INTERVAL = 100 * MS  # from one writing of what holds to the next, where the next process finds it
-OBSERVER_DESCRIPTORS = 6  # descriptors: a line for news, two for calls, and what is between one and the next
+VOTE_RETRY_INTERVAL = 300 * MS  # for the folder and the address, which the previous process may still hold
+MIN_SAVE_INTERVAL = 100 * MS  # between two writes of the override cache, from which the next process starts
+# Of an observer: a connection for entries, two of the proposer, and those that are replaced.
+OBSERVER_DESCRIPTORS = 6
 
 
 def descriptor_count(name: str, options: Replication) -> int:
-    """How many of the sidecar's descriptors the copies may take."""
+    """The number of the sidecar's descriptors that the replication may use."""
     return OBSERVER_DESCRIPTORS + (
         options.callers + reception.BASE_DESCRIPTORS if name in seats(options.members) else 0
     )
 
 
 class ReplicationAgent:
-    """Invariants: it votes or follows, one of the two; `told` has heard `words`, which are those of the machine at
-    `index` and what was promised here since; a machine behind that is told only where its members are all others: the
-    copies were begun anew."""
+    """Runs this sidecar as a voter or an observer, and reports the replicated state to the sidecar.
+
+    Invariants: it is either a voter or an observer. `on_overrides` has been called with all of `overrides`, which are
+    those of the state machine at `index` and those acknowledged here since. A state before `index` is reported only if
+    all its members differ, which means that the cluster was founded anew.
+    """
 
     def __init__(
         self,
@@ -68,31 +72,31 @@
         self.name = name
         self.options = options
         self.on_overrides = on_overrides
-        self.seats = seats(options.members)
-        self.id = secrets.token_hex(8)  # of this process, where it does not vote
+        self.slots = seats(options.members)
+        self.id = secrets.token_hex(8)  # of this process while it does not vote
         self.folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
-        self.index = 0  # of what holds here
-        self.cached_at: int | None = None  # where only what was remembered does: when it was the latest
-        self.members: frozenset[str] = frozenset()  # ids of the voters that it is of
+        self.index = 0  # of the state that was last reported
+        # Unix time in ns at which the cached overrides were current; None: the state is newer than the cache.
+        self.cached_at: int | None = None
+        self.members: frozenset[str] = frozenset()  # ids of the voters of the last state
         self.overrides: dict[str, LastCommand] = {}
-        self.machine: Machine | None = None  # the state that holds here; None: none was heard of yet
-        self.machine_listeners: list[Callable[[Machine], None]] = []  # who else is told of each change of it
-        self.acknowledged_ahead: dict[
-            str, int
-        ] = {}  # commands answered for, and from which index on the machine has them
-        self.save_scheduled = False  # a file is to be written
+        self.machine: Machine | None = None  # the last state; None: there was none yet
+        self.machine_listeners: list[Callable[[Machine], None]] = []  # called after each change of the state
+        # Acknowledged commands that `machine` does not include yet: by provider, the log index.
+        self.acknowledged_ahead: dict[str, int] = {}
+        self.save_scheduled = False  # the cache file is to be written
         self.saved_at = 0
         self.voter: Voter | None = None
-        self.reception: ReplicationListener | None = None
+        self.listener: ReplicationListener | None = None
         self.observer: Observer | None = None
         self.joining: JoinProcess | None = None
         self.leaving = False
-        self.proposer = Proposer(loop, name, self.id, options, self.seats, lambda: self.index)
+        self.proposer = Proposer(loop, name, self.id, options, self.slots, lambda: self.index)
 
-    # ---- begin and end --------------------------------------------------------------------------
+    # ---- start and stop -------------------------------------------------------------------------
 
     def recall(self) -> None:
-        """What the process before this one knew holds from the start on."""
+        """Starts from the overrides that the previous process cached."""
         if self.folder is None:
             return
         try:
@@ -106,14 +110,15 @@
             self.on_overrides(self.overrides, True)
 
     def start(self) -> None:
-        if self.name not in self.seats:
+        """Starts as a voter if the name is listed, else as an observer."""
+        if self.name not in self.slots:
             self._start_observing()
         elif not self._start_voting():
             self.loop.spawn(self._retry_voting())
 
     def _start_observing(self) -> None:
         if self.observer is None:
-            self.observer = Observer(self.loop, self.name, self.id, self.options, self.seats, self._observed)
+            self.observer = Observer(self.loop, self.name, self.id, self.options, self.slots, self._observed)
 
     def _retry_voting(self) -> Coroutine[None]:
         while not self.leaving:
@@ -122,15 +127,15 @@
                 return
 
     def _start_voting(self) -> bool:
-        """Takes the part of a member; False: not now, and it follows meanwhile."""
-        options, address = self.options, self.seats[self.name]
+        """Starts as a voter; False: not possible now, and it is an observer meanwhile."""
+        options, address = self.options, self.slots[self.name]
         try:
             sock = reception.bind_listener(address)
         except OSError as error:
             say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
             self._start_observing()
             return False
-        try:  # second, since reading it takes the loop's time
+        try:  # after the address, as reading the disk blocks the event loop
             disk, kept, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
@@ -146,11 +151,11 @@
         say(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
             say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
-        voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._on_voter_ended)
+        voter = Voter(self.loop, self.name, options, self.slots, (disk, kept), self._applied, self._on_voter_ended)
         listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
         self._stop_observing()
-        self.voter, self.reception = voter, listener
+        self.voter, self.listener = voter, listener
         voter.start()
         self.joining = JoinProcess(self.loop, voter, lambda: self.voter is voter)
         return True
@@ -161,22 +166,23 @@
             self.observer = None
 
     def _on_voter_ended(self, why: LoftweirError) -> None:
-        """The member's part is over, the sidecar's is not."""
+        """The voter has stopped; the sidecar goes on as an observer."""
         say(REPLICATION_ENDED, why=why, remedy=why.remedy)
         self._stop_voting()
         if not self.leaving:
             self._start_observing()
 
     def _stop_voting(self, within: float = 0.0) -> None:
-        if self.voter is not None and self.reception is not None and self.joining is not None:
-            self.reception.close()
+        if self.voter is not None and self.listener is not None and self.joining is not None:
+            self.listener.close()
             self.voter.close(within)
             self.joining.task.cancel()
-        self.voter = self.reception = self.joining = None
+        self.voter = self.listener = self.joining = None
 
     def leave(self) -> None:
-        """The process is about to end. One that leads hands over first; then the folder and the address are free for
-        the next process, and this one follows for as long as it is there."""
+        """The process is about to stop. A leader transfers its leadership first. Then the folder and the address are
+        free for the next process, and this one is an observer until its end.
+        """
         self.leaving = True
         if self.voter is not None:
             self.loop.spawn(self._transfer_and_stop(self.voter))
@@ -191,7 +197,7 @@
             self._start_observing()
 
     def close(self) -> None:
-        """The end: what was asked to be kept is."""
+        """Ends everything; batches that were handed to the storage are written."""
         self.leaving = True
         if self.save_scheduled:
             self._save()
@@ -199,11 +205,11 @@
         self._stop_observing()
         self.proposer.close()
 
-    # ---- what holds -----------------------------------------------------------------------------
+    # ---- the replicated state -------------------------------------------------------------------
 
     def _applied(self) -> None:
-        if self.voter is not None and self.reception is not None:
-            self.reception.applied()
+        if self.voter is not None and self.listener is not None:
+            self.listener.applied()
             self._update_from(self.voter.machine, frozenset(m.id for m in self.voter.core.members))
 
     def _observed(self) -> None:
@@ -216,23 +222,22 @@
             self.index, self.acknowledged_ahead = 0, {}
         self.members = members or self.members
         if machine.index < self.index:
-            return  # a voter that has yet to hear how much of its log holds, or one that joins
-        whole, commands = machine.overrides_since(self.index)
+            return  # of a voter that does not know its commit index yet, or of one that is joining
+        complete, commands = machine.overrides_since(self.index)
         self.index, self.cached_at, self.machine = machine.index, None, machine
         for listener in self.machine_listeners:
             listener(machine)
-        if not commands and not whole and not anew:
+        if not commands and not complete and not anew:
             return
-        said = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
+        changed = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
         self.acknowledged_ahead = {
             name: index for name, index in self.acknowledged_ahead.items() if index > machine.index
         }
-        said |= {
-            name: self.overrides[name] for name in self.acknowledged_ahead
-        }  # not undone by an older one on the way
-        self.overrides = said if whole or anew else {**self.overrides, **said}
+        # Acknowledged commands are not overwritten by an older state that arrives late.
+        changed |= {name: self.overrides[name] for name in self.acknowledged_ahead}
+        self.overrides = changed if complete or anew else {**self.overrides, **changed}
         say(REPLICATION_WORDS, out=self.disabled_providers(), index=self.index)
-        self.on_overrides(said, whole or anew)
+        self.on_overrides(changed, complete or anew)
         if self.folder is not None and not self.save_scheduled:
             self.save_scheduled = True
             self.loop.after(max(0, self.saved_at + MIN_SAVE_INTERVAL - self.loop.now()), self._save)
@@ -251,20 +256,22 @@
             say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
 
     def disabled_providers(self) -> list[str]:
+        """The providers that operators have disabled for all sidecars."""
         return sorted(name for name, command in self.overrides.items() if command.on)
 
     def age(self) -> int | None:
-        """Since what holds here was last known to be all that was promised, ns; None: not known."""
+        """Time since the reported state was last known to be current, ns; None: not known."""
         if self.cached_at is not None:
             return max(0, self.loop.now() - self.cached_at)
         holder = self.voter or self.observer
         return holder.age() if holder is not None else None
 
-    # ---- operators' calls -----------------------------------------------------------------------
+    # ---- operators' commands --------------------------------------------------------------------
 
     def do(self, call: Call) -> Coroutine[str]:
-        """What is said after OK, which is a promise: a majority has it on stable storage. `No` with a typed error's
-        text, within `replication.write_within`."""
+        """Executes an operator's command, and returns the text after OK, which is an acknowledgement: a majority has
+        stored it. Raises `No` with the text of a typed error, within `replication.write_within`.
+        """
         if call.command is Command.FLEET:
             return self.status_line()
         until = self.loop.now() + self.options.write_within
@@ -275,28 +282,29 @@
             if call.command is Command.FLEET_ENABLE:
                 held = yield from self.proposer.read(OverrideQuery(call.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
-                    # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
+                    # Nobody disabled it, so it must not start cold; this sidecar may not have received the override
+                    # yet.
                     if held.value or call.id in self.disabled_providers():
                         self._acknowledge(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
-            act = Say(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
-            result = yield from self.proposer.write(act, max(SECOND // 1000, until - self.loop.now()))
+            operation = SetOverride(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
+            result = yield from self.proposer.write(operation, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
             raise No(result.text)
-        self._acknowledge(call.id, LastCommand(act.at, act.out), result.index)
-        return f"{'disabled' if act.out else 'enabled'}, at index {result.index}"
+        self._acknowledge(call.id, LastCommand(operation.at, operation.out), result.index)
+        return f"{'disabled' if operation.out else 'enabled'}, at index {result.index}"
 
     def _acknowledge(self, name: str, said: LastCommand, index: int) -> None:
-        """What is promised at an index holds here by the time of the answer; the machine's state follows."""
+        """What is acknowledged at an index takes effect here before the answer; the state machine follows."""
         if index > max(self.index, self.acknowledged_ahead.get(name, 0)):
             self.acknowledged_ahead[name] = index
             self.overrides = {**self.overrides, name: said}
             self.on_overrides(self.overrides, False)
 
     def status_line(self) -> str:
-        """How it stands, in one line."""
+        """The status in one line."""
         role, term, leader, followed = "follows", "-", "", ""
         if self.observer is not None:
             leader, followed = self.observer.leader, self.observer.following
--- a/loftweir/replication/reading.py
+++ b/loftweir/replication/reading.py
@@ -1,7 +1,7 @@
-"""What is in a voter's folder at a start: every byte of it is checked, and nothing that was promised may be missing.
+"""Recovers a voter's folder at a start. Every byte is checked, and nothing acknowledged may be missing.
 
-Only the last segment may end in the middle of a record, and only behind the mark: it is the write that the crash met.
-All else that is not as it was written is `StorageDamaged`, and nothing in the folder is changed then.
+Only the last segment may end within a record, and only after the mark: that is a write which a crash interrupted.
+Anything else that is not as it was written is a `StorageDamaged`, and then nothing in the folder is changed.
 """
 
 from __future__ import annotations
@@ -29,27 +29,29 @@
 
 
 class RecoveredFolder(NamedTuple):
-    """What is in a folder, and where to go on."""
+    """The content of a folder, and where to continue."""
 
     log_state: LogState
     kept: PersistentState
-    size: int  # of the last segment
-    torn: int  # bytes cut off
+    size: int  # of the last segment, in bytes
+    torn: int  # bytes that were cut off
 
 
 @contextmanager
 def naming_file(path: Path) -> Iterator[None]:
-    """`Damaged` with its file."""
+    """Adds the file's path to a `Damaged`."""
     try:
         yield
-    except Damaged as damaged:
-        raise StorageDamaged(damaged.why, path, damaged.at) from None
+    except Damaged as error:
+        raise StorageDamaged(error.why, path, error.at) from None
     except FileNotFoundError:
         raise StorageDamaged("it is missing", path, 0) from None
 
 
 def read_folder(folder: Folder, cluster: str) -> RecoveredFolder:
-    """All of it is on stable storage when this returns. `StorageDamaged`; OSError."""
+    """The content of the folder, all of which is on stable storage when this returns. Raises `StorageDamaged` and
+    OSError.
+    """
     with naming_file(folder.path / IDENTITY):
         identity = journal.decode_identity(folder.bytes_of(IDENTITY))
         if identity.cluster != cluster:
@@ -68,13 +70,13 @@
 
 
 def remove_obsolete_files(folder: Folder, log_state: LogState) -> None:
-    """Removes what the log needs no more; call it only once all that `log_state` says is stable."""
+    """Removes the files that the log no longer needs. Everything in `log_state` must be stable."""
     while (spare := log_state.obsolete_segment()) is not None:
         folder.remove(segment_name(spare))
         del log_state.segment_ends[spare]
-    named = snapshot_name(log_state.snapshot_file.number) if log_state.snapshot_file else ""
+    current = snapshot_name(log_state.snapshot_file.number) if log_state.snapshot_file else ""
     for name in folder.member_files():
-        if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != named):
+        if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != current):
             folder.remove(name)
 
 
@@ -87,16 +89,17 @@
 
 
 class _LogReader:
-    """The segments, read one after another."""
+    """Reads one segment after another."""
 
     def __init__(self, folder: Folder, identity: Identity, mark: Mark) -> None:
         self.folder, self.mark = folder, mark
         self.log_state = LogState(identity)
-        self.entries: dict[int, Entry] = {}  # the last that was written under each index
+        self.entries: dict[int, Entry] = {}  # by index, the last one written
         self.size = 0
         self.torn = 0
-        self._mark_found = False  # a record that ends where the mark says
-        self._tails: dict[int, bytes] = {}  # what is whole in each segment from the mark's on; empty: not its head
+        self._mark_found = False  # a record ends where the mark says
+        # By segment from the mark's on: its complete records; empty if not even the header is complete.
+        self._tails: dict[int, bytes] = {}
 
     def read(self) -> None:
         numbers = self.folder.numbers(SEGMENT)
@@ -117,11 +120,11 @@
             self.size = end or self.size
         if not self._mark_found and self.mark.segment >= first:
             raise StorageDamaged("no record ends where the mark says", self.folder.path / MARK, 0)
-        if lacking := self.log_state.missing_entries():
-            raise StorageDamaged(lacking, self.folder.path / segment_name(first), 0)
+        if missing := self.log_state.missing_entries():
+            raise StorageDamaged(missing, self.folder.path / segment_name(first), 0)
 
     def _segment(self, number: int, data: bytes) -> int:
-        """Its length, once all of it has been taken."""
+        """The length of the segment's records, once all of them are applied."""
         mark, end = self.mark, 0
         for end, record in self.log_state.read_segment(number, data):
             if isinstance(record, Entry):
@@ -135,9 +138,10 @@
         return end
 
     def rewrite_tail(self) -> None:
-        """Writes what is behind the mark anew, without what was torn. A process before this one may have had its sync
-        fail: the pages are then in memory, look written, and a further sync of them says nothing (Rebello and others,
-        "Can Applications Recover from fsync Failures?", 2020)."""
+        """Rewrites the segments since the mark, without a torn record. A sync of the previous process may have failed:
+        the pages are then in memory and seem written, and another sync of them proves nothing (Rebello and others, "Can
+        Applications Recover from fsync Failures?", 2020).
+        """
         lengths = {number: len(data) for number, data in self._tails.items()}
         if lengths == {self.mark.segment: self.mark.at} and not self.torn:
             return
--- a/loftweir/replication/remembered.py
+++ b/loftweir/replication/remembered.py
@@ -1,7 +1,7 @@
-"""The words to the fleet as this sidecar last knew them, in a file of `$TMPDIR`: a start holds by them until it hears
-more, so that one that is cut off, or a voter without a majority, does not send to who was taken out.
+"""A cache of the overrides as last known to this sidecar, in a file of `$TMPDIR`. A new process starts with it, so that
+a sidecar that is cut off, or a voter without a majority, sends no requests to disabled providers.
 
-On disk it has the form of `state.sealed`, with JSON as its body. It is no promise, and so not synced.
+The file has the format of `state.sealed`, with JSON as its body. It is not synced, as nothing relies on it.
 """
 
 from __future__ import annotations
@@ -14,39 +14,43 @@
 
 from loftweir.state.sealed import Damaged, opened, sealed
 
-FILE_NAME, FILE_MAGIC, VERSION = "loftweir-fleet", b"loftweir-fleet", 1
-MAX_FILE_SIZE = 4 * 1024 * 1024
+FILE_NAME = "loftweir-fleet"
+FILE_MAGIC = b"loftweir-fleet"
+VERSION = 1
+MAX_FILE_SIZE = 4 * 1024 * 1024  # bytes
 
 
 class OverrideCache(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The content of the file."""
+
     cluster: str
     index: int
-    known_at: int  # Unix time, ns: it was the latest then
-    members: list[str]  # ids of the voters; where all are others, it counts for nothing
-    words: dict[str, tuple[int, bool]]  # by provider: when it was said, and whether it is out
+    known_at: int  # Unix time in ns at which the overrides were current
+    members: list[str]  # ids of the voters; if all of the current ones differ, the cache is ignored
+    words: dict[str, tuple[int, bool]]  # by provider: when the command was given, and whether the provider is disabled
 
 
-def save(folder: Path, what: OverrideCache) -> None:
-    """Raises OSError; the file holds the one before then."""
-    beside = folder / f"{FILE_NAME}.{os.getpid()}"
+def save(folder: Path, cache: OverrideCache) -> None:
+    """Replaces the file; after an OSError the previous one is unchanged."""
+    temporary = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
-        beside.write_bytes(sealed(FILE_MAGIC, VERSION, msgspec.json.encode(what)))
-        os.replace(beside, folder / FILE_NAME)
+        temporary.write_bytes(sealed(FILE_MAGIC, VERSION, msgspec.json.encode(cache)))
+        os.replace(temporary, folder / FILE_NAME)
     except OSError:
         with suppress(OSError):
-            beside.unlink()
+            temporary.unlink()
         raise
 
 
 def load(folder: Path, cluster: str) -> OverrideCache | None:
-    """None: nothing was kept, or of another cluster. Raises OSError and `Damaged`."""
+    """None: there is no file, or it is of another cluster. Raises OSError and `Damaged`."""
     try:
         with open(folder / FILE_NAME, "rb") as file:
             data = file.read(MAX_FILE_SIZE + 1)
     except FileNotFoundError:
         return None
     try:
-        found = msgspec.json.decode(opened(FILE_MAGIC, VERSION, data), type=OverrideCache)
+        cache = msgspec.json.decode(opened(FILE_MAGIC, VERSION, data), type=OverrideCache)
     except msgspec.MsgspecError as error:
-        raise Damaged(f"not in its form: {error}") from None
-    return found if found.cluster == cluster else None
+        raise Damaged(f"malformed: {error}") from None
+    return cache if cache.cluster == cluster else None
--- a/loftweir/replication/wire.py
+++ b/loftweir/replication/wire.py
@@ -1,7 +1,7 @@
-"""Frames on a connection of the copies: 4 bytes length, 4 bytes crc32 of what follows, and that in msgpack. Pure.
+"""Frames on a connection between sidecars: 4 bytes length, 4 bytes crc32 of the body, and the body in msgpack. No I/O.
 
-Nothing but the types here and the messages of `api` is ever decoded. `Hello` comes first from both sides; a foreign
-version or cluster is turned away with a word that says why. All times are nanoseconds; all ages are of the sender's
+Only the types here and the messages of `api` are ever decoded. Each side sends `Hello` first; a connection of another
+version or cluster is rejected with the reason. All times are nanoseconds, and all ages are measured by the sender's
 clock, so that no two clocks are compared.
 """
 
@@ -17,39 +17,38 @@
 from loftweir.errors import LoftweirError
 from loftweir.replication.api import AnyMessage, Member, StrictStruct
 
-VERSION = 1  # of the frames; another one is turned away
+VERSION = 1  # of the frames; connections of another version are rejected
 FRAME_HEADER = struct.Struct(">II")
-MAX_HELLO_SIZE = 4 * 1024  # bytes of the first frame of either side: who has not said who it is gets no room
-MAX_FRAME_SIZE = 2 * 1024 * 1024  # of any other; an entry has half of it at most
+# Bytes of the first frame of either side: a peer that has not identified itself gets no more buffer.
+MAX_HELLO_SIZE = 4 * 1024
+MAX_FRAME_SIZE = 2 * 1024 * 1024  # bytes of any other frame; an entry has half of it at most
 
 
 class BadFrame(LoftweirError):
-    """What came on a connection of the copies is no frame of this version: damaged, too large or of another program."""
+    """The bytes received on a connection are no frame of this version: damaged, too large, or of another program."""
 
-    remedy = (
-        "Look at who connects there (`replication.turned_away`); only sidecars of this version may name the address."
-    )
+    remedy = "Check who connects to this address (`replication.turned_away`); only sidecars of this version may use it."
 
 
 class TurnedAway(LoftweirError):
-    """A sidecar of the copies would not speak with this one."""
+    """A member rejected this sidecar's connection."""
 
     remedy = (
-        "Give all sidecars the same version, `replication.cluster` and `replication.members`; where it is full, raise "
-        "`replication.callers`."
+        "Use the same version, `replication.cluster` and `replication.members` on all sidecars; if the member is full, "
+        "raise `replication.callers`."
     )
 
 
 class ConnectionKind(Enum):
-    """Who connects."""
+    """The role of the side that opens a connection."""
 
-    MEMBER = "member"  # its messages go one way here; answers come over a connection of the other's
-    CALLER = "caller"  # questions and writes, each answered
+    MEMBER = "member"  # sends messages; the responses arrive on the connection that the other member opens
+    CALLER = "caller"  # sends queries and commands, each of which is answered
     FOLLOWER = "follower"
 
 
 class RejectReason(Enum):
-    """Why somebody is turned away."""
+    """Why a connection or a request to join is rejected."""
 
     VERSION = "another version"
     CLUSTER = "another cluster"
@@ -57,12 +56,14 @@
     ANOTHER_ID = "another id is here"
     FULL = "as many as may be are served"
     NOT_LISTED = "not among replication.members"
-    SEAT_HELD = "the member in this seat was heard from just now"
+    SLOT_TAKEN = "the member in this seat was heard from just now"
     LISTS_DIFFER = "replication.members is another there"
     ENDED = "it takes no part any more"
 
 
 class Hello(StrictStruct, frozen=True, tag="hello"):
+    """The first frame of each side of a connection."""
+
     version: int
     cluster: str
     id: str
@@ -71,32 +72,38 @@
 
 
 class ConnectionRejected(StrictStruct, frozen=True, tag="turned"):
+    """The last frame of a connection that is rejected."""
+
     why: RejectReason
-    about: str = ""  # what is there instead
+    about: str = ""  # the value on the rejecting side
 
 
 # ---- founding, joining, leaving -----------------------------------------------------------------
 
 
 class StatusRequest(StrictStruct, frozen=True, tag="who"):
-    """How do you stand? From one whose disk is empty, or who hears from no leader."""
+    """Asks for a member's status. Sent by a member with empty storage, or without a leader."""
 
-    names: tuple[str, ...]  # that the asker has listed
+    names: tuple[str, ...]  # the member names in the sender's configuration
 
 
 class StatusResponse(StrictStruct, frozen=True, tag="am"):
-    empty: bool  # nothing was ever kept, and the lists are the same: the asker may count on this id to begin with
-    agrees: bool  # the lists are the same
-    at: str  # where it listens, by its own list
+    """A member's status."""
+
+    empty: bool  # the storage was never used, and both lists are equal: the cluster may be founded with this id
+    agrees: bool  # both lists of member names are equal
+    at: str  # its own address by its own list
     leader: str  # a name; empty: not known
-    address: str  # of the leader, as the members have it
+    address: str  # of the leader, as in the members
     members: tuple[Member, ...]
-    sure: bool = False  # it leads, and its members are committed: none of them may come back to what was before
+    # it leads and its members are committed, so that none of them can return to an earlier membership
+    sure: bool = False
 
 
 class JoinRequest(StrictStruct, frozen=True, tag="join"):
-    """To the leader, again and again, each time one step on: the old id of the seat out, the new one in as one that
-    gets the log, and as one that votes once it has nearly all of it."""
+    """Asks the leader for the next step of joining, and is sent until the last one is done: the old id of the slot is
+    removed, the new one is added as a learner, and it becomes a voter once it has nearly the whole log.
+    """
 
     id: str
     name: str
@@ -104,15 +111,17 @@
 
 
 class JoinResponse(StrictStruct, frozen=True, tag="joined"):
-    votes: bool  # it is done
-    on: bool  # a step was made, or one is under way
-    why: str = ""  # else
+    """The leader's answer to a `JoinRequest`."""
+
+    votes: bool  # joining is complete
+    on: bool  # a step was made or is pending
+    why: str = ""  # otherwise: the reason
     leader: str = ""
     address: str = ""
 
 
 class RemoveMember(StrictStruct, frozen=True, tag="remove"):
-    """Takes the member in a seat out; answered by an `Outcome`."""
+    """Removes the member in a slot; answered by a `CommandOutcome`."""
 
     token: int
     name: str
@@ -122,38 +131,48 @@
 
 
 class OutcomeCode(Enum):
-    """How a write or read went."""
+    """The result of a write or read request."""
 
     DONE = "done"
-    NOT_LEADER = "not_leader"  # never in the log; `leader` is to be asked
-    BUSY = "busy"  # never in the log; to be tried again
-    UNFIT = "unfit"  # never in the log, nor will it ever be; `result` says why in words
-    LOST = "lost"  # in the log of one that led, and not known to be committed
+    NOT_LEADER = "not_leader"  # never in the log; `leader` should be asked
+    BUSY = "busy"  # never in the log; should be tried again
+    UNFIT = "unfit"  # never in the log, and never will be; `result` has the reason as text
+    LOST = "lost"  # in the log of a former leader, and not known to be committed
 
 
 class SubmitCommand(StrictStruct, frozen=True, tag="submit"):
+    """Submits a command (`machine.Command` as msgpack) for the log; answered by a `CommandOutcome`."""
+
     token: int
     order: bytes
 
 
 class CommandOutcome(StrictStruct, frozen=True, tag="outcome"):
+    """The result of a `SubmitCommand` or `RemoveMember`."""
+
     token: int
     how: OutcomeCode
     index: int = 0
-    result: bytes = b""  # of the machine
+    result: bytes = b""  # of the state machine
     leader: str = ""
     address: str = ""
 
 
 class OverrideQuery(StrictStruct, frozen=True, tag="word-of"):
+    """The override of a provider."""
+
     name: str
 
 
 class LeaseQuery(StrictStruct, frozen=True, tag="lease-of"):
+    """A lease."""
+
     duty: str
 
 
 class FencedValueQuery(StrictStruct, frozen=True, tag="fact-of"):
+    """A fenced value."""
+
     duty: str
     key: str
 
@@ -162,61 +181,71 @@
 
 
 class QueryRequest(StrictStruct, frozen=True, tag="ask"):
+    """A query of the state machine; answered by a `QueryResponse`."""
+
     token: int
     query: Query
 
 
 class QueryResponse(StrictStruct, frozen=True, tag="answer"):
-    """`sure`: it is as of some moment since it was asked. Else it is what is held here, as old as `age` says."""
+    """With `sure` the value is linearizable: current at some moment after the request. Otherwise it is the member's
+    local state, with its `age`.
+    """
 
     token: int
     how: OutcomeCode
     sure: bool = False
     index: int = 0
     age: int | None = None
-    value: bytes = b""  # msgpack: what the machine holds, or nil
+    value: bytes = b""  # msgpack: the value in the state machine, or nil
     leader: str = ""
     address: str = ""
 
 
-# ---- news ---------------------------------------------------------------------------------------
+# ---- observers ----------------------------------------------------------------------------------
 
 
 class FollowRequest(StrictStruct, frozen=True, tag="follow"):
-    """What is committed behind an index? Answered as soon as there is something, else when the wait is over."""
+    """Asks for the committed entries after an index. Answered as soon as there are any, else when the wait
+    has passed.
+    """
 
     after: int
     wait: int
 
 
 class CommittedEntry(StrictStruct, frozen=True, tag="told"):
-    """A committed entry; none but a write has data."""
+    """A committed entry; only writes have data."""
 
     index: int
     data: bytes
 
 
 class FollowResponse(StrictStruct, frozen=True, tag="news"):
-    after: int  # as it was asked
-    index: int  # applied there; below `after`: this one is behind who asks
-    age: int | None  # since it last knew a leader with a majority; None: never
-    leads: bool  # a majority has just said that it leads: nothing that was promised is behind its index
+    """The committed entries that an observer asked for."""
+
+    after: int  # as in the request
+    index: int  # the last index included here; below `after`: this member is behind the observer
+    age: int | None  # since it last knew of a leader with a majority; None: never
+    leads: bool  # a majority has just confirmed that it leads: nothing acknowledged is after its index
     leader: str  # a name
     members: tuple[str, ...]  # ids
     entries: tuple[
         CommittedEntry, ...
-    ]  # from behind `after` without gap; empty where only the whole helps, or none is there
-    whole: bool  # only the whole helps
+    ]  # after `after` without gaps; empty if a snapshot is needed, or if there are none
+    whole: bool  # a snapshot is needed
 
 
 class FetchSnapshot(StrictStruct, frozen=True, tag="fetch"):
-    """A piece of the machine as a whole, as of an index; another index than is held there: from its beginning."""
+    """Asks for a chunk of the snapshot with this index. If the member has another one, it starts at its beginning."""
 
     index: int
     at: int
 
 
 class SnapshotChunk(StrictStruct, frozen=True, tag="whole"):
+    """A chunk of the latest snapshot."""
+
     index: int
     at: int
     data: bytes
@@ -250,15 +279,17 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
+    """A frame with its header."""
     body = _encoder.encode(frame)
     return FRAME_HEADER.pack(len(body), crc32(body)) + body
 
 
 class FrameReader:
-    """Frames out of bytes as they come.
+    """Decodes frames from a byte stream.
 
-    Invariant: `data` from `at` on is what has come and is in no frame yet; it holds less than one largest frame and
-    one read more, as each read is followed by taking out all frames."""
+    Invariant: `data` from `at` on are the bytes received that belong to no returned frame. They are less than one
+    largest frame plus one read, as all frames are taken after each read.
+    """
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -267,7 +298,7 @@
 
     @property
     def more(self) -> bool:
-        """Whether there are bytes that are in no frame yet."""
+        """Whether there are bytes that belong to no returned frame."""
         return len(self.data) > self.at
 
     def feed(self, data: bytes) -> None:
@@ -276,23 +307,22 @@
         self.data += data
 
     def next(self) -> Frame | None:
-        """The next whole frame; None where more bytes are needed. Raises `BadFrame`, and then nothing more can be
-        read."""
+        """The next complete frame; None if more bytes are needed. After a `BadFrame` nothing more can be decoded."""
         begins = self.at + FRAME_HEADER.size
         if len(self.data) < begins:
             return None
         size, checksum = FRAME_HEADER.unpack_from(self.data, self.at)
         most = MAX_HELLO_SIZE if self.first else MAX_FRAME_SIZE
         if size > most:
-            raise BadFrame(f"a frame of {size} bytes, where {most} are the most")
+            raise BadFrame(f"a frame of {size} bytes; the limit is {most}")
         if len(self.data) < begins + size:
             return None
         body = bytes(memoryview(self.data)[begins : begins + size])
         if crc32(body) != checksum:
-            raise BadFrame("a frame whose checksum is another")
+            raise BadFrame("a frame with a wrong checksum")
         try:
             frame: Frame = _decoder.decode(body)
-        except (ValueError, RecursionError) as error:  # msgspec's errors are kinds of the first
+        except (ValueError, RecursionError) as error:  # msgspec's errors are subclasses of ValueError
             raise BadFrame(f"not a frame: {error}") from None
         self.at = begins + size
         self.first = False
@@ -304,7 +334,7 @@
 
 
 def hello_rejection(hello: Hello, cluster: str) -> ConnectionRejected | None:
-    """What is said to one that must not speak here; None: it may."""
+    """The rejection for a connection with this `Hello`; None: it is accepted."""
     if hello.version != VERSION:
         return ConnectionRejected(RejectReason.VERSION, str(VERSION))
     if hello.cluster != cluster:
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -125,7 +125,7 @@
     voter.found(members)
     place.line(place.hello("id-n1", "n1")).put(ask_vote(voter, "id-n1"))
     place.rest()
-    assert voter.core.role is Role.OUT and voter.core.term == 0 and not voter.status(tuple(voter.seats)).empty
+    assert voter.core.role is Role.OUT and voter.core.term == 0 and not voter.status(tuple(voter.slots)).empty
     gate.set()
     assert until(place.loop, lambda: voter.core.members == members)
 
@@ -145,7 +145,7 @@
     voter = place.vote()
     am = None
     for id in ("id-n1", "id-n1-anew"):  # the disk of n1 was lost in between
-        am = place.ask(place.line(place.hello(id, "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats)))
+        am = place.ask(place.line(place.hello(id, "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.slots)))
     assert am == StatusResponse(True, True, place.address, "", "", ())
     assert not place.ask(place.line(place.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(("n0", "n2"))).agrees
     place.line(place.hello("id-n1", "n1")).put(ask_vote(voter, "id-n1", 3))
@@ -154,7 +154,7 @@
     place.line(place.hello("id-n1-anew", "n1")).put(ask_vote(voter, "id-n1-anew", 4))
     assert until(place.loop, lambda: voter.core.term == 4)
     assert not place.ask(
-        place.line(place.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats))
+        place.line(place.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(tuple(voter.slots))
     ).empty
 
 
@@ -172,7 +172,7 @@
     with pytest.raises(wire.TurnedAway, match="as many as may be"):
         place.line(place.hello("f", "f", ConnectionKind.CALLER))
     assert place.ask(
-        place.line(place.hello("id-n1", "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.seats))
+        place.line(place.hello("id-n1", "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.slots))
     ).agrees
     answer = place.ask(lines[0], QueryRequest(1, OverrideQuery("s0")))
     assert (answer.sure, answer.index, answer.age, answer.value) == (False, 0, None, b"\xc0")
@@ -226,7 +226,7 @@
         place.part = ReplicationAgent(place.loop, "n0", place.part.options, lambda words, whole: None)
         voter = place.vote()
         place.rest(600 * MS)
-        assert voter.me != begun.me and not voter.has_state and not voter.status(tuple(voter.seats)).empty
+        assert voter.me != begun.me and not voter.has_state and not voter.status(tuple(voter.slots)).empty
         place.part.close()
 
 
@@ -319,7 +319,7 @@
     line.sock.setblocking(True)
     line.sock.sendall(wire.encode_frame(wire.FollowRequest(0, 0)) * 500)
     place.rest(400 * MS)
-    (served,) = place.part.reception.clients
+    (served,) = place.part.listener.clients
     assert 1 < len(asked) < 100 and served.unsent_bytes <= wire.MAX_FRAME_SIZE // 4 and not served.closed
     line.sock.setblocking(False)
     for _ in range(500):
@@ -343,7 +343,7 @@
         stranger = place.line(place.hello(f"stranger-{n}", f"s{n}"))
         stranger.put(ask_vote(voter, f"stranger-{n}", 10 + n))
         assert until(place.loop, lambda n=n: voter.core.term == 10 + n)
-    assert len(part.reception.member_connections) <= 10 and len(voter.connected_names) <= 10 and len(voter.links) <= 32
+    assert len(part.listener.member_connections) <= 10 and len(voter.connected_names) <= 10 and len(voter.links) <= 32
     newest.put(ask_vote(voter, "id-3", 60))
     assert until(place.loop, lambda: voter.core.term == 60)
     again = place.line(place.hello("id-3", "n1"))
@@ -487,7 +487,7 @@
     line, snapshot = [], voter.core.snapshot
     line_ = type("Line", (), {"put": lambda self, frame: line.append(frame)})()
     for frame in (wire.FetchSnapshot(snapshot.index, 100), wire.FetchSnapshot(snapshot.index - 1, 100)):
-        leader.reception._on_fetch_snapshot(line_, frame)
+        leader.listener._on_fetch_snapshot(line_, frame)
     assert [(piece.index, piece.at) for piece in line] == [(snapshot.index, 100), (snapshot.index, 0)]
 
 
@@ -529,7 +529,7 @@
     lines = []
     for name in ("f0", "f1"):
         hello = Hello(wire.VERSION, "loftweir", f"id-{name}", name, ConnectionKind.CALLER)
-        lines.append(run(trio.loop, dial(trio.loop, leader.seats[leader.name], hello, trio.loop.now() + SECOND))[0])
+        lines.append(run(trio.loop, dial(trio.loop, leader.slots[leader.name], hello, trio.loop.now() + SECOND))[0])
     monkeypatch.setattr(os, "fdatasync", lambda fd: (gate.wait(10), sync(fd))[1])
     before = len(leader.voter.callbacks)
     for number in range(1, 31):
@@ -538,7 +538,7 @@
     run_for(trio.loop, 200 * MS)
     assert before < len(leader.voter.callbacks) <= before + 2
     lines[1].close()
-    others = leader.reception.clients
+    others = leader.listener.clients
     assert until(trio.loop, lambda: all(hello.name != "f1" for hello in others.values()))
     gate.set()
     answers = [run(trio.loop, lines[0].next(trio.loop.now() + 5 * SECOND)) for _ in range(30)]
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -441,9 +441,9 @@
         (lambda news: msgspec.structs.replace(news, entries=news.entries[1:]), "entry 2 after 0"),
         (lambda news: msgspec.structs.replace(news, entries=news.entries[:1] * 2), "entry 1 after 1"),
         (lambda news: msgspec.structs.replace(news, entries=news.entries[:1]), "end at 1"),
-        (lambda news: msgspec.structs.replace(news, after=5), "from behind 5"),
-        (lambda news: FollowRequest(0, 0), "not news"),
-        (lambda news: None, "silent"),
+        (lambda news: msgspec.structs.replace(news, after=5), "entries after 5"),
+        (lambda news: FollowRequest(0, 0), "not a FollowResponse"),
+        (lambda news: None, "no response in time"),
     ],
 )
 def test_news_with_a_gap_or_a_repeat_or_none_are_not_taken_and_another_voter_is_asked(voters, wrong, why, capfd):
@@ -484,10 +484,10 @@
 @pytest.mark.parametrize(
     ("wrong", "why"),
     [
-        (lambda whole: msgspec.structs.replace(whole, at=whole.at + 10), "a piece from byte 10"),
-        (lambda whole: msgspec.structs.replace(whole, data=b""), "a piece from byte 0"),
-        (lambda whole: msgspec.structs.replace(whole, index=whole.index + 1), "the whole is of index 2"),
-        (lambda whole: whole, "the whole is of index 2, behind 5"),
+        (lambda whole: msgspec.structs.replace(whole, at=whole.at + 10), "a chunk from byte 10"),
+        (lambda whole: msgspec.structs.replace(whole, data=b""), "a chunk from byte 0"),
+        (lambda whole: msgspec.structs.replace(whole, index=whole.index + 1), "the snapshot is of index 2"),
+        (lambda whole: whole, "the snapshot is of index 2, behind 5"),
     ],
 )
 def test_a_whole_that_does_not_fit_together_or_is_behind_is_not_taken(voters, wrong, why, monkeypatch):
@@ -552,7 +552,7 @@
         link.put(TimeoutNow(sender="a", to="id", term=n))
     assert len(link.queue) == 8 and link.queue[-1].term == 99
     kept = []
-    link.line = type("Line", (), {"put": lambda self, message, may_drop: kept.append(may_drop)})()
+    link.connection = type("Connection", (), {"put": lambda self, message, may_drop: kept.append(may_drop)})()
     link.put(TimeoutNow(sender="a", to="id", term=1))
     link.put(AppendEntries(sender="a", to="id", term=1, prev_index=0, prev_term=0, entries=(), commit=0, round=1))
     assert kept == [False, True], "a vote or an answer is never dropped for entries"
