--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -26,7 +26,7 @@
 from loftweir.catalog.contract import ONCE, from_classes
 from loftweir.catalog.names import BadName, global_name, mesh_name, short_name, split_name
 from loftweir.config.faults import MISSING, Fault, Faulty
-from loftweir.config.operator import LARGEST, nearest, read_table
+from loftweir.config.operator import MAX_FILE_BYTES, read_table, suggest_key
 from loftweir.interface import Endpoint, RequestClass
 
 MAX_SERVICES = 10_000
@@ -56,8 +56,8 @@
     def to_service(
         self, known: Mapping[str, Endpoint], addresses: Mapping[str, str], classes: Iterable[RequestClass]
     ) -> OwnService:
-        # Contracts have class names in lower case, like the partners' tables.
         """The service with those of the known providers that serve it."""
+        # Contracts have class names in lower case, like the partners' tables.
         contract = {
             name.lower(): ONCE if name.lower() in self.once else one
             for name, one in from_classes(classes).items()
@@ -93,7 +93,7 @@
 
     for key in data:
         if key not in KEYS:
-            fault(key, data[key], nearest(str(key), KEYS))
+            fault(key, data[key], suggest_key(str(key), KEYS))
     mesh = read_name(mesh_name, data.get("mesh", site), "mesh")
     meshes: dict[str, str] = {}
     for name, value in _read_table(data, "meshes", fault).items():
@@ -103,7 +103,7 @@
     for name, value in _read_table(data, "pins", fault).items():
         short, pin = read_name(short_name, name, f"pins.{name}"), read_name(global_name, value, f"pins.{name}")
         if short and pin and split_name(pin)[0] != short:
-            fault(f"pins.{name}", value, f"a service of that name, as {short}@{mesh}")
+            fault(f"pins.{name}", value, f"a service of that name, such as {short}@{mesh}")
         pins[short] = pin
     services: dict[str, OwnServiceConfig] = {}
     rows = data.get("services", [])
@@ -117,7 +117,7 @@
             continue
         for key in row:
             if key not in SERVICE_KEYS:
-                fault(f"{place}.{key}", row[key], nearest(str(key), SERVICE_KEYS))
+                fault(f"{place}.{key}", row[key], suggest_key(str(key), SERVICE_KEYS))
         name = row.get("name", MISSING)
         if isinstance(name, str) and "@" not in name:
             name = f"{name}@{mesh}"
@@ -145,11 +145,11 @@
 def _read_json(path: str, faults: list[Fault]) -> dict[str, Any]:
     try:
         with open(path, "rb") as opened:
-            data = opened.read(LARGEST + 1)
-        found = ujson.loads(data.decode("utf-8")) if len(data) <= LARGEST else None
+            data = opened.read(MAX_FILE_BYTES + 1)
+        found = ujson.loads(data.decode("utf-8")) if len(data) <= MAX_FILE_BYTES else None
         if isinstance(found, dict):
             return found
-        faults.append(Fault(path, "", len(data), f"an object, in at most {LARGEST} bytes"))
+        faults.append(Fault(path, "", len(data), f"an object, in at most {MAX_FILE_BYTES} bytes"))
     except OSError as error:
         faults.append(Fault(path, "", error.strerror or str(error), "a file that can be read"))
     except (ValueError, RecursionError) as error:
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -41,7 +41,7 @@
 from loftweir.partners.merge import MergeResult
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 STATUS_CODES = {
     UnknownReason.NAME: 404,
@@ -149,7 +149,7 @@
         self.merged: MergeResult | None = None
         self.claims: Mapping[str, Any] = {}
         self.claims_read: tuple[Claims | None, int] = (None, 0)
-        self.duties: Mapping[str, LeasedTask] = {}  # by partner; the holder of a partner's lease claims its names
+        self.leased_tasks: Mapping[str, LeasedTask] = {}  # by partner; the holder of a partner's lease claims its names
         # by global name: the partner that offers it, and what was observed
         self.observed: dict[str, tuple[str, ObservedService]] = {}
         self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
@@ -311,16 +311,16 @@
             self._observe(self.merged, self.merged.used.keys())
         for event in self.catalog.collisions.values():
             if before.collisions.get(event.short) != event:
-                say(CATALOG_COLLISION, text=event.text)
+                emit(CATALOG_COLLISION, text=event.text)
         for key, balancer in list(self.service_balancers.items()):
             balancer.host.use(self._settings_for(balancer.service))
             self._update_balancer(key, balancer)
 
     def _apply_changes(self, changed: CatalogChanges) -> None:
         for short, (before, after) in changed.moved.items():
-            say(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
+            emit(CATALOG_MOVED, name=short, before=before or "-", now=after or "-")
         for event in changed.events:
-            say(CATALOG_COLLISION, text=event.text)
+            emit(CATALOG_COLLISION, text=event.text)
         for key in changed.keys | changed.ended:
             balancer = self.service_balancers.get(key)
             if balancer is not None:
@@ -396,10 +396,10 @@
         """Submits the commands for claims, for the partners whose lease this sidecar has."""
         while True:
             yield Wait(None, 0, self.loop.now() + CLAIM_INTERVAL)
-            for partner, duty in list(self.duties.items()) if self.unsettled else ():
+            for partner, leased_task in list(self.leased_tasks.items()) if self.unsettled else ():
                 now = self.loop.now()
                 self.unsettled = {name for name in self.unsettled if not self._is_settled(name)}
-                if duty.valid_token() is None:
+                if leased_task.valid_token() is None:
                     continue
                 observed = {
                     name: self.observed[name][1]
@@ -408,17 +408,17 @@
                 }
                 for command in pending_commands(self.claims, observed, now, DAMPING):
                     try:
-                        result = yield from duty.claim(encode(command), CLAIM_TIMEOUT)
+                        result = yield from leased_task.claim(encode(command), CLAIM_TIMEOUT)
                     except LoftweirError:  # no lease or no majority: the next holder, or the next look, continues
                         break
                     if isinstance(result, Ok):
                         self.rejected_until.pop(command.name, None)
                         if not isinstance(command, PutClaim):
                             self.observed.pop(command.name, None)
-                        say(CATALOG_CLAIMED, name=command.name, index=result.value, why="")
+                        emit(CATALOG_CLAIMED, name=command.name, index=result.value, why="")
                     else:
                         self.rejected_until[command.name] = self.loop.now() + REJECTED_CLAIM_DELAY
-                        say(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
+                        emit(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
 
     def _is_settled(self, name: str) -> bool:
         """Whether the replicated claim of a name matches what was observed."""
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -17,7 +17,7 @@
 
 import h11
 
-from loftweir.config.model import THROUGH_COPIES
+from loftweir.config.model import REPLICATION_MARGIN
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
 from loftweir.http1.strict import Strict
@@ -40,13 +40,13 @@
 from loftweir.replication.machine import FencedValue
 from loftweir.replication.part import ReplicationAgent
 from loftweir.telemetry.catalogue import (
-    PARTNERS_ASKED,
-    PARTNERS_FAILED,
+    PARTNERS_ASKED_HERE,
+    PARTNERS_CALL_FAILED,
     PARTNERS_LET_GO,
-    PARTNERS_REFUSED,
-    PARTNERS_STATE,
+    PARTNERS_SESSION,
+    PARTNERS_TABLE_REFUSED,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 PATH = "/routes"
 CONNECT_TIMEOUT = SECOND
@@ -75,9 +75,9 @@
     return Limits(bytes=options.table_size, routes=options.routes)
 
 
-def stored_keys(facts: dict[tuple[str, str], FencedValue], duty: str) -> list[str]:
+def stored_keys(fenced_values: dict[tuple[str, str], FencedValue], lease_name: str) -> list[str]:
     """The keys that exist under a lease."""
-    return [key for lease, key in facts if lease == duty]
+    return [key for lease, key in fenced_values if lease == lease_name]
 
 
 class PartnerClient:
@@ -102,9 +102,9 @@
         self.fleet = fleet
         self.reader = reader  # the replicated table, as read here
         # The session's hold time ends a little earlier than for the sidecars that read the replicated state.
-        self.timing, self.limits = timing(options, options.hold - THROUGH_COPIES), limits(options)
+        self.timing, self.limits = timing(options, options.hold - REPLICATION_MARGIN), limits(options)
         self.chunker = Chunker()
-        self.duty: LeasedTask | None = None
+        self.leased_task: LeasedTask | None = None
         self.writer: TableWriter | None = None
         self.session: Session | None = None
         self.task: Task | None = None
@@ -113,21 +113,21 @@
         self.address_index = 0  # index of the next address
         self.target_key: tuple[Any, ...] = ()  # of the last target table
 
-    def attach(self, duty: LeasedTask) -> None:
+    def attach(self, leased_task: LeasedTask) -> None:
         """Sets the lease under which the table is written."""
-        self.duty = duty
-        self.writer = TableWriter(self.loop, duty, note_interval=min(NOTE_INTERVAL, self.options.hold // 4))
+        self.leased_task = leased_task
+        self.writer = TableWriter(self.loop, leased_task, note_interval=min(NOTE_INTERVAL, self.options.hold // 4))
 
     # ---- lease -----------------------------------------------------------------------------------
 
     def begin(self, token: int) -> None:
         """Starts the session. `token`: the fencing token of the lease."""
-        say(PARTNERS_ASKED, partner=self.neighbour.name, token=token)
+        emit(PARTNERS_ASKED_HERE, partner=self.neighbour.name, token=token)
         self.task = self.loop.spawn(self._run(token), self._crashed)
 
     def end(self) -> None:
         """Ends the session, as the lease ended."""
-        say(PARTNERS_LET_GO, partner=self.neighbour.name)
+        emit(PARTNERS_LET_GO, partner=self.neighbour.name)
         self.close()
 
     def close(self) -> None:
@@ -145,9 +145,9 @@
         self.loop.after(0, self._release_for_now)
 
     def _release_for_now(self) -> None:
-        if self.duty is not None:
-            self.duty.set_wanted(False)
-            self.loop.after(5 * SECOND, self.duty.set_wanted, True)
+        if self.leased_task is not None:
+            self.leased_task.set_wanted(False)
+            self.loop.after(5 * SECOND, self.leased_task.set_wanted, True)
 
     def _run(self, token: int) -> Coroutine[None]:
         """Runs the session. All writes under earlier tokens are known here once the grant is, and none can follow."""
@@ -155,9 +155,9 @@
             yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         writer, reader, now = self.writer, self.reader, self.loop.now()
         assert writer is not None
-        facts = self.fleet.machine.fenced_values
-        stored = facts.get((reader.duty, HEAD))
-        writer.begin(stored_keys(facts, reader.duty), stored.value if stored else None)
+        fenced_values = self.fleet.machine.fenced_values
+        stored = fenced_values.get((reader.lease_name, HEAD))
+        writer.begin(stored_keys(fenced_values, reader.lease_name), stored.value if stored else None)
         instance = secrets.token_hex(8)
         session = Session(self.neighbour.name, instance, Random(instance).random, self.timing, self.limits)
         self.session, self.target_key = session, ()
@@ -183,12 +183,12 @@
                 self.request_task = self.loop.spawn(self._request(session, action), self._request_crashed)
             elif isinstance(action, SessionChanged):
                 if action.before is not session.state:
-                    say(PARTNERS_STATE, partner=name, state=session.state.value, before=action.before.value)
+                    emit(PARTNERS_SESSION, partner=name, state=session.state.value, before=action.before.value)
             elif isinstance(action, ResponseRejected):
-                say(PARTNERS_REFUSED, partner=name, address=self._address(), why=action.error)
+                emit(PARTNERS_TABLE_REFUSED, partner=name, address=self._address(), why=action.error)
                 self._next_address()
             else:
-                say(PARTNERS_FAILED, partner=name, address=self._address(), why=action.why)
+                emit(PARTNERS_CALL_FAILED, partner=name, address=self._address(), why=action.why)
                 self._next_address()
         self._store(session)
         if self.task is not None:
@@ -239,7 +239,7 @@
             self._perform(self.session.on_failure(self.loop.now(), self.session.pending_request.number, repr(error)))
 
     def _request(self, session: Session, request: SendRequest) -> Coroutine[None]:
-        if self.duty is None or self.duty.valid_token() is None:
+        if self.leased_task is None or self.leased_task.valid_token() is None:
             return  # the lease ended, and `end` follows
         try:
             data = yield from self._fetch(request)
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -31,7 +31,7 @@
     SnapshotChunk,
 )
 from loftweir.telemetry.catalogue import REPLICATION_FOLLOWS, REPLICATION_LOST
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 # Time after the end of a poll's wait at which the request is given up.
 RESPONSE_GRACE = SECOND
@@ -131,7 +131,7 @@
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
             self.following = ""
-            say(REPLICATION_LOST, member=self.member, why=why)
+            emit(REPLICATION_LOST, member=self.member, why=why)
             next_voter += 1
             if self.loop.now() - begun_at > self.options.follow_wait + RESPONSE_GRACE:
                 failed, delay = 0, MIN_ROUND_DELAY  # this voter worked for a while
@@ -157,7 +157,7 @@
             yield from self._apply_response(connection, response, after)
             if first:
                 self.following = self.member
-                say(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=response.index - after)
+                emit(REPLICATION_FOLLOWS, member=self.member, index=self.machine.index, behind=response.index - after)
             first = False
 
     def _read_frame(self, connection: FrameConnection, within: int) -> Coroutine[Frame]:
@@ -168,7 +168,7 @@
         if response.after != after:
             raise Gap(f"entries after {response.after}, where those after {after} were requested", self.member)
         if self.members and members and not self.members & members:
-            say(REPLICATION_LOST, member=self.member, why=OtherCopies("all members differ", self.member))
+            emit(REPLICATION_LOST, member=self.member, why=OtherCopies("all members differ", self.member))
             yield from self._fetch_snapshot(connection, anew=True)
             return
         if response.index < after:
@@ -177,7 +177,7 @@
             error = OtherCopies(
                 f"its leader is at index {response.index}, and {after} was received before", self.member
             )
-            say(REPLICATION_LOST, member=self.member, why=error)
+            emit(REPLICATION_LOST, member=self.member, why=error)
             yield from self._fetch_snapshot(connection, anew=True)
             return
         if response.whole:
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -22,8 +22,13 @@
     StatusResponse,
     TurnedAway,
 )
-from loftweir.telemetry.catalogue import REPLICATION_BEGUN, REPLICATION_JOINED, REPLICATION_TURNED, REPLICATION_WAITS
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import (
+    REPLICATION_BEGUN,
+    REPLICATION_JOINED,
+    REPLICATION_TURNED_AWAY,
+    REPLICATION_WAITS,
+)
+from loftweir.telemetry.log import emit
 
 STATUS_INTERVAL = 200 * MS  # while it is not a member; up to 1.5 times as long at random
 STEP_INTERVAL = 30 * MS  # between two steps of joining
@@ -87,7 +92,7 @@
             return False
         if self.joining:
             self.joining = False
-            say(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
+            emit(REPLICATION_JOINED, id=voter.me, leader=voter.leader()[0])
         self.is_confirmed_voter = self.is_confirmed_voter or age is not None
         leaderless_time = age if age is not None else self.loop.now() - self.begun_at
         return leaderless_time < LEADERLESS_ELECTIONS * voter.options.election
@@ -101,7 +106,7 @@
         if not voter.has_state and not voter.state_may_be_lost:
             members = tuple(founding_members(self.own, min(voter.slots), voter.slots, answers))
             if members:
-                say(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
+                emit(REPLICATION_BEGUN, id=voter.me, members=[m.name for m in members])
                 voter.found(members)
                 return True
         lacking_this = [
@@ -122,10 +127,10 @@
                 if joined.on:
                     self.joining = True
                     return True
-                say(REPLICATION_WAITS, why=f"{name}: {joined.why}")
+                emit(REPLICATION_WAITS, why=f"{name}: {joined.why}")
         if not leaders and self.loop.now() > self.begun_at + WAIT_LOG_DELAY:
             why = waiting_reason(voter.name, min(voter.slots), voter.slots, answers)
-            say(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.state_may_be_lost else why)
+            emit(REPLICATION_WAITS, why=SET_ASIDE_WAIT if voter.state_may_be_lost else why)
         return False
 
     def _join(self) -> JoinRequest:
@@ -165,13 +170,13 @@
         try:
             connection, peer = yield from dial(self.loop, address, self.hello, until)
         except TurnedAway as error:
-            say(REPLICATION_TURNED, name=name, why=error)
+            emit(REPLICATION_TURNED_AWAY, name=name, why=error)
             return None
         except NotUp:
             return None
         try:
             if peer.name != name:
-                say(REPLICATION_TURNED, name=name, why=f"{peer.name} is at {address}")
+                emit(REPLICATION_TURNED_AWAY, name=name, why=f"{peer.name} is at {address}")
                 return None
             connection.put(frame)
             answer = yield from connection.next(until)
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from loftweir.replication.api import Entry, HardState, PersistBatch, Snapshot, StrictStruct
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 VERSION = 1
 FIRST_LINE = b"loftweir-log %d\n" % VERSION
@@ -302,7 +302,7 @@
 
 
 def encode_identity(identity: Identity) -> bytes:
-    return sealed(IDENTITY, VERSION, ENCODER.encode(identity))
+    return seal(IDENTITY, VERSION, ENCODER.encode(identity))
 
 
 def decode_identity(data: bytes) -> Identity:
@@ -311,7 +311,7 @@
 
 
 def encode_snapshot(content: SnapshotContent) -> tuple[bytes, SnapshotFile]:
-    data = sealed(SNAPSHOT, VERSION, ENCODER.encode(content))
+    data = seal(SNAPSHOT, VERSION, ENCODER.encode(content))
     snapshot = content.snapshot
     return data, SnapshotFile(content.number, snapshot.index, snapshot.term, len(data), crc32(data))
 
@@ -331,12 +331,12 @@
 def encode_mark(mark: Mark, identity: Identity) -> bytes:
     """The mark, always of the same length, as it is written over the previous one."""
     body = b"%020d %020d %020d %08x %s" % (mark.segment, mark.at, mark.index, mark.crc, identity.member.encode())
-    return sealed(MARK, VERSION, body)
+    return seal(MARK, VERSION, body)
 
 
 def decode_mark(data: bytes, identity: Identity) -> Mark:
     """Raises `Damaged` if it is none of this member's."""
-    words = opened(MARK, VERSION, data).split(b" ")
+    words = unseal(MARK, VERSION, data).split(b" ")
     try:
         mark = Mark(int(words[0]), int(words[1]), int(words[2]), int(words[3], 16))
     except (ValueError, IndexError) as error:
@@ -347,8 +347,8 @@
 
 
 def _decode_sealed(name: bytes, data: bytes, kind: type[Decoded]) -> Decoded:
-    body = opened(name, VERSION, data)
-    if data != sealed(name, VERSION, body):  # the last newline may be missing
+    body = unseal(name, VERSION, data)
+    if data != seal(name, VERSION, body):  # the last newline may be missing
         raise Damaged("cut short: its end is missing", len(data))
     try:
         return msgspec.msgpack.decode(body, type=kind)
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -55,8 +55,8 @@
     OutcomeCode,
     StatusResponse,
 )
-from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED_AWAY
+from loftweir.telemetry.log import emit, traceback_location
 
 FOUNDING_BATCH = 0  # the batch that founds a cluster; the core numbers its own from 1
 
@@ -156,7 +156,7 @@
                     self._reject(self.pending.popleft())
         except Exception as error:  # a bug: the caller must not fail for it, but this member has to stop
             self.stepping = False
-            self.end(MemberBroken(repr(error), where(error)))
+            self.end(MemberBroken(repr(error), traceback_location(error)))
         self.stepping = False
         self.step_results.clear()
         self.leader_known_at = max(
@@ -220,7 +220,7 @@
         self.process(report)
 
     def _crashed(self, error: Exception) -> None:
-        self.end(MemberBroken(repr(error), where(error)))
+        self.end(MemberBroken(repr(error), traceback_location(error)))
 
     def end(self, why: LoftweirError) -> None:
         """Stops this member; the sidecar continues to serve. `ended` is called in a separate loop turn, as its owner
@@ -312,7 +312,7 @@
             self.lease_expirer.lost_leadership()
         elif self.leadership[0] != action.term:
             self.leadership = action.term, self.loop.now()
-        say(
+        emit(
             REPLICATION_ROLE,
             role=action.role.value,
             term=action.term,
@@ -329,7 +329,7 @@
         self.pending.append(CompactLog(self.machine.index, self.machine.dump()))
 
     def _on_connection_rejected(self, id: str, why: str) -> None:
-        say(REPLICATION_TURNED, name=self.name_of(id) or id, why=why)
+        emit(REPLICATION_TURNED_AWAY, name=self.name_of(id) or id, why=why)
 
     # ---- requests -------------------------------------------------------------------------------
 
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 from loftweir.config.model import Replication
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.operations.calls import Call, Command, No
-from loftweir.operations.record import LastCommand
+from loftweir.operations.calls import No, OperatorCommand, Verb
+from loftweir.operations.record import Override
 from loftweir.replication import reception, remembered
 from loftweir.replication.api import Role
 from loftweir.replication.caller import Proposer
@@ -33,12 +33,12 @@
 from loftweir.telemetry.catalogue import (
     REPLICATION_DAMAGED,
     REPLICATION_ENDED,
-    REPLICATION_FORGOT,
+    REPLICATION_NOT_REMEMBERED,
     REPLICATION_OPENED,
     REPLICATION_WAITS,
     REPLICATION_WORDS,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 VOTE_RETRY_INTERVAL = 300 * MS  # for the folder and the address, which the previous process may still hold
 MIN_SAVE_INTERVAL = 100 * MS  # between two writes of the override cache, from which the next process starts
@@ -49,7 +49,7 @@
 def descriptor_count(name: str, options: Replication) -> int:
     """The number of the sidecar's descriptors that the replication may use."""
     return OBSERVER_DESCRIPTORS + (
-        options.callers + reception.BASE_DESCRIPTORS if name in seats(options.members) else 0
+        options.callers + reception.BASE_DESCRIPTORS if name in parse_members(options.members) else 0
     )
 
 
@@ -66,20 +66,20 @@
         loop: Loop,
         name: str,
         options: Replication,
-        on_overrides: Callable[[Mapping[str, LastCommand], bool], None],
+        on_overrides: Callable[[Mapping[str, Override], bool], None],
     ) -> None:
         self.loop = loop
         self.name = name
         self.options = options
         self.on_overrides = on_overrides
-        self.slots = seats(options.members)
+        self.slots = parse_members(options.members)
         self.id = secrets.token_hex(8)  # of this process while it does not vote
         self.folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
         self.index = 0  # of the state that was last reported
         # Unix time in ns at which the cached overrides were current; None: the state is newer than the cache.
         self.cached_at: int | None = None
         self.members: frozenset[str] = frozenset()  # ids of the voters of the last state
-        self.overrides: dict[str, LastCommand] = {}
+        self.overrides: dict[str, Override] = {}
         self.machine: Machine | None = None  # the last state; None: there was none yet
         self.machine_listeners: list[Callable[[Machine], None]] = []  # called after each change of the state
         # Acknowledged commands that `machine` does not include yet: by provider, the log index.
@@ -102,11 +102,11 @@
         try:
             found = remembered.load(self.folder, self.options.cluster)
         except (OSError, Damaged) as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
             return
         if found is not None:
             self.index, self.cached_at, self.members = found.index, found.known_at, frozenset(found.members)
-            self.overrides = {name: LastCommand(*command) for name, command in found.words.items()}
+            self.overrides = {name: Override(*command) for name, command in found.words.items()}
             self.on_overrides(self.overrides, True)
 
     def start(self) -> None:
@@ -132,14 +132,14 @@
         try:
             sock = reception.bind_listener(address)
         except OSError as error:
-            say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
+            emit(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
             self._start_observing()
             return False
         try:  # after the address, as reading the disk blocks the event loop
             disk, kept, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
-            say(REPLICATION_WAITS, why=error)
+            emit(REPLICATION_WAITS, why=error)
             self._start_observing()
             return False
         except StorageFailed as error:
@@ -148,9 +148,9 @@
             return True
         index = kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot else 0
         folder = options.folder
-        say(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
+        emit(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
-            say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
+            emit(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
         voter = Voter(self.loop, self.name, options, self.slots, (disk, kept), self._applied, self._on_voter_ended)
         listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
@@ -167,7 +167,7 @@
 
     def _on_voter_ended(self, why: LoftweirError) -> None:
         """The voter has stopped; the sidecar goes on as an observer."""
-        say(REPLICATION_ENDED, why=why, remedy=why.remedy)
+        emit(REPLICATION_ENDED, why=why, remedy=why.remedy)
         self._stop_voting()
         if not self.leaving:
             self._start_observing()
@@ -229,14 +229,14 @@
             listener(machine)
         if not commands and not complete and not anew:
             return
-        changed = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
+        changed = {name: Override(command.at, command.out) for name, command in commands.items()}
         self.acknowledged_ahead = {
             name: index for name, index in self.acknowledged_ahead.items() if index > machine.index
         }
         # Acknowledged commands are not overwritten by an older state that arrives late.
         changed |= {name: self.overrides[name] for name in self.acknowledged_ahead}
         self.overrides = changed if complete or anew else {**self.overrides, **changed}
-        say(REPLICATION_WORDS, out=self.disabled_providers(), index=self.index)
+        emit(REPLICATION_WORDS, out=self.disabled_providers(), index=self.index)
         self.on_overrides(changed, complete or anew)
         if self.folder is not None and not self.save_scheduled:
             self.save_scheduled = True
@@ -246,18 +246,18 @@
         self.save_scheduled, self.saved_at = False, self.loop.now()
         if self.folder is None:
             return
-        words = {name: (command.at, command.on) for name, command in self.overrides.items()}
+        words = {name: (command.at, command.active) for name, command in self.overrides.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
             remembered.save(
                 self.folder, OverrideCache(self.options.cluster, self.index, now, sorted(self.members), words)
             )
         except OSError as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
 
     def disabled_providers(self) -> list[str]:
         """The providers that operators have disabled for all sidecars."""
-        return sorted(name for name, command in self.overrides.items() if command.on)
+        return sorted(name for name, command in self.overrides.items() if command.active)
 
     def age(self) -> int | None:
         """Time since the reported state was last known to be current, ns; None: not known."""
@@ -268,35 +268,35 @@
 
     # ---- operators' commands --------------------------------------------------------------------
 
-    def do(self, call: Call) -> Coroutine[str]:
+    def execute(self, command: OperatorCommand) -> Coroutine[str]:
         """Executes an operator's command, and returns the text after OK, which is an acknowledgement: a majority has
         stored it. Raises `No` with the text of a typed error, within `replication.write_within`.
         """
-        if call.command is Command.FLEET:
+        if command.verb is Verb.FLEET:
             return self.status_line()
         until = self.loop.now() + self.options.write_within
         try:
-            if call.command is Command.FLEET_REMOVE:
-                yield from self.proposer.remove(call.id, self.options.write_within)
+            if command.verb is Verb.FLEET_REMOVE:
+                yield from self.proposer.remove(command.id, self.options.write_within)
                 return "removed"
-            if call.command is Command.FLEET_ENABLE:
-                held = yield from self.proposer.read(OverrideQuery(call.id), self.options.write_within)
+            if command.verb is Verb.FLEET_ENABLE:
+                held = yield from self.proposer.read(OverrideQuery(command.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # Nobody disabled it, so it must not start cold; this sidecar may not have received the override
                     # yet.
-                    if held.value or call.id in self.disabled_providers():
-                        self._acknowledge(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
+                    if held.value or command.id in self.disabled_providers():
+                        self._acknowledge(command.id, Override(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
-            operation = SetOverride(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
+            operation = SetOverride(command.id, command.verb is Verb.FLEET_DISABLE, self.loop.now())
             result = yield from self.proposer.write(operation, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
             raise No(result.text)
-        self._acknowledge(call.id, LastCommand(operation.at, operation.out), result.index)
+        self._acknowledge(command.id, Override(operation.at, operation.out), result.index)
         return f"{'disabled' if operation.out else 'enabled'}, at index {result.index}"
 
-    def _acknowledge(self, name: str, said: LastCommand, index: int) -> None:
+    def _acknowledge(self, name: str, said: Override, index: int) -> None:
         """What is acknowledged at an index takes effect here before the answer; the state machine follows."""
         if index > max(self.index, self.acknowledged_ahead.get(name, 0)):
             self.acknowledged_ahead[name] = index
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from loftweir.config.units import host_and_port
+from loftweir.config.units import split_host_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import TookTooLong, prepare
 from loftweir.replication.api import Message, MessageReceived
@@ -52,8 +52,8 @@
     encode_frame,
     hello_rejection,
 )
-from loftweir.telemetry.catalogue import REPLICATION_TURNED
-from loftweir.telemetry.log import say
+from loftweir.telemetry.catalogue import REPLICATION_TURNED_AWAY
+from loftweir.telemetry.log import emit
 
 BACKLOG = 512  # connections in the kernel's queue: after a restart of a voter many sidecars connect at once
 MAX_UNGREETED = 64  # connections without a `Hello` yet; further ones stay in the kernel's queue
@@ -72,7 +72,7 @@
 
 def bind_listener(address: str) -> socket.socket:
     """A listening socket. Raises OSError if the address is not available."""
-    host, port = host_and_port(address)
+    host, port = split_host_port(address)
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -169,10 +169,10 @@
                 served = True
                 self._serve(connection, hello)
             else:
-                say(REPLICATION_TURNED, name=hello.name, why=f"{rejection.why.value} here: {rejection.about}")
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=f"{rejection.why.value} here: {rejection.about}")
                 yield from self._reject(connection, rejection)
         except (BadFrame, TurnedAway) as error:
-            say(REPLICATION_TURNED, name="", why=error)
+            emit(REPLICATION_TURNED_AWAY, name="", why=error)
             yield from self._reject(connection, ConnectionRejected(RejectReason.FORM, f"version {VERSION}"))
         except CONNECTION_ERRORS:
             pass
@@ -248,7 +248,7 @@
                     voter.process(MessageReceived(frame))
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=hello.name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=hello.name, why=error)
         finally:
             if self.member_connections.get(hello.id) is connection:
                 del self.member_connections[hello.id]
@@ -286,7 +286,7 @@
                     yield Wait(None, 0, self.loop.now())  # lets other tasks run
         except CONNECTION_ERRORS as error:
             if isinstance(error, BadFrame):
-                say(REPLICATION_TURNED, name=self.clients[connection].name, why=error)
+                emit(REPLICATION_TURNED_AWAY, name=self.clients[connection].name, why=error)
         finally:
             self.clients.pop(connection, None)
             self.waiting_observers.pop(connection, None)
--- a/loftweir/replication/remembered.py
+++ b/loftweir/replication/remembered.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from loftweir.state.sealed import Damaged, opened, sealed
+from loftweir.state.sealed import Damaged, seal, unseal
 
 FILE_NAME = "loftweir-fleet"
 FILE_MAGIC = b"loftweir-fleet"
@@ -34,7 +34,7 @@
     """Replaces the file; after an OSError the previous one is unchanged."""
     temporary = folder / f"{FILE_NAME}.{os.getpid()}"
     try:
-        temporary.write_bytes(sealed(FILE_MAGIC, VERSION, msgspec.json.encode(cache)))
+        temporary.write_bytes(seal(FILE_MAGIC, VERSION, msgspec.json.encode(cache)))
         os.replace(temporary, folder / FILE_NAME)
     except OSError:
         with suppress(OSError):
@@ -50,7 +50,7 @@
     except FileNotFoundError:
         return None
     try:
-        cache = msgspec.json.decode(opened(FILE_MAGIC, VERSION, data), type=OverrideCache)
+        cache = msgspec.json.decode(unseal(FILE_MAGIC, VERSION, data), type=OverrideCache)
     except msgspec.MsgspecError as error:
         raise Damaged(f"malformed: {error}") from None
     return cache if cache.cluster == cluster else None
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,7 @@
 from benchmarks.faults.schedule import Play, schedule
 from loftweir.config.model import Replication
 from loftweir.net.loop import Loop
-from loftweir.operations.record import LastCommand as Said
+from loftweir.operations.record import Override
 from loftweir.replication.api import AppendEntries, AppendEntriesResponse, RequestVote, RequestVoteResponse
 from loftweir.replication.machine import AcquireLease, Command, FencedWrite, Machine, Ok, SetOverride, encode
 from loftweir.replication.part import ReplicationAgent
@@ -78,8 +78,8 @@
         members = ", ".join(f"n{n}=127.0.0.1:{n + 1}" for n in range(3))
         part = ReplicationAgent(Loop(), "f0", Replication(members=members), lambda words, whole: None)
         machine, shown = Machine(), []
-        part._acknowledge("s0", Said(0, False), 3)
-        part._acknowledge("s1", Said(0, True), 4)
+        part._acknowledge("s0", Override(0, False), 3)
+        part._acknowledge("s1", Override(0, True), 4)
         for index, out in enumerate((True, True, False, True), 1):
             machine.apply(
                 index, encode(Command(f"session {index}", 1, SetOverride("s0" if index < 4 else "s1", out, 0)))
