--- a/loftweir/__init__.py
+++ b/loftweir/__init__.py
@@ -1,3 +1,3 @@
-"""A load-balancing sidecar: same zone first, spread evenly, every rule kept."""
+"""A load-balancing sidecar: it sends each request of its clients to a provider, in its own zone where it can."""
 
 __version__ = "0.2.0"
--- a/loftweir/__main__.py
+++ b/loftweir/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loftweir`: with no words, the platform's `run` of one sidecar; with words, the command line."""
+"""`python -m loftweir`: without arguments it runs one sidecar for the platform; with arguments it is the command line."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 
 def main() -> int:
+    """Runs the program and returns its exit code."""
     if len(sys.argv) > 1:
         from loftweir.cli import main as command_line
 
         return command_line()
-    # Directly: the command line's libraries are of no use to one sidecar, and cost it memory.
+    # Without the command line: one sidecar does not need its libraries, and they would cost it memory.
     from loftweir.daemon import origin, run
 
     return run(origin(os.environ))
--- a/loftweir/errors.py
+++ b/loftweir/errors.py
@@ -1,13 +1,13 @@
-"""The family of the errors that an operator may meet: each says what happened, where, and what can be done about it.
+"""The errors that an operator can meet: each says what happened, where, and what can be done about it.
 
-Beneath all else: with it nothing of the project is imported. A type states its `remedy` once, as text in the class; one
-error may say more with an own. docs/errors.md is made from the types (`table`), and a test holds the two together.
+This module imports nothing else of the project. An error type states its `remedy` once, as text in the class; one error
+may set its own. docs/errors.md is made from the types (`table`), and a test compares the two.
 
-In the family is what can come to an operator as it is: in the log, at the program's end, as the answer of a call or of
-a command. What is caught before that, and there becomes something else, stays out. `TookTooLong`, `TooLarge`, `NoRoom`,
-`NotUp`, `LocalFault` and `Unsent` become an invoker call's outcome, a status or a `CallFailed`; `Malformed` and `Unfit`
-become the answer to the application's own request (docs/on-call.md has the statuses). `Breach` is a finding of the
-virtual runs.
+A type belongs to the family if it can reach an operator: in the log, at the program's end, or as the answer of a
+command. Exceptions that are caught before that stay outside. `TookTooLong`, `TooLarge`, `NoRoom`, `NotUp`, `LocalFault`
+and `Unsent` become an attempt's outcome, a status or a `CallFailed`; `Malformed` and `Unfit` become the answer to the
+client's own request (docs/on-call.md has the statuses); `InvalidRecord` becomes the report of a damaged journal.
+`Breach` is a finding of the simulations.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class LoftweirError(Exception):
-    """An error of the program's own. `what` happened, and `where`: a file, key, member or provider; empty: here."""
+    """An error of the program's own: `what` happened, and `where` (a file, key, member or provider; may be empty)."""
 
     remedy: ClassVar[str] = ""  # what an operator can do; every type that is raised has one
 
@@ -27,14 +27,14 @@
 
 
 def types(of: type[LoftweirError] = LoftweirError) -> Iterator[type[LoftweirError]]:
-    """Every type of the family that has been imported, the more general before its own kinds."""
+    """Every imported subclass, each base class before its own subclasses."""
     for kind in sorted(of.__subclasses__(), key=lambda kind: kind.__name__):
         yield kind
         yield from types(kind)
 
 
 def table() -> str:
-    """The family as the Markdown table of the errors' page."""
+    """The error types as the Markdown table of docs/errors.md."""
     lines = ["| error | what happened | what to do |", "| --- | --- | --- |"]
     for kind in types():
         meaning = " ".join((kind.__doc__ or "").split("\n\n")[0].split())
@@ -42,9 +42,11 @@
     return "\n".join(lines) + "\n"
 
 
-def everything() -> None:
-    """Imports every module of the program, so that `types` gives the whole family. Never called by `run`. A module that
-    needs a package of an extra which is not installed is left out."""
+def import_all_modules() -> None:
+    """Imports every module of the program, so that `types` gives all types. `run` never calls it.
+
+    A module that needs a package of an extra that is not installed is left out.
+    """
     from importlib import import_module
     from pkgutil import walk_packages
 
@@ -60,7 +62,7 @@
 
 
 if __name__ == "__main__":  # `python -m loftweir.errors` prints the table
-    from loftweir import errors  # this file as `__main__` is another module, with a family of its own
+    from loftweir import errors  # this file as `__main__` is a separate module, whose types nobody else uses
 
-    errors.everything()
+    errors.import_all_modules()
     print(errors.table(), end="")
--- a/loftweir/operations/__init__.py
+++ b/loftweir/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators' staff say to a running sidecar: their calls, what holds of them, and where it is kept."""
+"""Operators' commands to a running sidecar: how they are received, what they override, and where that is stored."""
--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -1,7 +1,8 @@
-"""The operators' address: a listener of its own, one line to a connection, one line back.
+"""The operators' address: a listener of its own that takes one command line per connection and answers with one line.
 
-It has its turn before all else (`Loop.spawn(urgent=True)`), and descriptors of its own. Callers that finish no call
-are few and have a time: of too many, the one longest there goes.
+Its coroutines run before all others (`Loop.spawn(urgent=True)`) and it has descriptors of its own, so that operators
+get an answer under full load. Connections that send no complete command are limited in number and time: one connection
+too many closes the oldest.
 """
 
 from __future__ import annotations
@@ -16,26 +17,28 @@
 from loftweir.telemetry.catalogue import OPERATOR_CALL
 from loftweir.telemetry.log import emit
 
-MOST = 16  # callers at a time
-DESCRIPTORS = MOST + 4  # with the listener, the record's lock and file, and the lock of who serves
-CALL_WITHIN = 8 * SECOND  # for a caller to finish its line
-ANSWER_WITHIN = SECOND  # for it to read the answer
+MAX_CONNECTIONS = 16
+# Beside the connections: the listener, the record's lock, the record's file, and the lock of the serving processes.
+DESCRIPTORS = MAX_CONNECTIONS + 4
+READ_TIMEOUT = 8 * SECOND  # for the client to send its whole line
+WRITE_TIMEOUT = SECOND  # for the client to read the answer
+LINGER = 100 * MS  # for unread input before a connection is closed
 BACKLOG = 64
 
 Execute = Callable[[OperatorCommand], Coroutine[str]]
 
 
 class Address:
-    """Invariant: `callers` has every connection, the longest there first, each with its coroutine."""
+    """Invariant: `connections` has every open connection with its coroutine, the oldest first."""
 
     def __init__(self, loop: Loop, execute: Execute) -> None:
         self.loop = loop
         self.execute = execute
-        self.callers: dict[socket.socket, Task] = {}
+        self.connections: dict[socket.socket, Task] = {}
         self.listener: socket.socket | None = None
 
     def listen(self, address: str) -> None:
-        """OSError where it can't be had."""
+        """Starts to listen; raises OSError if the address can't be bound."""
         host, port = split_host_port(address)
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -52,42 +55,42 @@
     def _accept(self, listener: socket.socket) -> Coroutine[None]:
         while True:
             yield Wait(listener, READABLE, None)
-            for _ in range(MOST):
+            for _ in range(MAX_CONNECTIONS):
                 try:
                     sock, _ = listener.accept()
                 except OSError:
                     break
                 sock.setblocking(False)
-                if len(self.callers) >= MOST:
-                    next(iter(self.callers.values())).cancel()
-                self.callers[sock] = self.loop.spawn(self._serve(sock), urgent=True)
+                if len(self.connections) >= MAX_CONNECTIONS:
+                    next(iter(self.connections.values())).cancel()
+                self.connections[sock] = self.loop.spawn(self._serve(sock), urgent=True)
 
     def _serve(self, sock: socket.socket) -> Coroutine[None]:
         try:
             answer = yield from self._answer(sock)
             if answer:
-                yield from send(self.loop, sock, [answer], self.loop.now() + ANSWER_WITHIN)
+                yield from send(self.loop, sock, [answer], self.loop.now() + WRITE_TIMEOUT)
                 sock.shutdown(socket.SHUT_WR)
-                # Closing with something unread would reset the connection, and the answer with it.
-                until = self.loop.now() + 100 * MS
+                # Closing a socket with unread input resets the connection, and the client would lose the answer.
+                until = self.loop.now() + LINGER
                 while (yield Wait(sock, READABLE, until)) and sock.recv(4096):
                     pass
         except (TookTooLong, OSError):
             pass
         finally:
-            del self.callers[sock]
+            del self.connections[sock]
             self.loop.close(sock)
 
     def _answer(self, sock: socket.socket) -> Coroutine[bytes]:
-        """The line that answers; empty: the caller went or took too long, and nothing is answered."""
-        until = self.loop.now() + CALL_WITHIN
+        """Reads a command, carries it out and returns the answer's line; empty if the client closed without sending."""
+        until = self.loop.now() + READ_TIMEOUT
         data = b""
         try:
             while b"\n" not in data:
                 if len(data) > MAX_LINE_BYTES:
                     parse_command(data)
                 if not (yield Wait(sock, READABLE, until)):
-                    raise No("no end of the line came")
+                    raise No("timed out waiting for the end of the line")
                 read = sock.recv(4096)
                 if not read:
                     if data:
--- a/loftweir/operations/calls.py
+++ b/loftweir/operations/calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls as lines of text: what may be said, and how it is answered. No I/O."""
+"""Operators' commands as lines of text: their syntax, and the form of the answers. No I/O."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 
 from loftweir.errors import LoftweirError
 
-MAX_LINE_BYTES = 1024  # bytes of a line; an id has 64 at most
+MAX_LINE_BYTES = 1024  # an id has 64 bytes at most
 
 
 class Verb(Enum):
+    """The first word of a command."""
+
     READY = "READY"
     DISABLE = "DISABLE"
     ENABLE = "ENABLE"
@@ -24,7 +26,7 @@
     ROUTES = "ROUTES"
 
 
-# The arguments that each command takes; one in brackets may be left out.
+# The arguments of each verb; those in brackets are optional.
 ARGUMENTS: Mapping[Verb, tuple[str, ...]] = {
     Verb.READY: (),
     Verb.DISABLE: ("ID",),
@@ -40,21 +42,23 @@
 
 
 class OperatorCommand(NamedTuple):
+    """One command of an operator; `id` names a provider, a member or a service, as the verb needs it."""
+
     verb: Verb
-    id: str = ""  # or a member's or service's name
+    id: str = ""
 
 
 class No(LoftweirError):
-    """An operator's call is not done: the answer is ERR, and why in one line."""
+    """An operator's command was not carried out: the answer is ERR with the reason in one line."""
 
     remedy = (
-        "Do what the line names, then make the call again: another command or id, room in `$TMPDIR`, a moment's "
-        "wait for `not yet`, or the new process where this one comes to its end."
+        "Correct what the line names and repeat the command: use another command or id, free space in `$TMPDIR`, wait "
+        "a moment after `not yet`, or ask the new process if this one is stopping."
     )
 
 
 def parse_command(line: bytes) -> OperatorCommand:
-    """A line without its end; `No` where it is not a call."""
+    """Parses a line without its end; raises `No` if it is not a command."""
     if len(line) > MAX_LINE_BYTES:
         raise No(f"a line has {MAX_LINE_BYTES} bytes at most")
     try:
@@ -65,18 +69,21 @@
         raise No("not plain text")
     name, *arguments = text.split()[:4] or [""]
     try:
-        command = Verb(name)
+        verb = Verb(name)
     except ValueError:
-        raise No(f"no such call, known are {', '.join(verb.value for verb in Verb)}") from None
-    wanted = ARGUMENTS[command]
-    if not sum(not name.startswith("[") for name in wanted) <= len(arguments) <= len(wanted):
-        raise No(f"usage: {' '.join((command.value, *wanted))}")
-    return OperatorCommand(command, *arguments)
+        raise No(f"unknown command, known are {', '.join(verb.value for verb in Verb)}") from None
+    expected = ARGUMENTS[verb]
+    required = sum(not argument.startswith("[") for argument in expected)
+    if not required <= len(arguments) <= len(expected):
+        raise No(f"usage: {' '.join((verb.value, *expected))}")
+    return OperatorCommand(verb, *arguments)
 
 
 def ok_answer(text: str = "") -> bytes:
+    """The line that answers a command that was carried out."""
     return f"OK {text}".strip().encode() + b"\n"
 
 
 def error_answer(reason: No) -> bytes:
+    """The line that answers a command that was not carried out."""
     return b"ERR " + " ".join(str(reason).split()).encode() + b"\n"
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -1,4 +1,4 @@
-"""Carries the operators' calls out: the record, the list that holds by it, the life of the sidecar."""
+"""Carries out operators' commands: stores their overrides, tells the balancer, and drains the sidecar."""
 
 from __future__ import annotations
 
@@ -17,69 +17,77 @@
 from loftweir.telemetry.catalogue import OPERATOR_RECORD, OPERATOR_RECORD_DAMAGED, OPERATOR_RECORD_FAILED
 from loftweir.telemetry.log import emit
 
-LOOK_EVERY = 50 * MS  # at the record: well within the grace that another process's call leaves
-TRY_EVERY, TRY_FOR = 5 * MS, 500 * MS  # for the record's lock; a caller waits 1 s
-HEALED_WITHIN = 2 * SECOND  # a damaged record: another process that knows it writes it again meanwhile
+# How often the record's file is checked: well within the grace after a command that another process received.
+POLL_INTERVAL = 50 * MS
+LOCK_RETRY_INTERVAL = 5 * MS
+LOCK_TIMEOUT = 500 * MS  # for the record's lock; a client waits 1 s for its answer
+REPAIR_TIMEOUT = 2 * SECOND  # for another process that knows a damaged record to write it again
 
-Told = Callable[[MembershipUpdate, dict[str, str]], None]
+TellBalancer = Callable[[MembershipUpdate, dict[str, str]], None]
 
 
 class Fleet(Protocol):
-    """This sidecar's part in the replicated state, where the operator's file names members."""
+    """This sidecar's part in the replicated state, if the operator's file names members."""
 
-    def execute(self, command: OperatorCommand) -> Coroutine[str]: ...
+    def execute(self, command: OperatorCommand) -> Coroutine[str]:
+        """Carries out a command to the fleet and returns the text after OK; raises `No`."""
+        ...
 
 
 class Partners(Protocol):
-    """This sidecar's part among the partners, where the operator's file names a site."""
+    """This sidecar's part in the exchange with partners, if the operator's file names a site."""
 
-    def execute(self, command: OperatorCommand) -> str: ...
+    def execute(self, command: OperatorCommand) -> str:
+        """Carries out ROUTES and returns the text after OK."""
+        ...
 
 
 class CommandHandler:
-    """Invariant: what `overlay.record` says holds: the balancer was told, and `life` stands where the drain says."""
+    """Invariant: the balancer was told what `overlay.record` overrides, and `life` drains as the record says."""
 
-    def __init__(self, loop: Loop, life: Life, told: Told, takes_clients: Callable[[], bool]) -> None:
+    def __init__(self, loop: Loop, life: Life, tell: TellBalancer, takes_clients: Callable[[], bool]) -> None:
         self.loop = loop
         self.life = life
-        self.told = told
+        self.tell = tell
         self.takes_clients = takes_clients
         self.overlay = Overlay()
         self.fleet: Fleet | None = None
         self.partners: Partners | None = None
         self.store: Store | None = None
-        self.found_other_process = False  # another process served when this one began
-        self.begun = False  # the record was read, or could not be
-        self.lacks = False  # the file, something that this process knows
+        self.found_other_process = False  # one served when this process started
+        self.begun = False  # the record was read, or its reading was given up
+        self.file_is_behind = False  # the file lacks an override that this process knows
 
     # ---- discovery ------------------------------------------------------------------------------
 
     def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
-        self.told(*self.overlay.update(update, addresses))
+        """Passes discovery's list on to the balancer, with the overrides applied."""
+        self.tell(*self.overlay.update(update, addresses))
 
     # ---- the fleet ------------------------------------------------------------------------------
 
-    def apply_fleet(self, commands: Mapping[str, Override], whole: bool) -> None:
-        """What holds for the whole fleet; `whole`: nothing else does. Its times are of the clock of whoever said it:
-        of one that is ahead of this one's the provider starts now, not in an hour. Once: one that comes again is not
-        news."""
+    def apply_fleet(self, overrides: Mapping[str, Override], whole: bool) -> None:
+        """Applies overrides of the fleet; `whole`: they replace all earlier ones.
+
+        Their times come from the clock of whoever sent the command. If that clock is ahead of this one, the provider
+        counts as started now and not in an hour. A repeated override keeps the time that it got first.
+        """
         now, known = self.loop.now(), self.overlay.fleet
-        heard = {}
-        for name, command in commands.items():
+        adjusted = {}
+        for name, override in overrides.items():
             before = known.get(name)
-            if command.at > now:
-                command = (
-                    before if before is not None and before.active == command.active else Override(now, command.active)
-                )
-            heard[name] = command
-        update = self.overlay.apply_fleet(heard, whole)
+            if override.at > now:
+                repeated = before is not None and before.active == override.active
+                override = before if before is not None and repeated else Override(now, override.active)
+            adjusted[name] = override
+        update = self.overlay.apply_fleet(adjusted, whole)
         if update is not None:
-            self.told(*update)
+            self.tell(*update)
 
     def _fleet(self, command: OperatorCommand) -> Coroutine[str]:
         if self.fleet is None:
             raise No("replication is off: the operator's file names no replication.members")
-        # What this sidecar's list does not name yet, others may serve from: it may be taken out all the same.
+        # Other sidecars may use a provider that this one's list does not name yet, so that any name can be disabled.
         if command.verb is Verb.FLEET_ENABLE and not self.overlay.knows(command.id):
             raise No("no such upstream")
         return (yield from self.fleet.execute(command))
@@ -87,7 +95,7 @@
     # ---- the record -----------------------------------------------------------------------------
 
     def begin(self, folder: str | None) -> None:
-        """Takes over what was said to the processes before this one. Without a folder all of it ends with this one."""
+        """Takes over the overrides of earlier processes. Without a folder, overrides end with the process."""
         if folder is None:
             self.begun = True
             return
@@ -99,15 +107,15 @@
             self.begun = True
             return
         if not self._read() and self.found_other_process:
-            self.loop.after(HEALED_WITHIN, self._give_up_reading)
+            self.loop.after(REPAIR_TIMEOUT, self._give_up_reading)
         else:
             self._begin()
-        self.loop.spawn(self._keep(), urgent=True)
+        self.loop.spawn(self._follow_file(), urgent=True)
 
     def _begin(self) -> None:
         self.begun = True
         if not self.found_other_process and self.overlay.record.drain.active:
-            # Nobody is left whom it was said to. A ban is of a provider, and holds until it is called back.
+            # The drain was of processes that have all ended. A disabled provider stays disabled until it is enabled.
             self.apply_record(self.overlay.record.with_drain(False, self.loop.now()))
 
     def _give_up_reading(self) -> None:
@@ -122,57 +130,58 @@
             emit(OPERATOR_RECORD_DAMAGED, why=error)
             return False
         self.apply_record(self.overlay.record.merged(loaded))
-        self.lacks = self.overlay.record != loaded.pruned(self.loop.now())
+        self.file_is_behind = self.overlay.record != loaded.pruned(self.loop.now())
         return True
 
-    def _keep(self) -> Coroutine[None]:
-        """Takes over what another process was told, and writes again what a file lacks."""
+    def _follow_file(self) -> Coroutine[None]:
+        """Takes over commands that another process received, and rewrites a file that is damaged or behind."""
         store = self.store
         assert store is not None
         while True:
-            yield Wait(None, 0, self.loop.now() + LOOK_EVERY)
+            yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
             if not store.has_changed():
                 continue
             sound = self._read()
             if sound and not self.begun:
                 self._begin()
-            if self.begun and (not sound or self.lacks):
+            if self.begun and (not sound or self.file_is_behind):
                 try:
                     store.save(self.overlay.record)
                 except OSError as error:
-                    store.seen = None  # looked at again
+                    store.seen = None  # read again at the next poll
                     if not isinstance(error, BlockingIOError):
                         emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
 
     def apply_record(self, record: OverrideRecord) -> None:
-        """What holds from now on."""
+        """Puts a record in force: tells the balancer, and begins or ends the drain."""
         before, record = self.overlay.record, record.pruned(self.loop.now())
         if record == before:
             return
         update = self.overlay.apply_record(record)
         if update is not None:
-            self.told(*update)
+            self.tell(*update)
         if record.drain.active != before.drain.active:
             self.life.step(Step.DRAIN if record.drain.active else Step.UNDRAIN)
-        emit(OPERATOR_RECORD, out=sorted(n for n, w in record.overrides.items() if w.active), drain=record.drain.active)
+        disabled = sorted(name for name, override in record.overrides.items() if override.active)
+        emit(OPERATOR_RECORD, out=disabled, drain=record.drain.active)
 
     def _save(self, record: OverrideRecord) -> Coroutine[OverrideRecord]:
-        """The record as it is in the file then, merged with this one; `No` where it can't be kept."""
-        store, until = self.store, self.loop.now() + TRY_FOR
+        """Stores a record and returns it as merged with the file; raises `No` if it can't be stored."""
+        store, until = self.store, self.loop.now() + LOCK_TIMEOUT
         while store is not None:
             try:
                 return store.save(record)
             except OSError as error:
                 if not isinstance(error, BlockingIOError) or self.loop.now() >= until:
                     emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
-                    raise No(f"it can't be kept: {error.strerror}") from None
-            yield Wait(None, 0, self.loop.now() + TRY_EVERY)
+                    raise No(f"it can't be stored: {error.strerror}") from None
+            yield Wait(None, 0, self.loop.now() + LOCK_RETRY_INTERVAL)
         return record
 
-    # ---- calls ----------------------------------------------------------------------------------
+    # ---- commands -------------------------------------------------------------------------------
 
     def execute(self, command: OperatorCommand) -> Coroutine[str]:
-        """What is said after OK; a `No` where the call is not done."""
+        """Carries out a command and returns the text after OK; raises `No` if it is not carried out."""
         now, record = self.loop.now(), self.overlay.record
         if command.verb in (Verb.FLEET, Verb.FLEET_DISABLE, Verb.FLEET_ENABLE, Verb.FLEET_REMOVE):
             return (yield from self._fleet(command))
@@ -182,26 +191,26 @@
             return self.partners.execute(command)
         if command.verb is Verb.READY:
             if self.life.ends:
-                raise No("this process comes to its end")
+                raise No("this process is stopping")
             if not self.begun or not self.takes_clients():
                 raise No("not yet")
             return ""
         if command.verb in (Verb.DRAIN, Verb.UNDRAIN):
             on = command.verb is Verb.DRAIN
             self.apply_record(record.with_drain(on, now))
-            yield from self._keep_command()
+            yield from self._save_overlay_record()
             return "draining" if on else "serving"
         if not self.overlay.knows(command.id):
             raise No("no such upstream")
         if command.verb is Verb.DISABLE:
-            # It holds in any case: a time after the call it binds, whatever is answered.
+            # In force before it is stored: the provider must get no request after the command, whatever the answer is.
             self.apply_record(record.with_override(command.id, True, now))
-            yield from self._keep_command()
+            yield from self._save_overlay_record()
             return "disabled"
         if record.is_disabled(command.id):
-            # The other way round: none is sent to before it is kept that it may be.
+            # Stored before it is in force: the provider must get no request until its enabling is stored.
             self.apply_record((yield from self._save(record.with_override(command.id, False, now))))
         return "enabled"
 
-    def _keep_command(self) -> Coroutine[None]:
+    def _save_overlay_record(self) -> Coroutine[None]:
         self.apply_record((yield from self._save(self.overlay.record)))
--- a/loftweir/operations/overlay.py
+++ b/loftweir/operations/overlay.py
@@ -1,8 +1,9 @@
-"""The operators' bans over discovery's list: what the balancer is told of each provider. No I/O, no clock.
+"""The operators' overrides applied to discovery's list: what the balancer is told of each provider. No I/O, no clock.
 
-A ban is this sidecar's own or the whole fleet's: a provider is out while either says so. It drains then, whatever the
-list says of it, also where it leaves the list and comes back under another address. One that was called back has been
-restarted meanwhile: it starts, at the earliest, at that moment. A start more than an hour later is of its own.
+A provider is disabled while this sidecar's own override or the fleet's is active. It then drains, whatever the list
+says, even if it leaves the list and returns under another address. A provider that was enabled again has usually been
+restarted in between, so that its start counts as no earlier than that command. A start more than an hour after the
+command is a separate one.
 """
 
 from __future__ import annotations
@@ -15,30 +16,32 @@
 
 
 class Overlay:
-    """Invariant: the balancer has been told `effective` of each provider in `listed`, by `update` or by `hold`."""
+    """Invariant: the balancer was told `effective` of each provider in `listed`, by the results of these methods."""
 
     def __init__(self) -> None:
-        self.listed: dict[str, Endpoint] = {}  # as discovery has them, those that are gone left out
+        self.listed: dict[str, Endpoint] = {}  # as discovery has them, without those that are gone
         self.addresses: dict[str, str] = {}
         self.record = OverrideRecord()
         self.fleet: dict[str, Override] = {}
 
     def knows(self, name: str) -> bool:
+        """Whether a provider is listed, disabled here, or has an override of the fleet."""
         return name in self.listed or self.record.is_disabled(name) or name in self.fleet
 
     def effective(self, endpoint: Endpoint) -> Endpoint:
+        """The endpoint as the balancer is to have it."""
         name = endpoint.address
-        commands = [bans[name] for bans in (self.record.overrides, self.fleet) if name in bans]
-        if not commands or endpoint.lifecycle is Lifecycle.GONE:
+        overrides = [known[name] for known in (self.record.overrides, self.fleet) if name in known]
+        if not overrides or endpoint.lifecycle is Lifecycle.GONE:
             return endpoint
-        if any(command.active for command in commands):
+        if any(override.active for override in overrides):
             return replace(endpoint, lifecycle=Lifecycle.DRAINING)
-        at = max(command.at for command in commands)
-        # The fleet's commands are kept for good: a start long after one is not the start that it spoke of.
+        at = max(override.at for override in overrides)
+        # The fleet's overrides are never deleted: a start long after one is not the restart that it was about.
         return replace(endpoint, started_at=max(endpoint.started_at, at), called_back=endpoint.started_at <= at + HOUR)
 
     def update(self, update: MembershipUpdate, addresses: Mapping[str, str]) -> tuple[MembershipUpdate, dict[str, str]]:
-        """Discovery's list, as the balancer is to have it."""
+        """Takes discovery's list, or changes to it, and returns it as the balancer is to have it."""
         if update.kind in (UpdateKind.FULL, UpdateKind.REMEMBERED):
             self.listed, self.addresses = {}, {}
         for endpoint in update.endpoints:
@@ -51,21 +54,21 @@
         return replace(update, endpoints=tuple(map(self.effective, update.endpoints))), dict(addresses)
 
     def apply_record(self, record: OverrideRecord) -> tuple[MembershipUpdate, dict[str, str]] | None:
-        """Another record holds from now on: what the balancer is to be told, if anything."""
+        """Replaces this sidecar's record; returns what the balancer is to be told, or None for nothing."""
         names = changed_names(self.record, record)
         self.record = record
-        return self._again(names)
+        return self._update_of(names)
 
     def apply_fleet(
-        self, commands: Mapping[str, Override], whole: bool
+        self, overrides: Mapping[str, Override], whole: bool
     ) -> tuple[MembershipUpdate, dict[str, str]] | None:
-        """Commands to the fleet hold from now on; `whole`: in place of all before, else beside them."""
-        after = dict(commands) if whole else {**self.fleet, **commands}
+        """Adds overrides of the fleet, or replaces all of them if `whole`; returns what the balancer is to be told."""
+        after = dict(overrides) if whole else {**self.fleet, **overrides}
         names = changed_names(OverrideRecord(self.fleet), OverrideRecord(after))
         self.fleet = after
-        return self._again(names)
+        return self._update_of(names)
 
-    def _again(self, changed: Iterable[str]) -> tuple[MembershipUpdate, dict[str, str]] | None:
+    def _update_of(self, changed: Iterable[str]) -> tuple[MembershipUpdate, dict[str, str]] | None:
         names = [name for name in changed if name in self.listed]
         if not names:
             return None
--- a/loftweir/operations/store.py
+++ b/loftweir/operations/store.py
@@ -1,7 +1,8 @@
-"""The record in a file that two processes of one sidecar share, and whether another of them serves.
+"""The file of the record, shared by the processes of one sidecar, and the lock that shows whether another one serves.
 
-The folder is the sidecar's own. The record is written whole beside its place and renamed, under a lock; who finds less
-in it than it knows writes it again. A second file is only for its locks: each process that serves holds a byte of it.
+The folder belongs to the sidecar. The record is written as a whole to a temporary file and renamed, under a lock; a
+process that finds less in the file than it knows writes it again. A second file is used only for locks: each serving
+process locks one byte of it.
 """
 
 from __future__ import annotations
@@ -15,21 +16,25 @@
 from loftweir.operations.record import OverrideRecord, decode, encode
 from loftweir.state.sealed import Damaged
 
-NAME, LOCK, SERVING = "loftweir-operators", "loftweir-operators.lock", "loftweir-serving.lock"
-LARGEST = 1024 * 1024
+NAME = "loftweir-operators"
+LOCK = "loftweir-operators.lock"
+SERVING = "loftweir-serving.lock"
+MAX_FILE_BYTES = 1024 * 1024
 FLOCK = "hhqqi"  # struct flock: type, whence, start, length, process
 
 
 class Store:
+    """Reads and writes the record's file, and holds this process's locks."""
+
     def __init__(self, folder: Path) -> None:
-        """Raises OSError where the folder can't be used."""
+        """Raises OSError if the folder can't be used."""
         self.path = folder / NAME
         self.lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.serving = os.open(folder / SERVING, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        self.seen: tuple[int, int, int] | None = None  # the file that was read or written last
+        self.seen: tuple[int, int, int] | None = None  # inode, time and size of the file last read or written
 
     def has_changed(self) -> bool:
-        """Whether the file is another than the one seen last."""
+        """Whether the file differs from the one last read or written."""
         return self._stamp() != self.seen
 
     def _stamp(self) -> tuple[int, int, int] | None:
@@ -40,11 +45,11 @@
         return found.st_ino, found.st_mtime_ns, found.st_size
 
     def load(self) -> OverrideRecord:
-        """What is in the file; `Damaged` where that can't be trusted. No file: nothing was ever said."""
+        """Returns the record in the file, an empty one if there is no file; raises `Damaged` if it can't be trusted."""
         self.seen = self._stamp()
         try:
-            with open(self.path, "rb") as opened:
-                data = opened.read(LARGEST + 1)
+            with open(self.path, "rb") as file:
+                data = file.read(MAX_FILE_BYTES + 1)
         except FileNotFoundError:
             return OverrideRecord()
         except OSError as error:
@@ -52,32 +57,34 @@
         return decode(data)
 
     def save(self, record: OverrideRecord) -> OverrideRecord:
-        """Merges a record into the file, and gives what is in it then. OSError: it is not kept, also where another
-        process holds the lock (BlockingIOError: to be tried again)."""
+        """Merges a record into the file and returns the result.
+
+        Raises OSError if it was not stored; BlockingIOError if another process holds the lock and the caller can retry.
+        """
         fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         try:
-            with suppress(Damaged):  # what was in it is lost, not what this process knows
+            with suppress(Damaged):  # a damaged file is lost, but not what this process knows
                 record = record.merged(self.load())
-            beside = self.path.with_suffix(f".{os.getpid()}")
+            temporary = self.path.with_suffix(f".{os.getpid()}")
             try:
-                beside.write_bytes(encode(record))
-                os.rename(beside, self.path)
+                temporary.write_bytes(encode(record))
+                os.rename(temporary, self.path)
             except OSError:
-                beside.unlink(missing_ok=True)
+                temporary.unlink(missing_ok=True)
                 raise
             self.seen = self._stamp()
         finally:
             fcntl.flock(self.lock, fcntl.LOCK_UN)
         return record
 
-    # ---- who else is there ----------------------------------------------------------------------
+    # ---- serving processes ----------------------------------------------------------------------
 
     def announce_serving(self) -> None:
-        """Tells other processes that this one serves, until it ends, whatever its end."""
+        """Shows other processes that this one serves. The kernel drops the lock however the process ends."""
         fcntl.lockf(self.serving, fcntl.LOCK_EX | fcntl.LOCK_NB, 1, os.getpid())
 
     def is_alone(self) -> bool:
-        """Whether no other process serves: each has a byte of its own locked, and asking takes no lock."""
-        asked = struct.pack(FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
-        kind, *_ = struct.unpack(FLOCK, fcntl.fcntl(self.serving, fcntl.F_GETLK, asked))
+        """Whether no other process serves. Each one has locked a byte of its own, and the query takes no lock."""
+        query = struct.pack(FLOCK, fcntl.F_WRLCK, os.SEEK_SET, 0, 0, 0)
+        kind, *_ = struct.unpack(FLOCK, fcntl.fcntl(self.serving, fcntl.F_GETLK, query))
         return bool(kind == fcntl.F_UNLCK)
--- a/loftweir/state/__init__.py
+++ b/loftweir/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a sidecar keeps on disk: the form of its files (`sealed`), and the snapshot of the last list it held.
+"""What a sidecar stores on disk: the format of its files (`sealed`), and the snapshot of the last list of providers.
 
-Beneath the subsystems that keep files: it imports only `interface`.
+The modules below this package that store files import it; it imports only `interface`.
 """
--- a/loftweir/state/snapshot.py
+++ b/loftweir/state/snapshot.py
@@ -1,10 +1,9 @@
-"""The snapshot of a sidecar's list: what it holds, how it is found out when it can't be trusted, and which list a
-start takes. Pure: no I/O, no clock; times come in as arguments.
+"""The snapshot of a sidecar's list of providers, and the choice of the list that a start uses. No I/O, no clock.
 
-On disk it has the form of `sealed`, with the snapshot in JSON as its body.
+The file has the format of `sealed`, with the snapshot as JSON in its body.
 
-Invariants: an epoch only grows from one snapshot of a sidecar to its next; a start never takes a snapshot older than
-the list it was given, nor one older than `trust_for`; a provider that was draining stays draining.
+Invariants: the epoch grows with every snapshot of a sidecar; a start never uses a snapshot that is older than the list
+it was given, or older than `trust_for`; a provider that was draining is still draining.
 """
 
 from __future__ import annotations
@@ -21,8 +20,10 @@
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """One provider in a snapshot: its endpoint, and the address at which this sidecar connects to it."""
+
     name: str
-    address: str  # where this sidecar connects to it
+    address: str
     zone: str
     kind: str
     cell: int
@@ -32,13 +33,15 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A sidecar's list of providers at one moment, as it is stored."""
+
     epoch: int
     index: int  # discovery's version of the list
-    taken_at: int  # wall time, in ns since the epoch of Unix
+    taken_at: int  # Unix time, ns
     entries: list[Entry]
 
     def update(self) -> tuple[MembershipUpdate, dict[str, str]]:
-        """The list as it was held, and where each provider on it listens."""
+        """The list as an update, and the address of each provider."""
         endpoints = tuple(
             Endpoint(e.name, e.zone, e.kind, e.cell, Lifecycle(e.lifecycle), e.weight, e.started_at)
             for e in self.entries
@@ -47,11 +50,12 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
+    """Returns the contents of the file for a snapshot."""
     return seal(FILE_NAME, VERSION, msgspec.json.encode(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
-    """The snapshot in `data`; `Damaged` where it can't be trusted."""
+    """Returns the snapshot in a file's contents; raises `Damaged` if they can't be trusted."""
     body = unseal(FILE_NAME, VERSION, data)
     try:
         found = msgspec.json.decode(body, type=Snapshot)
@@ -63,14 +67,16 @@
 
 
 class ListSource(Enum):
-    GIVEN = "given"  # no snapshot, or the given list is as new
+    """Which list a start uses, and why; the values appear in the log event `state.taken`."""
+
+    GIVEN = "given"  # the platform's: there is no snapshot, or it is no newer
     SNAPSHOT = "snapshot"
-    STALE = "stale"  # older than the list that was given
-    OLD = "old"  # older than it may be trusted, or of a clock that was put back since
+    STALE = "stale"  # the platform's: the snapshot is older than it
+    OLD = "old"  # the platform's: the snapshot is older than `trust_for`, or written before the clock was set back
 
 
 def choose_list(given: MembershipUpdate, snapshot: Snapshot | None, now: int, trust_for: int) -> ListSource:
-    """Which list a start takes: the one the platform gave, or the snapshot where it is newer and young enough."""
+    """Chooses the snapshot if it is newer than the platform's list and at most `trust_for` old, else that list."""
     if snapshot is None:
         return ListSource.GIVEN
     if given.endpoints and snapshot.index < given.version:
@@ -83,14 +89,16 @@
 
 
 class ListTracker:
-    """The whole list as this sidecar holds it, from the lists and changes that it is told; one owner: the sidecar."""
+    """The whole list as this sidecar knows it, built from the lists and changes it receives. Owned by the sidecar."""
 
     def __init__(self, epoch: int) -> None:
-        self.epoch = epoch  # of the last snapshot written or read
+        """`epoch`: that of the last snapshot written or read."""
+        self.epoch = epoch
         self.index = 0
         self.entries: dict[str, Entry] = {}
 
     def apply(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Applies a whole list, or changes to the list."""
         if update.kind is UpdateKind.FAILED:
             return
         if update.kind is not UpdateKind.CHANGES:
@@ -99,11 +107,13 @@
             if e.lifecycle is Lifecycle.GONE:
                 self.entries.pop(e.address, None)
                 continue
-            where = addresses.get(e.address, self.entries[e.address].address if e.address in self.entries else "")
-            entry = Entry(e.address, where, e.zone, e.kind, e.cell, e.lifecycle.value, e.weight, e.started_at)
+            known = self.entries[e.address].address if e.address in self.entries else ""
+            address = addresses.get(e.address, known)
+            entry = Entry(e.address, address, e.zone, e.kind, e.cell, e.lifecycle.value, e.weight, e.started_at)
             self.entries[e.address] = entry
         self.index = max(self.index, update.version)
 
     def snapshot(self, now: int) -> Snapshot:
+        """Returns the list as a snapshot of the next epoch."""
         self.epoch += 1
         return Snapshot(self.epoch, self.index, now, sorted(self.entries.values(), key=lambda e: e.name))
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -23,7 +23,7 @@
 from loftweir.state.sealed import Damaged, unseal
 from loftweir.telemetry.catalogue import DISCOVERY_LIST_FAILED
 
-errors.everything()
+errors.import_all_modules()
 FAMILY = list(errors.types())
 SOURCES = {path: path.read_text(encoding="utf-8") for path in (ROOT / "loftweir").rglob("*.py")}
 
