--- a/loftweir/__main__.py
+++ b/loftweir/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m loftweir`: without arguments it runs one sidecar for the platform; with arguments it is the command line."""
+"""`python -m loftweir`: runs one sidecar for the platform, or the command line if there are arguments."""
 
 from __future__ import annotations
 
--- a/loftweir/cli/attempt.py
+++ b/loftweir/cli/attempt.py
@@ -1,4 +1,4 @@
-"""`loftweir try`: a sidecar with stand-ins round it, on free ports of loopback."""
+"""`loftweir try`: a sidecar with stand-ins for providers and discovery, on free ports of the loopback interface."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 from loftweir.config.units import split_host_port
 from loftweir.standins.toy import Members, configuration, discovery, provider
 
-READY_WITHIN = 10.0  # seconds
-ENDS_WITHIN = 10.0
+READY_TIMEOUT = 10.0  # seconds
+STOP_TIMEOUT = 10.0  # seconds
 
-LINES = """
-A sidecar with {providers} stand-in providers and a discovery. Try, from another shell:
+INSTRUCTIONS = """
+A sidecar with {providers} stand-in providers and a discovery is running. Try in another shell:
 
   curl -i http://{listen}/_health
   curl -i http://{listen}/api -H 'Req-Id: r1' -H 'Req-Kind: status-read' -H 'Req-Deadline-Ms: 1000'
   curl -i http://{listen}/api -H 'Req-Id: r2' -H 'Req-Kind: apply-submit' -d 'name=A'
-  curl -X POST http://{discovery}/leaving/toy-1     # a drain; POST /active/toy-1 ends it
+  curl -X POST http://{discovery}/leaving/toy-1     # drains it; POST /active/toy-1 ends that
 
-A new Req-Id is due with every request. Ctrl-C ends all of it.
+Every request needs a new Req-Id. Ctrl-C stops everything.
 """
 
 
 @click.command("try")
 @click.option("--providers", type=click.IntRange(1, 50), default=3, show_default=True)
 @click.option("--log-format", type=click.Choice(["console", "json", "logfmt"]), default="console", show_default=True)
-@click.option("--access/--no-access", default=True, show_default=True, help="An access line for each request.")
+@click.option("--access/--no-access", default=True, show_default=True, help="Log an access line for each request.")
 def attempt(providers: int, log_format: str, access: bool) -> None:
-    """Start a sidecar, stand-in providers and a stand-in discovery; print the curl lines to use."""
-    signal.signal(signal.SIGTERM, interrupted)
-    toys = {f"toy-{n}": provider(f"toy-{n}") for n in range(1, providers + 1)}
-    members = Members((name, toy.address) for name, toy in toys.items())
+    """Start a sidecar with stand-in providers and discovery, and print curl commands to try."""
+    signal.signal(signal.SIGTERM, interrupt)
+    providers_by_name = {f"toy-{n}": provider(f"toy-{n}") for n in range(1, providers + 1)}
+    members = Members((name, toy.address) for name, toy in providers_by_name.items())
     catalog = discovery(members)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
@@ -49,28 +49,30 @@
         config, operator = Path(folder, "config.json"), Path(folder, "loftweir.toml")
         config.write_text(json.dumps(configuration(listen, members, catalog.address)), encoding="utf-8")
         operator.write_text(f'[log]\naccess = "{"all" if access else "off"}"\n', encoding="utf-8")
-        words = ["run", "--config", str(config), "--operator", str(operator), "--log-format", log_format]
-        sidecar = subprocess.Popen([sys.executable, "-m", "loftweir", *words])
+        arguments = ["run", "--config", str(config), "--operator", str(operator), "--log-format", log_format]
+        sidecar = subprocess.Popen([sys.executable, "-m", "loftweir", *arguments])
         try:
-            if not ready(sidecar, listen):
-                click.echo("the sidecar did not get ready", err=True)
+            if not wait_until_ready(sidecar, listen):
+                click.echo("the sidecar did not become ready", err=True)
                 sys.exit(1)
-            click.echo(LINES.format(providers=providers, listen=listen, discovery=catalog.address))
+            click.echo(INSTRUCTIONS.format(providers=providers, listen=listen, discovery=catalog.address))
             sys.exit(sidecar.wait())
         except KeyboardInterrupt:
-            click.echo("ending")
+            click.echo("stopping")
         finally:
-            end(sidecar)
-            for toy in (*toys.values(), catalog):
-                toy.close()
+            stop(sidecar)
+            for server in (*providers_by_name.values(), catalog):
+                server.close()
 
 
-def interrupted(number: int, frame: FrameType | None) -> None:
+def interrupt(number: int, frame: FrameType | None) -> None:
+    """Handles SIGTERM like Ctrl-C."""
     raise KeyboardInterrupt
 
 
-def ready(sidecar: subprocess.Popen[bytes], listen: str) -> bool:
-    until = time.monotonic() + READY_WITHIN
+def wait_until_ready(sidecar: subprocess.Popen[bytes], listen: str) -> bool:
+    """Waits for the sidecar to answer its health check; returns False if it does not in time."""
+    until = time.monotonic() + READY_TIMEOUT
     while time.monotonic() < until and sidecar.poll() is None:
         client = HTTPConnection(*split_host_port(listen), timeout=1)
         try:
@@ -84,12 +86,12 @@
     return False
 
 
-def end(sidecar: subprocess.Popen[bytes]) -> None:
-    """In good order, and then not."""
+def stop(sidecar: subprocess.Popen[bytes]) -> None:
+    """Terminates the sidecar, and kills it if it does not stop in time."""
     if sidecar.poll() is None:
         sidecar.terminate()
     try:
-        sidecar.wait(ENDS_WITHIN)
+        sidecar.wait(STOP_TIMEOUT)
     except subprocess.TimeoutExpired:
         sidecar.kill()
         sidecar.wait()
--- a/loftweir/cli/common.py
+++ b/loftweir/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: options, the reading of both files, output as a table or JSON."""
+"""Shared by several commands: options, reading both files, and output as a table or JSON."""
 
 from __future__ import annotations
 
@@ -15,32 +15,35 @@
 
 F = TypeVar("F", bound=Callable[..., Any])
 
-PATH = click.Path(dir_okay=False)
+FILE = click.Path(dir_okay=False)
 
 
 def configured(command: F) -> F:
-    """The options that name both files."""
-    command = click.option("--operator", metavar="F", type=PATH, help="The operator's file (or LOFTWEIR_OPERATOR).")(
+    """Adds the options that name both files."""
+    command = click.option("--operator", metavar="F", type=FILE, help="The operator's file (or LOFTWEIR_OPERATOR).")(
         command
     )
-    return click.option("--config", metavar="F", type=PATH, help="The platform's file (or RELAY_CONFIG).")(command)
+    return click.option("--config", metavar="F", type=FILE, help="The platform's file (or RELAY_CONFIG).")(command)
 
 
 as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
-def where_from(config: str | None, operator: str | None, flags: dict[str, str] | None = None) -> Origin:
+def origin_of(config: str | None, operator: str | None, flags: dict[str, str] | None = None) -> Origin:
+    """Where the configuration is read from: the files of the options, the environment and the flags."""
     return origin(os.environ, config or "", operator or "", flags)
 
 
-def read_or_end(at: Origin) -> Configuration:
+def read_or_exit(at: Origin) -> Configuration:
+    """Reads the configuration; exits with its faults if it can't be used."""
     try:
         return read(at)
     except Faulty as error:
-        end_with(error.faults)
+        exit_with_faults(error.faults)
 
 
-def end_with(faults: Iterable[Fault]) -> NoReturn:
+def exit_with_faults(faults: Iterable[Fault]) -> NoReturn:
+    """Prints the faults and the remedy, and exits."""
     for fault in faults:
         click.echo(str(fault), err=True)
     click.echo(Faulty.remedy, err=True)
@@ -48,11 +51,12 @@
 
 
 def print_json(value: Any) -> None:
+    """Prints a value as indented JSON."""
     click.echo(ujson.dumps(value, indent=2, escape_forward_slashes=False))
 
 
 def print_table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Left-aligned columns, the last one as long as it likes."""
+    """Prints rows in left-aligned columns, the last one without padding."""
     lines = [[str(cell) for cell in row] for row in (head, *rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for number, line in enumerate(lines):
@@ -61,5 +65,5 @@
 
 
 def colour() -> bool:
-    """Whether standard output is to be coloured; click takes the codes off where it is no terminal."""
+    """Whether output is coloured; click removes the codes if standard output is not a terminal."""
     return not os.environ.get("NO_COLOR")
--- a/loftweir/cli/config.py
+++ b/loftweir/cli/config.py
@@ -1,4 +1,4 @@
-"""`loftweir config show | reference | diff`."""
+"""`loftweir config show | reference | diff`: prints, documents and compares configurations."""
 
 from __future__ import annotations
 
@@ -6,7 +6,16 @@
 
 import click
 
-from loftweir.cli.common import PATH, as_json, configured, end_with, print_json, print_table, read_or_end, where_from
+from loftweir.cli.common import (
+    FILE,
+    as_json,
+    configured,
+    exit_with_faults,
+    origin_of,
+    print_json,
+    print_table,
+    read_or_exit,
+)
 from loftweir.config import operator, platform, reference
 from loftweir.config.faults import Faulty
 from loftweir.config.model import keys
@@ -23,8 +32,8 @@
 @configured
 @as_json
 def show(config: str | None, operator: str | None, as_json: bool) -> None:
-    """Every key in force, its value and where it came from: default, file, environment or flag."""
-    of_platform, loaded, *_ = read_or_end(where_from(config, operator))
+    """Show every key in force, its value and where it came from: default, file, environment or flag."""
+    of_platform, loaded, *_ = read_or_exit(origin_of(config, operator))
     rows: list[tuple[str, Any, str, str]] = []
     for pair in platform.flatten({k: v for k, v in platform.read_object(of_platform.file).items() if k != "known"}):
         path, _, value = pair.partition("=")
@@ -45,18 +54,18 @@
 @config.command("reference")
 @click.option("--format", "form", type=click.Choice(["markdown", "toml"]), default="markdown", show_default=True)
 def show_reference(form: str) -> None:
-    """Document every key of the operator's file, from the program's own types."""
+    """Document every key of the operator's file."""
     click.echo(reference.markdown() if form == "markdown" else reference.toml(), nl=False)
 
 
 @config.command()
-@click.argument("a", type=PATH)
-@click.argument("b", type=PATH)
+@click.argument("a", type=FILE)
+@click.argument("b", type=FILE)
 @as_json
 def diff(a: str, b: str, as_json: bool) -> None:
-    """What a reload from A to B would change, and which of it needs a restart.
+    """Show what a reload from A to B would change, and which changes need a restart.
 
-    Both are operator's files, or both the platform's (named *.json).
+    Both are the operator's files, or both the platform's (named *.json).
     """
     found = platform_changes(a, b) if a.endswith(".json") and b.endswith(".json") else operator_changes(a, b)
     rows = [(path, old, new, "live" if live else "restart") for path, (old, new, live) in found.items()]
@@ -69,6 +78,7 @@
 
 
 def operator_changes(a: str, b: str) -> dict[str, tuple[Any, Any, bool]]:
+    """The differing keys of two operator's files: for each path its values, and whether a reload changes it."""
     loaded, faults = [], []
     for file in (a, b):
         try:
@@ -76,12 +86,12 @@
         except Faulty as error:
             faults += error.faults
     if faults:
-        end_with(faults)
+        exit_with_faults(faults)
     return changes(loaded[0].options, loaded[1].options)
 
 
 def platform_changes(a: str, b: str) -> dict[str, tuple[Any, Any, bool]]:
-    """Of the platform's file a reload takes discovery's address; all else waits for a restart."""
+    """The differing keys of two platform's files. A reload changes only discovery's address of them."""
     pairs, faults = [], []
     for file in (a, b):
         try:
@@ -89,7 +99,7 @@
         except Faulty as error:
             faults += error.faults
     if faults:
-        end_with(faults)
+        exit_with_faults(faults)
     old, new = pairs
     paths = [*old, *(path for path in new if path not in old)]
     absent = "(absent)"
--- a/loftweir/cli/emulate.py
+++ b/loftweir/cli/emulate.py
@@ -1,4 +1,4 @@
-"""`loftweir emulate`."""
+"""`loftweir emulate`: runs scenarios in virtual time and prints the results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import click
 
-from loftweir.cli.common import as_json, end_with, print_json, print_table
+from loftweir.cli.common import as_json, exit_with_faults, print_json, print_table
 from loftweir.config.faults import Fault, Faulty
 from loftweir.emulator.baselines import BALANCERS
 from loftweir.emulator.emulation import play
@@ -17,18 +17,18 @@
 
 
 def read_scenario(file: str) -> Scenario:
-    """A scenario file, decoded; ends the program with every fault of it."""
+    """Reads a scenario file; exits with all of its faults if it can't be used."""
     try:
-        with open(file, "rb") as opened:
-            return decode(tomllib.load(opened), file)
+        with open(file, "rb") as stream:
+            return decode(tomllib.load(stream), file)
     except OSError as error:
-        end_with([Fault(file, "", error.strerror or str(error), "a file that can be read")])
+        exit_with_faults([Fault(file, "", error.strerror or str(error), "a file that can be read")])
     except (ValueError, RecursionError) as error:
-        end_with(error.faults if isinstance(error, Faulty) else [Fault(file, "", str(error), "TOML in UTF-8")])
+        exit_with_faults(error.faults if isinstance(error, Faulty) else [Fault(file, "", str(error), "TOML in UTF-8")])
 
 
 def print_seconds(result: Result) -> None:
-    """What came of the requests of each second, and how many servers were overdriven at its end."""
+    """Prints the results of each second's requests, and how many servers were overdriven at its end."""
     head = ("second", "asked", "in time", "late", "turned away", "timed out", "goodput", "overdriven")
     rows = [
         (
@@ -46,10 +46,10 @@
 @click.argument("scenarios", nargs=-1, required=True, metavar="SCENARIO...")
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--balancer", type=click.Choice(list(BALANCERS)), default="loftweir", show_default=True)
-@click.option("--by-second", is_flag=True, help="Also print what came of each second's requests.")
+@click.option("--by-second", is_flag=True, help="Also print the results of each second's requests.")
 @as_json
 def emulate(scenarios: tuple[str, ...], seed: int, balancer: str, by_second: bool, as_json: bool) -> None:
-    """Play scenarios in virtual time and print the verdict. Exit code 1 where a rule was broken.
+    """Run scenarios in virtual time and print the results. Exit code 1 if a rule was broken.
 
     \b
     Examples:
--- a/loftweir/cli/explain.py
+++ b/loftweir/cli/explain.py
@@ -1,4 +1,4 @@
-"""`loftweir explain`."""
+"""`loftweir explain`: shows where requests would be sent, and why not elsewhere."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 import click
 import ujson
 
-from loftweir.cli.common import as_json, configured, print_json, print_table, read_or_end, where_from
+from loftweir.cli.common import as_json, configured, origin_of, print_json, print_table, read_or_exit
 from loftweir.config.lists import read_list
 from loftweir.config.model import duration
 from loftweir.config.operator import convert_value
 from loftweir.config.units import split_host_port
 from loftweir.errors import LoftweirError
 from loftweir.explain import BEHAVIOURS, Explanation, Traffic
-from loftweir.explain import explain as play
+from loftweir.explain import explain as run_explanation
 from loftweir.http1.discovery import CallFailed
 from loftweir.interface import MembershipUpdate, UpdateKind
 
 MS = 1_000_000
 PATH = "/catalog/members"
-ASK_WITHIN = 5  # seconds for a live discovery
+DISCOVERY_TIMEOUT = 5  # seconds
 GAP = duration("between requests", MS, 3_600_000 * MS)
 
 
 class Duration(click.ParamType[int]):
+    """An option's duration, such as 100ms, in nanoseconds."""
+
     name = "duration"
 
     def convert_value(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
@@ -43,14 +45,16 @@
 @click.command()
 @configured
 @click.option("--list", "list_file", type=click.File(), help="A list in discovery's form, instead of `known`.")
-@click.option("--live", is_flag=True, help="Ask the configuration's discovery for the list.")
+@click.option("--live", is_flag=True, help="Fetch the list from the configuration's discovery.")
 @click.option("--requests", "-n", type=click.IntRange(1, 100_000), default=20, show_default=True)
 @click.option("--class", "class_name", help="The class of the requests; the settings' first by default.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--gap", type=Duration(), default="100ms", show_default=True, help="Between requests.")
-@click.option("--answer", type=Duration(), default="50ms", show_default=True, help="Time of an answer.")
+@click.option("--gap", type=Duration(), default="100ms", show_default=True, help="Time between two requests.")
+@click.option(
+    "--answer", type=Duration(), default="50ms", show_default=True, help="Time that a provider takes to answer."
+)
 @click.option("--behaves", metavar="NAME=HOW", multiple=True, help=f"A provider that {', '.join(BEHAVIOURS)}.")
-@click.option("--each", is_flag=True, help="A line for every decision.")
+@click.option("--each", is_flag=True, help="Print a line for every decision.")
 @as_json
 def explain(
     config: str | None,
@@ -66,23 +70,23 @@
     each: bool,
     as_json: bool,
 ) -> None:
-    """Where a balancer that holds this list would send each request, and why the others were not usable.
+    """Show where a balancer with this list would send each request, and why the other providers were not usable.
 
-    The reasons are the decision module's own: drains, set aside, turned a call away, no room, fails the class, cold,
-    other zone. Requests come in virtual time; nothing is sent.
+    The reasons are those of the decision module: drains, set aside, turned a call away, no room, fails the class, cold,
+    other zone. Requests arrive in virtual time; nothing is sent.
 
     \b
-    Example: three providers, one of which answers nothing
+    Example: several providers, one of which never answers
       loftweir explain --config c.json -n 50 --behaves s-3=silent --each
     """
-    of_platform, *_ = read_or_end(where_from(config, operator))
+    of_platform, *_ = read_or_exit(origin_of(config, operator))
     classes = of_platform.settings.classes
     if class_name is not None and class_name not in classes:
         raise click.UsageError(f"--class: {class_name!r} is none of {', '.join(classes)}")
     known = of_platform.known
     try:
         if live:
-            known = fetched(of_platform.discovery)
+            known = fetch_list(of_platform.discovery)
         elif list_file is not None:
             known = read_list(ujson.loads(list_file.read()), UpdateKind.FULL)[0]
     except (OSError, ValueError, LoftweirError, http.client.HTTPException) as error:
@@ -90,7 +94,7 @@
         if isinstance(error, LoftweirError):
             click.echo(error.remedy, err=True)
         sys.exit(2)
-    found = play(
+    found = run_explanation(
         of_platform.settings,
         as_full(known),
         Traffic(class_name or next(iter(classes)), requests, gap, answer),
@@ -105,13 +109,15 @@
 
 
 def as_full(update: MembershipUpdate) -> MembershipUpdate:
+    """The same list as a full update."""
     return MembershipUpdate(UpdateKind.FULL, update.endpoints, update.version)
 
 
-def behaviours(words: tuple[str, ...], names: set[str]) -> dict[str, str]:
+def behaviours(options: tuple[str, ...], names: set[str]) -> dict[str, str]:
+    """Parses the options NAME=HOW to the behaviour of each provider."""
     found = {}
-    for word in words:
-        name, _, how = word.partition("=")
+    for option in options:
+        name, _, how = option.partition("=")
         if name not in names:
             raise click.UsageError(f"--behaves: {name!r} is not on the list")
         if how not in BEHAVIOURS:
@@ -120,9 +126,10 @@
     return found
 
 
-def fetched(address: str) -> MembershipUpdate:
+def fetch_list(address: str) -> MembershipUpdate:
+    """Fetches the list from a running discovery."""
     host, port = split_host_port(address)
-    client = http.client.HTTPConnection(host, port, timeout=ASK_WITHIN)
+    client = http.client.HTTPConnection(host, port, timeout=DISCOVERY_TIMEOUT)
     try:
         client.request("GET", PATH)
         answer = client.getresponse()
@@ -134,6 +141,7 @@
 
 
 def show(found: Explanation, each: bool) -> None:
+    """Prints an explanation as tables; `each`: with a line for every decision."""
     if each:
         print_table(
             ("request", "at", "what", "provider", "not used"),
@@ -158,4 +166,5 @@
 
 
 def reasons(others: dict[str, list[str]]) -> str:
+    """Formats why the other providers were not chosen."""
     return "; ".join(f"{name}: {', '.join(given)}" for name, given in others.items() if given)
--- a/loftweir/cli/root.py
+++ b/loftweir/cli/root.py
@@ -1,4 +1,4 @@
-"""The root of the command line: which module holds which command."""
+"""The root of the command line: the commands and their modules."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 from loftweir import __version__
 
-# A command's module is imported when the command is called or asked for help: `run` pays for no other.
+# A command's module is imported only when it is needed, so that `run` does not load the modules of the others.
 COMMANDS = {
     "run": ("loftweir.cli.run:run", "Run one sidecar."),
-    "check": ("loftweir.cli.check:check", "Check the configuration, all of it, and start nothing."),
+    "check": ("loftweir.cli.check:check", "Check the whole configuration without starting."),
     "config": ("loftweir.cli.config:config", "Show, document and compare configurations."),
-    "explain": ("loftweir.cli.explain:explain", "Where requests would go, and why not elsewhere."),
+    "explain": ("loftweir.cli.explain:explain", "Show where requests would be sent, and why not elsewhere."),
     "log": ("loftweir.cli.logs:log", "Read a structured log: filter, format, count."),
-    "emulate": ("loftweir.cli.emulate:emulate", "Play scenarios in virtual time against the balancer."),
-    "try": ("loftweir.cli.attempt:attempt", "Run a sidecar with stand-ins round it, to try it out."),
+    "emulate": ("loftweir.cli.emulate:emulate", "Run scenarios in virtual time against the balancer."),
+    "try": ("loftweir.cli.attempt:attempt", "Run a sidecar with stand-in providers, to try it out."),
 }
 EPILOG = """\b
-Exit codes: 0 done; 1 a fault of the program, or Ctrl-C; 2 the words, the configuration or the start can't be used.
-Completion for bash: eval "$(_LOFTWEIR_COMPLETE=bash_source loftweir)"; zsh and fish alike."""
+Exit codes: 0 done; 1 a fault of the program, or Ctrl-C; 2 the arguments or the configuration are wrong, or the start
+failed.
+Completion for bash: eval "$(_LOFTWEIR_COMPLETE=bash_source loftweir)"; likewise for zsh and fish."""
 
 
-class Lazy(click.Group):
-    """A group whose commands are named here and imported when called."""
+class LazyGroup(click.Group):
+    """A group of commands whose modules are imported when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -42,14 +43,14 @@
             formatter.write_dl([(name, about) for name, (_, about) in COMMANDS.items()])
 
 
-@click.command(cls=Lazy, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyGroup, epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, message="%(prog)s %(version)s")
 def loftweir() -> None:
-    """A sidecar that sends each request of an application to the server that its decision module chooses.
+    """A sidecar that sends each request of its clients to the provider that its decision module chooses.
 
     \b
     Examples:
       loftweir try                      a sidecar and stand-ins on free ports
-      loftweir check --config c.json    all that is wrong with a configuration
+      loftweir check --config c.json    all faults of a configuration
       loftweir run --config c.json --log-format console
     """
--- a/loftweir/config/__init__.py
+++ b/loftweir/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's JSON file, and the operator's own file in TOML. Neither repeats the other."""
+"""Configuration: the platform's JSON file and the operator's TOML file, which have no key in common."""
--- a/loftweir/config/lists.py
+++ b/loftweir/config/lists.py
@@ -1,4 +1,4 @@
-"""The list of providers in discovery's form; the same form in the platform's `known`. No I/O."""
+"""Reads lists of providers in discovery's form, which the platform's `known` has too. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from loftweir.errors import LoftweirError
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
 
-MS = 1_000_000
+MS = 1_000_000  # ns
 LIFECYCLES = {"active": Lifecycle.READY, "leaving": Lifecycle.DRAINING, "left": Lifecycle.GONE}
 
 
 class NotAList(LoftweirError, ValueError):
-    """A list of providers is not in discovery's form: every place that is not, its value and what was expected."""
+    """A list of providers is not in discovery's form; the text names each place, its value and what was expected."""
 
     remedy = (
-        "See that discovery's address leads to discovery itself, and that each entry it lists, or `known` in "
-        "the platform's file, has what is named."
+        "Check that discovery's address is that of discovery itself, and that each entry of its list, or of `known` in "
+        "the platform's file, has the fields that are named."
     )
 
     def __init__(self, faults: list[tuple[str, Any, str]]) -> None:
@@ -27,9 +27,9 @@
 
 
 def read_list(data: Any, kind: UpdateKind | None = None) -> tuple[MembershipUpdate, dict[str, str]]:
-    """A list in discovery's form, and where each provider on it listens; else a `NotAList`.
+    """Reads a list and the address of each provider; raises `NotAList` if it is not in discovery's form.
 
-    The name is the provider's identity everywhere; the address is only where this sidecar connects.
+    The name is the provider's identity everywhere; the address is used only for connecting to it.
     """
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
         at = ("endpoints", data.get("endpoints", MISSING)) if isinstance(data, dict) else ("", data)
@@ -70,11 +70,13 @@
 
 
 def text(value: Any) -> str:
+    """A value as text; raises ValueError if it is missing, nested or null."""
     if value == MISSING or isinstance(value, dict | list) or value is None:
         raise ValueError
     return str(value)
 
 
+# The fields of an entry: name, conversion, and what is expected.
 FIELDS = (
     ("name", text, "text"),
     ("address", text, "host:port"),
--- a/loftweir/config/model.py
+++ b/loftweir/config/model.py
@@ -1,10 +1,11 @@
-"""The operator's file: every key, its type, bounds, default and meaning, in one place.
+"""The operator's file: the type, bounds, default and meaning of every key.
 
-The reader, the reference page, the annotated example and `config show` are all made from these types. The
-platform's own settings are not repeated here: they are `interface.Settings`.
+The reader of the file, the reference page, the annotated example and `config show` are all generated from these types.
+The platform's own settings are not here: they are `interface.Settings`.
 
-`live` says what a reload does to a key: True, it holds from the next time that it is looked at; False, it was
-spent at the start (a socket's queue, descriptors shared out) and a change waits for the next one.
+`live` tells what a reload does with a key. True: the new value is in force the next time that it is used. False: the
+value was used up at the start (the length of a socket's queue, the distribution of descriptors), and a change waits for
+the next start.
 """
 
 from __future__ import annotations
@@ -26,12 +27,20 @@
 )
 from loftweir.listclock import ANEW, LEAST
 
-MS, SECOND, MINUTE, HOUR = 1_000_000, 1_000_000_000, 60_000_000_000, 3_600_000_000_000
-KIB, MIB, GIB = 1024, 1024**2, 1024**3
+# Durations in nanoseconds.
+MS = 1_000_000
+SECOND = 1_000_000_000
+MINUTE = 60 * SECOND
+HOUR = 60 * MINUTE
+
+# Sizes in bytes.
+KIB = 1024
+MIB = 1024**2
+GIB = 1024**3
 
 
 class Spec(NamedTuple):
-    """What is known of one key beside its default."""
+    """The unit, meaning and bounds of one key."""
 
     unit: Unit
     about: str
@@ -39,9 +48,10 @@
     most: float = float("inf")
     live: bool = True
     choices: tuple[str, ...] = ()
-    check: Callable[[str], object] = check_plain_text  # of text: a ValueError says what was expected
+    check: Callable[[str], object] = check_plain_text  # for text; its ValueError says what was expected
 
     def expected(self) -> str:
+        """What a value has to be, for messages."""
         if self.unit is Unit.TEXT:
             return "text"
         if self.unit is Unit.CHOICE:
@@ -51,26 +61,32 @@
 
 
 def duration(about: str, least: int, most: int, live: bool = True) -> Spec:
+    """A key with a duration in nanoseconds."""
     return Spec(Unit.DURATION, about, least, most, live)
 
 
 def size(about: str, least: int, most: int, live: bool = True) -> Spec:
+    """A key with a size in bytes."""
     return Spec(Unit.SIZE, about, least, most, live)
 
 
 def share(about: str, least: float, most: float, live: bool = True) -> Spec:
+    """A key with a share from 0 to 1, written in percent."""
     return Spec(Unit.SHARE, about, float(least), float(most), live)
 
 
 def count(about: str, least: int, most: int, live: bool = True) -> Spec:
+    """A key with a whole number."""
     return Spec(Unit.COUNT, about, least, most, live)
 
 
 def choice(about: str, *choices: str, live: bool = True) -> Spec:
+    """A key with one of several words."""
     return Spec(Unit.CHOICE, about, live=live, choices=choices)
 
 
 def text(about: str, check: Callable[[str], object] = check_plain_text, live: bool = True) -> Spec:
+    """A key with text that `check` accepts."""
     return Spec(Unit.TEXT, about, live=live, check=check)
 
 
@@ -79,71 +95,90 @@
 
 
 class Limits(Section, frozen=True, kw_only=True):
-    """What a consumer may take: time, bytes, connections."""
+    """Time, bytes and connections that a client may use."""
 
     request_within: Annotated[
         int,
         duration(
-            "for a request's head: the first on a connection from its opening on, a later one from its first byte on; "
-            "a body has at least as long",
+            "time to send a request's head: for the first on a connection counted from when it was accepted, for "
+            "a later one from its first byte; a body gets at least as long",
             10 * MS,
             HOUR,
         ),
     ] = 2500 * MS
-    idle_for: Annotated[int, duration("that a consumer's connection may rest between requests", 10 * MS, 24 * HOUR)] = (
-        5 * SECOND
-    )
-    write_within: Annotated[int, duration("for a consumer to read a whole answer", 10 * MS, HOUR)] = 5 * SECOND
+    idle_for: Annotated[
+        int, duration("how long a client's connection may be idle between requests", 10 * MS, 24 * HOUR)
+    ] = 5 * SECOND
+    write_within: Annotated[int, duration("time for a client to read a whole answer", 10 * MS, HOUR)] = 5 * SECOND
     sends_within: Annotated[
         int,
-        duration("in which a new connection is not closed to make room: it has not had its turn to send", 0, MINUTE),
+        duration(
+            "time in which a new connection is not closed to make room, as it has not had the chance to send", 0, MINUTE
+        ),
     ] = 250 * MS
     linger_for: Annotated[
-        int, duration("to read off what follows a last answer, so that it is not reset", 0, MINUTE)
+        int,
+        duration(
+            "how long what a client still sends is read after its last answer, so that the connection is not reset",
+            0,
+            MINUTE,
+        ),
     ] = SECOND
-    linger_bytes: Annotated[int, size("read off at most behind a last answer", 0, GIB)] = MIB
-    body: Annotated[int, size("of one request's body; over it is answered 413", 1, 64 * MIB)] = 32 * MIB
+    linger_bytes: Annotated[int, size("most bytes read after a connection's last answer", 0, GIB)] = MIB
+    body: Annotated[int, size("largest body of a request; a larger one is answered 413", 1, 64 * MIB)] = 32 * MIB
     body_within: Annotated[
-        int, duration("for a request's body, beside what its bytes take at `body_rate`", 10 * MS, HOUR)
+        int, duration("time for a request's body, in addition to what its bytes take at `body_rate`", 10 * MS, HOUR)
     ] = SECOND
-    body_rate: Annotated[int, size("a second, the least at which a body has to come", 1, GIB)] = 48 * KIB
+    body_rate: Annotated[int, size("lowest rate at which a body must arrive, in bytes a second", 1, GIB)] = 48 * KIB
     body_silent: Annotated[
-        int, duration("with nothing of a body that has begun, until it is given up", 10 * MS, HOUR)
+        int, duration("time without a byte of a body that has begun, until the request is abandoned", 10 * MS, HOUR)
     ] = 2 * SECOND
     held: Annotated[
-        int, size("of an answer that are waited for as a whole; a longer one is passed on as it comes", 1, MIB)
+        int, size("answers up to this size are received as a whole; a longer one is passed on as it arrives", 1, MIB)
     ] = 64 * KIB
     silent_for: Annotated[
-        int, duration("with nothing of a long answer, until its provider is given up", 10 * MS, HOUR)
+        int, duration("time without a byte of a long answer, until its provider is abandoned", 10 * MS, HOUR)
     ] = 5 * SECOND
     answer: Annotated[
-        int, size("of one answer's body; over it the invoker call is an error that may have run", 1, GIB)
+        int, size("largest body of an answer; a larger one makes the attempt an error that may have run", 1, GIB)
     ] = 32 * MIB
     answers_of_memory: Annotated[
-        float, share("of the platform's `memory_mb` that all answers on their way may take", 0.01, 0.9, live=False)
+        float, share("share of the platform's `memory_mb` for all answers in flight", 0.01, 0.9, live=False)
     ] = 0.125
     requests_of_memory: Annotated[
-        float, share("of the platform's `memory_mb` that all requests' bodies may take", 0.01, 0.9, live=False)
+        float, share("share of the platform's `memory_mb` for the bodies of all requests", 0.01, 0.9, live=False)
     ] = 0.25
     consumers_of_sockets: Annotated[
-        float, share("of the platform's `sockets` for consumers; the rest goes to providers", 0.05, 0.9, live=False)
+        float, share("share of the platform's `sockets` for clients; the rest is for providers", 0.05, 0.9, live=False)
     ] = 0.5
     idle_of_sockets: Annotated[
         float,
         share(
-            "of the platform's `sockets` that may rest between requests; over it the longest unused is closed",
+            "share of the platform's `sockets` for idle connections of clients; above it the one longest idle is "
+            "closed",
             0.01,
             0.9,
             live=False,
         ),
     ] = 0.125
     other_sockets: Annotated[
-        int, count("descriptors kept from both for the streams, epoll, the listener and discovery", 8, 1024, live=False)
+        int,
+        count(
+            "descriptors reserved from both shares for the standard streams, epoll, the listener and discovery",
+            8,
+            1024,
+            live=False,
+        ),
     ] = 16
     backlog: Annotated[int, count("connections that wait in the listener's queue", 1, 65535, live=False)] = 512
-    retry_accept: Annotated[int, duration("until accepting is tried again where there is no room", MS, SECOND)] = 5 * MS
+    retry_accept: Annotated[int, duration("time until accepting is tried again when there is no room", MS, SECOND)] = (
+        5 * MS
+    )
     accept_after_term: Annotated[
-        int, duration("that it goes on accepting after SIGTERM: clients learn of a stop later than it does", 0, MINUTE)
+        int,
+        duration(
+            "how long it accepts connections after SIGTERM: clients learn of a stop later than the sidecar", 0, MINUTE
+        ),
     ] = 700 * MS
 
 
@@ -153,7 +188,8 @@
     idle_margin: Annotated[
         int,
         duration(
-            "before the platform's `connIdle` that a resting connection is closed: none then crosses a request",
+            "how long before the platform's `connIdle` an idle connection is closed, so that the provider does "
+            "not close it while a request is on its way",
             0,
             MINUTE,
         ),
@@ -161,105 +197,121 @@
     rest_least: Annotated[
         int,
         duration(
-            "that a connection rests before another request goes over it, while others have rested longer: a "
-            "provider that closes behind its answer has then shown it",
+            "how long a connection must be idle before its next request, if others have been idle longer: a "
+            "provider that closes after its answer has done so by then",
             0,
             SECOND,
         ),
     ] = 30 * MS
-    information: Annotated[int, count("answers 1xx ahead of one final answer; more never end", 0, 1000)] = 16
+    information: Annotated[
+        int, count("most 1xx responses ahead of one final response; more fail the attempt", 0, 1000)
+    ] = 16
 
 
 class Discovery(Section, frozen=True, kw_only=True):
     """Calls to discovery."""
 
-    wait: Annotated[int, duration("that discovery may hold a watch with no news", 100 * MS, MINUTE)] = 4 * SECOND
-    # What a call misses that fails counts as told soon: `listclock` says how these figures fit into that.
+    wait: Annotated[
+        int, duration("how long discovery may hold a watch open when there is no update", 100 * MS, MINUTE)
+    ] = 4 * SECOND
+    # A change that a failed call missed counts as notified soon after: `listclock` relates these figures to that time.
     silent_after: Annotated[
         int,
-        duration("past its wait, until a watch with no answer is taken for silent, and asked anew", 50 * MS, MINUTE),
+        duration(
+            "time beyond its wait until a watch without an answer counts as silent and is started again",
+            50 * MS,
+            MINUTE,
+        ),
     ] = 600 * MS
     answer_within: Annotated[
         int,
-        duration("until a call that does not wait is taken for silent, from its connecting on", 50 * MS, MINUTE),
+        duration("time until a call that does not wait counts as silent, connecting included", 50 * MS, MINUTE),
     ] = 1400 * MS
     connect_within: Annotated[
-        int, duration("for a connection to discovery to be up, as a part of its call's time", 10 * MS, MINUTE)
+        int,
+        duration("time for a connection to discovery to be established, as part of its call's time", 10 * MS, MINUTE),
+    ] = SECOND
+    # Discovery continues a watch if the next call comes within 200 ms of the last answer; a later one starts a new one.
+    calls_apart: Annotated[int, duration("shortest time between two calls", MS, 180 * MS)] = 100 * MS
+    list_size: Annotated[int, size("largest answer of discovery", KIB, 256 * MIB)] = 4 * MIB
+    # If lists are pushed, a local agent answers at no cost, and what it has counts as notified. The sidecar always
+    # watches it, and soon abandons a silent call and makes it again.
+    agent_wait: Annotated[
+        int, duration("how long the agent that pushes lists may hold a watch open", 10 * MS, MINUTE)
     ] = SECOND
-    # A watch goes on where its next call comes within 200 ms of the last answer: later ones begin anew.
-    calls_apart: Annotated[int, duration("from call to call at least", MS, 180 * MS)] = 100 * MS
-    list_size: Annotated[int, size("of one answer of discovery", KIB, 256 * MIB)] = 4 * MIB
-    # Where lists are pushed, the agent beside the sidecar answers at no cost and what it has counts as told: it
-    # is watched always, a silent one is soon given up and called again.
-    agent_wait: Annotated[int, duration("that the agent that pushes lists may hold a watch", 10 * MS, MINUTE)] = SECOND
     agent_silent_after: Annotated[
-        int, duration("past its wait, until a call to the agent with no answer is taken for failed", 10 * MS, MINUTE)
+        int,
+        duration("time beyond its wait until a call to the agent without an answer counts as failed", 10 * MS, MINUTE),
     ] = 250 * MS
 
 
 class Log(Section, frozen=True, kw_only=True):
-    """What is logged, and how."""
+    """What is logged, and in which format."""
 
-    format: Annotated[str, choice("of a line on standard error", "json", "logfmt", "console")] = "json"
-    level: Annotated[str, choice("the least that is said", "debug", "info", "warning", "error")] = "info"
+    format: Annotated[str, choice("format of a line on standard error", "json", "logfmt", "console")] = "json"
+    level: Annotated[str, choice("lowest level that is logged", "debug", "info", "warning", "error")] = "info"
     repeat_every: Annotated[
-        int, duration("in which an event that keeps coming is said once, with the number left out", 0, HOUR)
+        int, duration("interval in which a repeating event is logged once, with the number of those skipped", 0, HOUR)
     ] = 10 * SECOND
     keep: Annotated[
-        int, size("of lines kept for a reader that stalls; past it they are dropped and counted", KIB, 64 * MIB)
+        int, size("lines buffered for a reader that stalls; beyond it they are dropped and counted", KIB, 64 * MIB)
     ] = 64 * KIB
     access: Annotated[
         str,
         choice(
-            "a line for each invocation: none, those not served or slow, these and a sample, or all",
+            "which invocations get a line: none, those not served or slow, these and a sample, or all",
             "off",
             "troubled",
             "sampled",
             "all",
         ),
     ] = "off"
-    access_slow: Annotated[int, duration("from which an invocation counts as slow", MS, HOUR)] = 500 * MS
-    access_sample: Annotated[float, share("of the others that `sampled` says, chosen by id", 0.0, 1.0)] = 0.01
+    access_slow: Annotated[int, duration("an invocation that takes this long counts as slow", MS, HOUR)] = 500 * MS
+    access_sample: Annotated[
+        float, share("share of the other invocations that `sampled` logs, selected by id", 0.0, 1.0)
+    ] = 0.01
 
 
 class State(Section, frozen=True, kw_only=True):
-    """The snapshot of the list, in `$TMPDIR`, that a start takes where the platform gives an older one or none."""
+    """The snapshot of the list in `$TMPDIR`, which a start uses if the platform's list is older or empty."""
 
-    keep: Annotated[str, choice("the last list held, as a snapshot to start with", "off", "on", live=False)] = "off"
-    trust_for: Annotated[int, duration("after it was written, that a snapshot may be started with", SECOND, HOUR)] = (
-        60 * SECOND
-    )
-    write_apart: Annotated[int, duration("from one snapshot to the next at least", 10 * MS, MINUTE)] = SECOND
+    keep: Annotated[
+        str, choice("whether the current list is stored as a snapshot for the next start", "off", "on", live=False)
+    ] = "off"
+    trust_for: Annotated[int, duration("how old a snapshot may be when a start uses it", SECOND, HOUR)] = 60 * SECOND
+    write_apart: Annotated[int, duration("shortest time between two snapshots", 10 * MS, MINUTE)] = SECOND
 
 
 class Replication(Section, frozen=True, kw_only=True):
-    """Copies: what is said to the whole fleet is kept by three to five sidecars that vote; off without members."""
+    """The replicated state of the fleet: three to five voting sidecars store it; off without members."""
 
     members: Annotated[
         str,
         text(
-            "the sidecars that vote, by the platform's `name`, each with the address where it listens for the others: "
-            '"n0=127.0.0.1:7101, n1=..."; the same in the file of every sidecar; empty: off',
+            "the sidecars that vote, by the platform's `name`, each with the address where it listens for the "
+            'others: "n0=127.0.0.1:7101, n1=..."; the same in the file of every sidecar; empty: off',
             parse_members,
             live=False,
         ),
     ] = ""
-    cluster: Annotated[str, text("name of the whole; who names another one is turned away", live=False)] = "loftweir"
+    cluster: Annotated[str, text("name of the cluster; connections from another one are rejected", live=False)] = (
+        "loftweir"
+    )
     folder: Annotated[
         str,
         text(
-            "where a sidecar that votes keeps its files, on a disk that outlives the process; no other needs one",
+            "where a voting sidecar stores its files, on a disk that outlives the process; no other sidecar needs one",
             live=False,
         ),
     ] = ""
-    beat: Annotated[
-        int, duration("from one sign of life of the leader to the next", 5 * MS, 10 * SECOND, live=False)
-    ] = 100 * MS
+    beat: Annotated[int, duration("time between two heartbeats of the leader", 5 * MS, 10 * SECOND, live=False)] = (
+        100 * MS
+    )
     election: Annotated[
         int,
         duration(
-            "without a leader, from this to twice as long, until another stands; above the longest pause of a disk's "
-            "sync and of the network",
+            "time without a heartbeat until an election; each sidecar waits between this and twice as long. It "
+            "must exceed the longest stall of a disk's sync and of the network",
             20 * MS,
             MINUTE,
             live=False,
@@ -268,20 +320,20 @@
     write_within: Annotated[
         int,
         duration(
-            "for the promise that a word to the fleet is kept; past it the answer is an error",
+            "time to commit a command to the fleet; after it the answer is an error",
             100 * MS,
             MINUTE,
             live=False,
         ),
     ] = 2 * SECOND
     follow_wait: Annotated[
-        int, duration("that a call for news may be held where there are none", 50 * MS, MINUTE, live=False)
+        int, duration("how long a call for updates may be held open when there are none", 50 * MS, MINUTE, live=False)
     ] = SECOND
     callers: Annotated[
         int,
         count(
-            "connections of sidecars that don't vote, which one that votes takes at a time, out of the platform's "
-            "`sockets`; over it they are turned away to the others",
+            "connections of non-voting sidecars that a voting one accepts at a time, out of the platform's "
+            "`sockets`; the others are sent to another member",
             4,
             4096,
             live=False,
@@ -290,12 +342,12 @@
 
 
 class Partners(Section, frozen=True, kw_only=True):
-    """Other sites' routes and this site's own, by the terms of whose they are; off without a site."""
+    """Routes to other sites and offers to them, by the terms of their owners; off without a site."""
 
     site: Annotated[
         str,
         text(
-            "name of this site, as its neighbours know it; `replication.members` is needed; empty: off",
+            "name of this site, as its neighbours know it; needs `replication.members`; empty: off",
             parse_label,
             live=False,
         ),
@@ -303,14 +355,14 @@
     file: Annotated[
         str,
         text(
-            "the neighbours and this site's own routes with their terms, in TOML or JSON; the same at every sidecar of "
-            "the site. A reload reads it again",
+            "the neighbours and this site's own routes with their terms, in TOML or JSON; the same at every "
+            "sidecar of the site. A reload reads it again",
         ),
     ] = ""
     listen: Annotated[
         str,
         text(
-            "where neighbours ask this sidecar for this site's routes; set it at those that vote; empty: nowhere",
+            "address at which neighbours fetch this site's routes; set it at the voting sidecars; empty: none",
             check_address,
             live=False,
         ),
@@ -318,49 +370,58 @@
     service: Annotated[
         str,
         text(
-            "the service whose providers this sidecar's discovery lists, as orders@shop: a partner's take their place "
-            "while none of them is ready; empty: never",
+            "the service whose providers this sidecar's discovery lists, for example orders@shop: a partner's "
+            "providers replace them while none of them is ready; empty: never",
             parse_service,
             live=False,
         ),
     ] = ""
     wait: Annotated[
-        int, duration("that a call may be held by a partner with no news", 100 * MS, MINUTE, live=False)
+        int, duration("how long a partner may hold a call open when there is no update", 100 * MS, MINUTE, live=False)
     ] = 5 * SECOND
     silent_after: Annotated[
         int,
-        duration("past its wait, until a call with no answer is given up and made anew", 50 * MS, MINUTE, live=False),
+        duration(
+            "time beyond its wait until a call without an answer is abandoned and made again",
+            50 * MS,
+            MINUTE,
+            live=False,
+        ),
     ] = SECOND
     hold: Annotated[
         int,
         duration(
-            "with no good answer of a partner, until what it told is stale: used as the last choice, shown to nobody",
+            "time without a valid answer of a partner until its routes are stale: used as the last choice, "
+            "offered to nobody",
             SECOND,
             HOUR,
             live=False,
         ),
     ] = 15 * SECOND
-    gone: Annotated[int, duration("of being stale, until nothing of a partner is used", 100 * MS, HOUR, live=False)] = (
-        30 * SECOND
-    )
+    gone: Annotated[
+        int, duration("how long a partner's routes may be stale until none of them is used", 100 * MS, HOUR, live=False)
+    ] = 30 * SECOND
     lease: Annotated[
         int,
         duration(
-            "of the lease under which one sidecar asks a partner: so long after its end the next one begins",
+            "duration of the lease under which one sidecar fetches from a partner; another takes over this long "
+            "after the last renewal",
             SECOND,
             MINUTE,
             live=False,
         ),
     ] = 5 * SECOND
-    table_size: Annotated[int, size("of one partner's answer; over it it is refused", 4 * KIB, 8 * MIB, live=False)] = (
-        MIB
+    table_size: Annotated[
+        int, size("largest answer of a partner; a larger one is rejected", 4 * KIB, 8 * MIB, live=False)
+    ] = MIB
+    routes: Annotated[int, count("most routes in a partner's table; a larger one is rejected", 1, 2000, live=False)] = (
+        500
     )
-    routes: Annotated[int, count("of one partner's table; over it it is refused", 1, 2000, live=False)] = 500
     callers: Annotated[
         int,
         count(
-            "connections of neighbours taken at `listen` at a time, out of the platform's `sockets`; of more, the one "
-            "silent for longest goes",
+            "connections of neighbours accepted at `listen` at a time, out of the platform's `sockets`; one more "
+            "closes the one silent for longest",
             2,
             1024,
             live=False,
@@ -374,9 +435,9 @@
     file: Annotated[
         str,
         text(
-            "this site's own services, who of discovery's providers serves each, and the meshes' names, in TOML or "
-            "JSON; the same at every sidecar of the site. A reload reads it again; another path waits for the next "
-            "start. `partners.site` is needed; empty: off",
+            "this site's own services, which of discovery's providers serve each, and the meshes' names, in TOML "
+            "or JSON; the same at every sidecar of the site. A reload reads it again; another path waits for the "
+            "next start. Needs `partners.site`; empty: off",
             live=False,
         ),
     ] = ""
@@ -405,15 +466,17 @@
 
     @property
     def path(self) -> str:
+        """The key with its section, as `limits.body`."""
         return f"{self.section}.{self.name}"
 
     @property
     def variable(self) -> str:
-        """The environment variable that goes before the file."""
+        """The environment variable that takes precedence over the file."""
         return f"LOFTWEIR_{self.section}_{self.name}".upper()
 
 
 def sections() -> dict[str, type[Section]]:
+    """The tables of the file by name, in the file's order."""
     return {name: kind for name, kind in get_type_hints(Options).items() if isinstance(kind, type)}
 
 
@@ -427,53 +490,55 @@
 
 
 def contradictions(options: Options) -> Iterator[tuple[str, str]]:
-    """Pairs of keys that can't both be meant: the path, and what it must be to go with the other."""
+    """Keys whose value contradicts that of another one: the path of each, and what it must be instead."""
     limits, log, discovery = options.limits, options.log, options.discovery
     if limits.sends_within > limits.request_within:
         yield "limits.sends_within", "at most limits.request_within"
     if limits.idle_of_sockets > limits.consumers_of_sockets:
-        yield "limits.idle_of_sockets", "at most limits.consumers_of_sockets: those at rest are consumers too"
+        yield "limits.idle_of_sockets", "at most limits.consumers_of_sockets, which includes the idle connections"
     if log.access == "sampled" and log.access_sample == 0:
-        yield "log.access_sample", "above 0%, since log.access asks for a sample"
+        yield "log.access_sample", "above 0%, as log.access asks for a sample"
     if options.replication.election < 3 * options.replication.beat:
-        yield "replication.election", "at least three times replication.beat: one sign of life may be lost"
+        yield "replication.election", "at least three times replication.beat, as one heartbeat may be lost"
     if options.partners.site:
-        yield from _partners_contradict(options)
+        yield from _partner_contradictions(options)
     if options.catalog.file and not options.partners.site:
-        yield "catalog.file", "empty, or partners.site and replication.members named: names are the whole site's"
-    yield from _told_late(discovery)
+        yield "catalog.file", "empty, or partners.site and replication.members set, as the whole site shares the names"
+    yield from _late_notification(discovery)
 
 
-def _told_late(discovery: Discovery) -> Iterator[tuple[str, str]]:
-    """Figures by which a change may be read later than it counts as told."""
+def _late_notification(discovery: Discovery) -> Iterator[tuple[str, str]]:
+    """Keys with which a sidecar can read a change later than it counts as notified of it."""
     answer, apart = discovery.answer_within, discovery.calls_apart
-    asked = listclock.faults(discovery.wait, discovery.silent_after, answer, apart)
+    own_calls = listclock.faults(discovery.wait, discovery.silent_after, answer, apart)
     pushed = listclock.faults(discovery.agent_wait, discovery.agent_silent_after, answer, apart, pushed=True)
-    for prefix, faults in (("", asked), ("agent_", pushed)):
+    for prefix, faults in (("", own_calls), ("agent_", pushed)):
         for name, most in faults:
             yield (
                 f"discovery.{prefix}{name}",
                 (
                     f"at most {format_quantity(Unit.DURATION, most)}: a change counts as told 6 s after discovery "
-                    "had it, and past a call that fell silent there must be time to ask anew"
+                    "had it, and there must be time for another call after a silent one"
                 ),
             )
 
 
-REPLICATION_MARGIN = 500 * MS  # of `partners.hold`, kept for what is confirmed to reach all sidecars
+# The part of `partners.hold` that is reserved for a confirmed table to reach all sidecars of the site.
+REPLICATION_MARGIN = 500 * MS
 
 
-def _partners_contradict(options: Options) -> Iterator[tuple[str, str]]:
+def _partner_contradictions(options: Options) -> Iterator[tuple[str, str]]:
     partners = options.partners
     if not options.replication.members:
-        yield "partners.site", "empty, or replication.members named: what partners tell is kept in the copies"
+        yield "partners.site", "empty, or replication.members set, as the cluster stores the partners' routes"
     if not partners.file:
-        yield "partners.file", "a file, since partners.site names a site"
+        yield "partners.file", "a file, as partners.site is set"
     least = partners.wait + partners.silent_after + ANEW * LEAST + REPLICATION_MARGIN
     if partners.hold < least:
         yield (
             "partners.hold",
-            (f"at least {format_quantity(Unit.DURATION, least)}: partners.wait, silent_after, and time to ask anew"),
+            f"at least {format_quantity(Unit.DURATION, least)}: partners.wait, partners.silent_after, and time to try "
+            "again",
         )
     if partners.hold < 2 * partners.lease:
-        yield "partners.hold", "at least twice partners.lease: the next sidecar has to have asked by then"
+        yield "partners.hold", "at least twice partners.lease, so that the next sidecar has fetched by then"
--- a/loftweir/config/operator.py
+++ b/loftweir/config/operator.py
@@ -1,6 +1,6 @@
-"""Reads the operator's file: all faults at once, and of each value where it came from.
+"""Reads the operator's file, reports all of its faults at once, and records where each value came from.
 
-A flag goes before an environment variable, that before the file, and the file before the default.
+A flag takes precedence over an environment variable, that over the file, and the file over the default.
 """
 
 from __future__ import annotations
@@ -15,38 +15,40 @@
 from loftweir.config.units import Unit, check_plain_text, format_quantity, parse_quantity
 
 FILE_VARIABLE = "LOFTWEIR_OPERATOR"
-MAX_FILE_BYTES = 1024 * 1024  # bytes of a file that is read at all
+MAX_FILE_BYTES = 1024 * 1024
 
 
 class Loaded(NamedTuple):
+    """The operator's options in force, and where they came from."""
+
     options: Options
-    sources: dict[str, str]  # by path: default, file, environment or flag
-    file: str  # empty: there is none
+    sources: dict[str, str]  # for each path: default, file, environment or flag
+    file: str  # empty if there is none
 
 
 def load(file: str, environment: Mapping[str, str], flags: Mapping[str, str] | None = None) -> Loaded:
-    """The options in force; a `Faulty` carries every fault of the file, the environment and the flags."""
+    """Returns the options in force; raises `Faulty` with every fault of the file, the environment and the flags."""
     faults: list[Fault] = []
     table = read_table(file, faults) if file else {}
     known = {key.path: key for key in keys()}
     values: dict[str, Any] = {}
     sources = dict.fromkeys(known, "default")
-    for path, raw in flat(table, file, faults):
+    for path, raw in flatten_sections(table, file, faults):
         key = known.get(path)
         if key is None:
             faults.append(Fault(file, path, raw, suggest_key(path, known)))
         else:
-            take(key, raw, file, "file", values, sources, faults)
+            store_value(key, raw, file, "file", values, sources, faults)
     variables = {key.variable: key for key in known.values()}
     for variable, text in environment.items():
         if not variable.startswith("LOFTWEIR_") or variable == FILE_VARIABLE:
             continue
         if variable in variables:
-            take(variables[variable], text, "environment", "environment", values, sources, faults, variable)
+            store_value(variables[variable], text, "environment", "environment", values, sources, faults, variable)
         else:
             faults.append(Fault("environment", variable, text, suggest_key(variable, variables)))
     for path, text in (flags or {}).items():
-        take(known[path], text, "command line", "flag", values, sources, faults)
+        store_value(known[path], text, "command line", "flag", values, sources, faults)
     tables: dict[str, dict[str, Any]] = {name: {} for name in sections()}
     for path, value in values.items():
         section, _, name = path.partition(".")
@@ -64,11 +66,12 @@
 
 
 def read_table(file: str, faults: list[Fault]) -> dict[str, Any]:
-    import tomllib  # here: an instance with no such file has no use for it
+    """Reads a TOML file; adds a fault and returns an empty table if that fails."""
+    import tomllib  # here, as a sidecar without such a file does not need it
 
     try:
-        with open(file, "rb") as opened:
-            data = opened.read(MAX_FILE_BYTES + 1)
+        with open(file, "rb") as stream:
+            data = stream.read(MAX_FILE_BYTES + 1)
         if len(data) > MAX_FILE_BYTES:
             raise ValueError(f"it has more than {MAX_FILE_BYTES} bytes")
         return tomllib.loads(data.decode("utf-8"))
@@ -79,8 +82,8 @@
     return {}
 
 
-def flat(table: Mapping[str, Any], file: str, faults: list[Fault]) -> Iterable[tuple[str, Any]]:
-    """The file's keys by path; where a section is no table, that is the fault."""
+def flatten_sections(table: Mapping[str, Any], file: str, faults: list[Fault]) -> Iterable[tuple[str, Any]]:
+    """Yields the file's keys with their paths; adds a fault for each section that is unknown or not a table."""
     known = sections()
     for name, inner in table.items():
         if name not in known:
@@ -93,13 +96,14 @@
 
 
 def suggest_key(name: str, known: Iterable[str]) -> str:
+    """What was expected in place of an unknown key, with the most similar one."""
     from difflib import get_close_matches
 
     close = get_close_matches(name, list(known), 1, 0.5)
     return f"a known key; did you mean {close[0]}?" if close else "a known key"
 
 
-def take(
+def store_value(
     key: Key,
     raw: Any,
     file: str,
@@ -109,6 +113,7 @@
     faults: list[Fault],
     path: str = "",
 ) -> None:
+    """Converts a value and stores it with its source, or adds a fault."""
     try:
         values[key.path] = convert_value(key.spec, raw, loose=source != "file")
         sources[key.path] = source
@@ -117,7 +122,7 @@
 
 
 def convert_value(spec: Spec, raw: Any, loose: bool = False) -> Any:
-    """A value in base units; `loose` takes the text of a variable or flag for a number."""
+    """Converts a value to base units; `loose` also accepts a number as text, as variables and flags have it."""
     if spec.unit is Unit.CHOICE:
         if raw not in spec.choices:
             raise ValueError(spec.expected())
--- a/loftweir/config/platform.py
+++ b/loftweir/config/platform.py
@@ -1,4 +1,4 @@
-"""Reads the platform's configuration, a JSON file and a few variables: all of its faults at once."""
+"""Reads the platform's configuration, a JSON file and a few environment variables, and reports all faults at once."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 
 FILE_VARIABLE = "RELAY_CONFIG"
 LISTEN_FD = "RELAY_LISTEN_FD"
-LARGEST = 64 * 1024 * 1024  # bytes of a file that is read at all
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class Platform(NamedTuple):
-    """What the platform tells one sidecar."""
+    """The platform's configuration of one sidecar."""
 
     name: str
     listen: str
     discovery: str
-    operator: str  # the operators' address; empty: none
-    listen_fd: int | None  # the listening socket, where the platform holds it
+    operator: str  # the operators' address; empty if there is none
+    listen_fd: int | None  # the listening socket, if the platform opened it
     seed: int
     sockets: int
     memory_mb: int
     settings: Settings
     known: MembershipUpdate
     addresses: dict[str, str]
-    keys: frozenset[str]  # of the file, as `key_paths` has them
+    keys: frozenset[str]  # of the file, in the form of `key_paths`
     sources: dict[str, str]  # of listen and discovery: file or environment
     file: str
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
-    """Nested values as path=value pairs, for the command line to show."""
+    """Yields nested values as path=value, for the command line to print."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
@@ -56,6 +56,7 @@
 
 
 def scalar(value: Any) -> str:
+    """Formats a value that is not nested."""
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float) and value.is_integer():
@@ -64,7 +65,7 @@
 
 
 class Reader:
-    """Looks values up in the file and keeps what is wrong with them."""
+    """Looks up values in the file, and collects the faults in `faults`."""
 
     def __init__(self, file: str, data: Mapping[str, Any]) -> None:
         self.file = file
@@ -72,15 +73,18 @@
         self.faults: list[Fault] = []
 
     def get(self, path: str) -> Any:
+        """The value at a path, or MISSING."""
         value: Any = self.data
         for name in path.split("."):
             value = value.get(name, MISSING) if isinstance(value, dict) else MISSING
         return value
 
     def fault(self, path: str, expected: str, value: Any = MISSING) -> None:
+        """Adds a fault."""
         self.faults.append(Fault(self.file, path, value, expected))
 
     def whole(self, path: str, least: int, base: int = 10) -> int:
+        """A whole number of at least `least`; adds a fault and returns `least` if it is none."""
         value = self.get(path)
         try:
             number = int(str(value), base) if value != MISSING and not isinstance(value, bool | float) else None
@@ -93,6 +97,7 @@
         return number
 
     def address(self, path: str, override: str | None, variable: str) -> tuple[str, str]:
+        """An address from the environment or the file, and which of the two; adds a fault if it is none."""
         value = override or self.get(path)
         try:
             split_host_port(value if isinstance(value, str) else "")
@@ -103,7 +108,7 @@
         return str(value), "environment" if override else "file"
 
     def inherited(self, text: str | None) -> int | None:
-        """The number of a descriptor that is a listening TCP socket."""
+        """The number of an inherited descriptor, which has to be a listening TCP socket; adds a fault if it is not."""
         if not text:
             return None
         try:
@@ -117,9 +122,10 @@
         return None
 
     def settings(self) -> Settings | None:
+        """The balancer's settings; adds a fault for each that is wrong."""
         value = self.get("settings")
         if not isinstance(value, dict):
-            self.fault("settings", "an object, the instance's settings", value)
+            self.fault("settings", "an object, the sidecar's settings", value)
             return None
         settings, faults = settings_and_faults(Nested(value))
         for path, got, expected in faults:
@@ -127,6 +133,7 @@
         return settings
 
     def known(self) -> tuple[MembershipUpdate, dict[str, str]]:
+        """The platform's list of providers, and their addresses; adds a fault for each wrong place."""
         try:
             return read_list(self.get("known"), UpdateKind.REMEMBERED)
         except NotAList as error:
@@ -136,7 +143,7 @@
 
 
 def key_paths(value: Any, path: str = "") -> Iterator[str]:
-    """The keys of an object and of what is in it; of a list of objects those that all of them have, under `*`."""
+    """Yields the paths of all keys of a nested object; of a list of objects the keys that all have, under `*`."""
     if isinstance(value, dict):
         for key, inner in value.items():
             at = f"{path}.{key}" if path else str(key)
@@ -149,10 +156,11 @@
 def load(
     file: str, environment: Mapping[str, str], options: Options, required: frozenset[str] = frozenset()
 ) -> Platform:
-    """The platform's word; a `Faulty` carries every fault, those against the operator's options included.
+    """Returns the platform's configuration; raises `Faulty` with every fault, also where it contradicts the options.
 
-    `required`: the keys of the file that this one is to follow. Most have a default; but where they were said before,
-    a file without one is more likely cut than meant. A list with nothing in it lacks none of its entries' keys."""
+    `required`: the keys of the file that this one replaces. Most have a default, but a file that lacks a key of the
+    earlier one is more likely incomplete than intended. An empty list lacks none of its entries' keys.
+    """
     reader = Reader(file, read_object(file))
     keys = set(key_paths(reader.data))
     for path in sorted(required - keys):
@@ -161,8 +169,8 @@
             if not reader.get(parent.removesuffix(".*")):
                 continue
         elif parent and parent not in keys:
-            continue  # told already, by the key that it was under
-        reader.fault(path, "there, as in the file before it")
+            continue  # reported already with the key above it
+        reader.fault(path, "present, as in the previous file")
     listen, listen_from = reader.address("listen", environment.get("RELAY_LISTEN"), "RELAY_LISTEN")
     discovery, discovery_from = reader.address("discovery", environment.get("RELAY_DISCOVERY"), "RELAY_DISCOVERY")
     operator = ""
@@ -175,13 +183,13 @@
     known, addresses = reader.known()
     name = str(reader.data.get("name", ""))
     if name in parse_members(options.replication.members) and not options.replication.folder:
-        reader.fault("name", "no member of the operator's replication.members while replication.folder is empty", name)
+        reader.fault("name", "a name that is not among replication.members, as replication.folder is empty", name)
     if settings is not None:
-        rests_for = settings.conn_idle - options.providers.idle_margin
-        if options.providers.rest_least >= max(settings.conn_idle // 2, rests_for):
+        usable_for = settings.conn_idle - options.providers.idle_margin
+        if options.providers.rest_least >= max(settings.conn_idle // 2, usable_for):
             reader.fault(
                 "settings.allowed.connIdle",
-                "above the operator's providers.rest_least: no connection could be used again",
+                "above the operator's providers.rest_least, as no connection could be reused otherwise",
                 settings.conn_idle,
             )
     if reader.faults or settings is None:
@@ -205,11 +213,12 @@
 
 
 def read_object(file: str) -> dict[str, Any]:
+    """Reads a JSON file with an object; raises `Faulty` if that fails."""
     if not file:
         raise Faulty([Fault("environment", FILE_VARIABLE, MISSING, "the path of the platform's configuration")])
     try:
-        with open(file, "rb") as opened:
-            data = opened.read(LARGEST + 1)
+        with open(file, "rb") as stream:
+            data = stream.read(MAX_FILE_BYTES + 1)
         value = ujson.loads(data.decode("utf-8"))
     except OSError as error:
         raise Faulty([Fault(file, "", error.strerror or str(error), "a file that can be read")]) from None
--- a/loftweir/config/units.py
+++ b/loftweir/config/units.py
@@ -1,17 +1,22 @@
-"""Durations, sizes and shares as people write them, and back. Whole nanoseconds, bytes and parts of one inside."""
+"""Parses and formats durations, sizes and shares, and checks the texts of the operator's file.
+
+Inside the program durations are whole nanoseconds, sizes whole bytes, and shares parts of one.
+"""
 
 from __future__ import annotations
 
 import re
 from enum import Enum
 
+# Nanoseconds.
 DURATIONS = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
+# Bytes.
 SIZES = {"B": 1, "KiB": 1024, "MiB": 1024**2, "GiB": 1024**3}
 QUANTITY = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,9})?) ?([A-Za-z%]+)", re.ASCII)
 
 
 class Unit(Enum):
-    """What a key's value measures; the value is how `check` names what it expected."""
+    """What a key's value measures. The values of this type are the texts with which messages name it."""
 
     DURATION = 'a duration such as "250ms" or "5s"'
     SIZE = 'a size such as "64KiB" or "4MiB"'
@@ -22,9 +27,9 @@
 
 
 def parse_quantity(unit: Unit, text: object) -> int | float:
-    """A written quantity in base units (ns, bytes, parts of one); a ValueError says what was expected.
+    """Parses a quantity to base units (ns, bytes, parts of one); a ValueError says what was expected.
 
-    Durations and sizes must come out whole: "0.5ns" is no time that a clock tells.
+    Durations and sizes must be whole in base units: "0.5ns" is rejected.
     """
     found = QUANTITY.fullmatch(text) if isinstance(text, str) else None
     if found is None:
@@ -38,7 +43,7 @@
     if scale is None:
         raise ValueError(unit.value)
     whole, _, part = number.partition(".")
-    # By whole numbers: 4.35 s is 4350 ms, and not one nanosecond less for the sake of a float.
+    # Computed in integers: with floats, 4.35 s could be one nanosecond less than 4350 ms.
     value, rest = divmod(int(whole + part) * scale, int(10 ** len(part)))
     if rest:
         raise ValueError(f"{unit.value}, in whole {'nanoseconds' if unit is Unit.DURATION else 'bytes'}")
@@ -46,7 +51,7 @@
 
 
 def format_quantity(unit: Unit, value: object) -> object:
-    """A value in base units as the file has it: in the largest unit that keeps it whole."""
+    """Formats a value in base units as the file has it, in the largest unit in which it is whole."""
     if unit is Unit.SHARE and isinstance(value, float):
         return f"{value * 100:.10g}%"
     if unit in (Unit.DURATION, Unit.SIZE) and isinstance(value, int):
@@ -59,58 +64,61 @@
 
 
 def split_host_port(address: str) -> tuple[str, int]:
-    """An address as the platform writes it; a ValueError where it is none."""
+    """Splits an address of the form host:port; raises ValueError if it is not one."""
     host, sign, port = address.rpartition(":")
     if not sign or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
         raise ValueError(f"{address!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
-LABEL = "[A-Za-z0-9](?:[A-Za-z0-9-]{0,61}[A-Za-z0-9])?"  # RFC 1123, section 2.1; compared without case
+LABEL = "[A-Za-z0-9](?:[A-Za-z0-9-]{0,61}[A-Za-z0-9])?"  # RFC 1123, section 2.1; case does not matter
 NAME = rf"{LABEL}(?:\.{LABEL})*"
 
 
 def parse_label(text: str) -> str:
-    """A site's name, in small letters; empty stays so. A ValueError where it is none."""
+    """Returns a site's name in lower case; an empty one is allowed. A ValueError says what was expected."""
     if text and not re.fullmatch(LABEL, text):
-        raise ValueError("a label of RFC 1123: letters, digits and hyphens, as bergen")
+        raise ValueError("a label of RFC 1123 (letters, digits and hyphens), for example bergen")
     return text.lower()
 
 
 def parse_service(text: str) -> str:
-    """A service's name, in small letters; empty stays so. A ValueError where it is none."""
+    """Returns a service's name in lower case; an empty one is allowed. A ValueError says what was expected."""
     if text and not re.fullmatch(f"{NAME}@{NAME}", text):
-        raise ValueError("a service's name as orders@shop")
+        raise ValueError("a service's name, for example orders@shop")
     return text.lower()
 
 
 def check_address(text: str) -> str:
-    """Where to listen; empty stays so. A ValueError where it is no host:port."""
+    """Checks an address to listen at; an empty one is allowed. A ValueError says what was expected."""
     if text:
         split_host_port(text)
     return text
 
 
 MEMBER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", re.ASCII)
-MIN_MEMBERS, MAX_MEMBERS = 3, 5  # seats: fewer keep nothing when one is lost, more make every write slower
+MIN_MEMBERS = 3  # with fewer there is no majority once one is lost
+MAX_MEMBERS = 5  # more make every write slower
 
 
 def parse_members(text: str) -> dict[str, str]:
-    """The members that vote, "n0=127.0.0.1:7101, n1=...": name to address, in the order of names; none: no copies.
-    A ValueError names the place that is wrong."""
+    """Parses the voting members, "n0=127.0.0.1:7101, n1=...", to addresses by name, ordered by name.
+
+    An empty text means that there is no replication. A ValueError names the part that is wrong.
+    """
     found: dict[str, str] = {}
     for part in text.split(",") if text.strip() else ():
         name, _, address = (piece.strip() for piece in part.partition("="))
         if not MEMBER_NAME.fullmatch(name):
             raise ValueError(f"name=host:port for each member, not {part.strip()[:40]!r}")
         if name in found:
-            raise ValueError(f"each member once, {name} is there twice")
+            raise ValueError(f"each member once, {name} is named twice")
         try:
             split_host_port(address)
         except ValueError:
-            raise ValueError(f"host:port behind {name}=, not {address[:40]!r}") from None
+            raise ValueError(f"host:port after {name}=, not {address[:40]!r}") from None
         if address in found.values():
-            raise ValueError(f"an address of its own behind {name}=, {address} is another's")
+            raise ValueError(f"a separate address after {name}=, {address} belongs to another member")
         found[name] = address
     if found and not MIN_MEMBERS <= len(found) <= MAX_MEMBERS:
         raise ValueError(f"{MIN_MEMBERS} to {MAX_MEMBERS} members as name=host:port, not {len(found)}")
@@ -118,7 +126,7 @@
 
 
 def check_plain_text(text: str) -> str:
-    """A word for a name or a path; a ValueError where it holds what no line of a log should."""
+    """Checks that a text can be printed on one line of a log; a ValueError says what was expected."""
     if not text.isprintable() or len(text) > 1024:
         raise ValueError("plain text of up to 1024 characters")
     return text
--- a/loftweir/telemetry/__init__.py
+++ b/loftweir/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What the program tells its operators: a catalogue of events, and a log that never waits for its reader."""
+"""Telemetry: the catalogue of log events, the log itself, and the tools that read it back."""
--- a/loftweir/telemetry/access.py
+++ b/loftweir/telemetry/access.py
@@ -1,4 +1,4 @@
-"""Which invocations get a line of their own. No I/O, no clock, no global randomness."""
+"""Which invocations get a line in the access log. No I/O, no clock, no global randomness."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def access_log_reason(mode: str, request_id: str, status: int, ms: float, slow_ms: float, share: float) -> str:
-    """Why this invocation is said: `all`, `slow`, `failed`, `sample`; empty: it is not.
+    """Why an invocation is logged: `all`, `slow`, `failed` or `sample`; empty if it is not.
 
-    `troubled` says those not served and the slow ones; `sampled` these, and a share of the others, chosen by the
-    id alone: whoever samples by the same ids, here or in another instance, has the same ones.
+    `troubled` logs those not served and the slow ones; `sampled` logs these and a share of the others. The sample
+    depends on the id alone, so that every sidecar and every program that samples by the same ids picks the same ones.
     """
     if mode == "off":
         return ""
--- a/loftweir/telemetry/formats.py
+++ b/loftweir/telemetry/formats.py
@@ -1,7 +1,7 @@
-"""How a record looks on the log: JSON, logfmt, or for a reader at a console.
+"""The formats of the log: JSON, logfmt, and a format for people at a console.
 
-Whatever a client sent (an id, a path) is a value of a field: no value can end a line, hide in a terminal or pass
-for another field. A record's message is the event's name and fields, as a dict.
+What a client sent (an id, a path) is only ever the value of a field: no value can end a line, hide in a terminal or
+look like another field. A record's message is a dict of the event's name and fields.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-LONGEST = 400  # characters of one value; a line then stays one write on a pipe
+MAX_VALUE_CHARACTERS = 400  # keeps a line small enough for a single write to a pipe
 
 
 def clean(value: Any) -> Any:
-    """A value that is printable and short. What is neither text nor a number is written as text."""
+    """Makes a value printable and short. Values that are neither text nor numbers become text."""
     if value is None or isinstance(value, bool | int | float):
         return value
     if isinstance(value, bytes):
@@ -27,24 +27,27 @@
     elif isinstance(value, list | tuple):
         return [clean(inner) for inner in value]
     text = str(value)
-    if len(text) > LONGEST:
-        text = f"{text[:LONGEST]}... ({len(text)} characters)"
+    if len(text) > MAX_VALUE_CHARACTERS:
+        text = f"{text[:MAX_VALUE_CHARACTERS]}... ({len(text)} characters)"
     if text.isprintable():
         return text
     return "".join(c if c.isprintable() else c.encode("unicode_escape", "surrogatepass").decode() for c in text)
 
 
 def stamp(created: float) -> str:
-    """UTC with milliseconds, RFC 3339."""
+    """Formats a Unix time as RFC 3339, in UTC with milliseconds."""
     whole = int(created)
     return f"{time.strftime('%Y-%m-%dT%H:%M:%S', time.gmtime(whole))}.{int((created - whole) * 1000):03d}Z"
 
 
 def json_formatter() -> logging.Formatter:
+    """Returns the formatter of JSON lines; its library is imported only if it is configured."""
     import ujson
     from pythonjsonlogger.json import JsonFormatter
 
     class Json(JsonFormatter):
+        """Puts time and level before the event."""
+
         def add_fields(self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]) -> None:
             log_data["time"] = stamp(record.created)
             log_data["level"] = record.levelname.lower()
@@ -54,9 +57,12 @@
 
 
 def logfmt_formatter() -> logging.Formatter:
+    """Returns the formatter of logfmt lines; its library is imported only if it is configured."""
     from logfmter import Logfmter
 
     class Logfmt(logging.Formatter):
+        """Puts time and level before the event."""
+
         def format(self, record: logging.LogRecord) -> str:
             assert isinstance(record.msg, dict)
             head = {"time": stamp(record.created), "level": record.levelname.lower()}
@@ -65,11 +71,12 @@
     return Logfmt()
 
 
+# ANSI codes of the levels.
 COLOURS = {"debug": "2", "info": "32", "warning": "33", "error": "31;1"}
 
 
 def console_line(data: Mapping[str, Any], colour: bool) -> str:
-    """One record as a person reads it: time, level, event, and the fields as name=value."""
+    """Formats a record for people: time, level, event, and the fields as name=value."""
     level = str(data.get("level", ""))
     shown = f"{level:7}"
     if colour and level in COLOURS:
@@ -83,6 +90,8 @@
 
 
 class Console(logging.Formatter):
+    """Formats records for people at a console."""
+
     def __init__(self, colour: bool) -> None:
         super().__init__()
         self.colour = colour
@@ -94,7 +103,7 @@
 
 
 def coloured() -> bool:
-    """On a terminal, unless NO_COLOR is set (no-color.org)."""
+    """Whether standard error takes colours: it is a terminal and NO_COLOR is not set (no-color.org)."""
     return sys.stderr is not None and sys.stderr.isatty() and not os.environ.get("NO_COLOR")
 
 
--- a/loftweir/telemetry/log.py
+++ b/loftweir/telemetry/log.py
@@ -1,7 +1,7 @@
-"""The program's log: `emit` an event of the catalogue with its fields. Saying something never waits.
+"""The program's log: `emit` logs an event of the catalogue with its fields, and never waits for the log's reader.
 
-The standard library's logging carries the records (structlog does the same for 7 MB more of resident memory, see
-docs/design/command-line.md); one handler formats them and hands them to the `Writer`.
+Records go through the standard library's logging (structlog would need 7 MB more resident memory, see
+docs/design/command-line.md). One handler formats them and passes them to the `Writer`.
 """
 
 from __future__ import annotations
@@ -16,17 +16,19 @@
 from loftweir.telemetry.repeats import Repeats
 from loftweir.telemetry.writer import Writer
 
-KEEP = 64 * 1024  # bytes that wait for a reader, until the configuration says otherwise
-REPEAT_EVERY = 10_000_000_000
-LAST_WORDS = 0.2  # seconds at the end of the program
+# In force until the configuration has been read.
+DEFAULT_BUFFER_BYTES = 64 * 1024
+DEFAULT_REPEAT_INTERVAL = 10_000_000_000  # ns
 
-logging.raiseExceptions = False  # its report of a fault would be a blocking write of its own
+CLOSE_TIMEOUT = 0.2  # seconds for a slow reader at the end of the program
+
+logging.raiseExceptions = False  # logging reports its own faults with a write that can block
 LOGGER = logging.getLogger("loftweir")
 LOGGER.propagate = False
 
 
 class Handler(logging.Handler):
-    """Formats a record and gives it to the writer, where there is one."""
+    """Formats records and passes them to the writer, which it creates for the first one."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,37 +37,41 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         if self.writer is None:
-            self.writer = Writer(2, KEEP, self.notice)
+            self.writer = Writer(2, DEFAULT_BUFFER_BYTES, self.dropped_line)
         self.writer.write(self.line(record))
 
     def line(self, record: logging.LogRecord) -> bytes:
+        """The line for a record, with its end."""
         return self.format(record).encode("utf-8", "backslashreplace") + b"\n"
 
-    def notice(self, lines: int) -> bytes:
+    def dropped_line(self, lines: int) -> bytes:
+        """The line that reports how many lines were dropped."""
         return self.line(record_of(LOG_DROPPED, {"lines": lines}))
 
 
 HANDLER = Handler()
 LOGGER.addHandler(HANDLER)
 LOGGER.setLevel(INFO)
-REPEATS = Repeats(REPEAT_EVERY)
+REPEATS = Repeats(DEFAULT_REPEAT_INTERVAL)
 
 
-def configure(form: str, level: str, keep: int, repeat_every: int) -> None:
-    """Sets the format, the least level, the bytes kept for a stalled reader and the interval of repeats (ns)."""
+def configure(form: str, level: str, buffer_bytes: int, repeat_interval: int) -> None:
+    """Sets the format, the lowest level, the bytes buffered for a stalled reader, and the interval of repeats (ns)."""
     HANDLER.setFormatter(FORMATS[form]())
     LOGGER.setLevel(LEVELS[level])
-    writer().keep = keep
-    REPEATS.interval = repeat_every
+    writer().max_buffered_bytes = buffer_bytes
+    REPEATS.interval = repeat_interval
 
 
 def writer() -> Writer:
+    """The writer of the log, which the event loop flushes."""
     if HANDLER.writer is None:
-        HANDLER.writer = Writer(2, KEEP, HANDLER.notice)
+        HANDLER.writer = Writer(2, DEFAULT_BUFFER_BYTES, HANDLER.dropped_line)
     return HANDLER.writer
 
 
 def record_of(event: Event, fields: dict[str, Any]) -> logging.LogRecord:
+    """A record whose message is the event's name and its cleaned fields."""
     message = {"event": event.name} | {name: clean(value) for name, value in fields.items()}
     record = logging.LogRecord(LOGGER.name, event.level, "", 0, "", None, None)
     record.msg = message
@@ -73,11 +79,11 @@
 
 
 def emit(event: Event, **fields: Any) -> None:
-    """Logs an event. One that keeps coming is said once in the interval, with `left_out` where some were."""
+    """Logs an event. One that repeats is logged once per interval; `left_out` then has the number of those skipped."""
     if not LOGGER.isEnabledFor(event.level):
         return
-    if event.told_apart_by is not None:
-        apart = tuple(str(clean(fields.get(name))) for name in event.told_apart_by)
+    if event.distinguished_by is not None:
+        apart = tuple(str(clean(fields.get(name))) for name in event.distinguished_by)
         left_out = REPEATS.admit((event.name, apart), time.monotonic_ns())
         if left_out is None:
             return
@@ -87,12 +93,12 @@
 
 
 def tick() -> None:
-    """Says what was left out of events that have not come again; due every now and then."""
+    """Logs the numbers of events that were skipped and did not repeat afterwards; to be called regularly."""
     for key, left_out in REPEATS.due(time.monotonic_ns()):
-        _left_out(key, left_out)
+        _emit_left_out(key, left_out)
 
 
-def _left_out(key: Hashable, left_out: int) -> None:
+def _emit_left_out(key: Hashable, left_out: int) -> None:
     assert isinstance(key, tuple)
     name, apart = key
     if LOGGER.isEnabledFor(EVENTS[name].level):
@@ -100,15 +106,15 @@
 
 
 def close() -> None:
-    """The last words: what was left out, and a moment for a slow reader."""
+    """Logs what was skipped, and gives a slow reader a moment to take the remaining lines."""
     for key, left_out in REPEATS.last():
-        _left_out(key, left_out)
+        _emit_left_out(key, left_out)
     if HANDLER.writer is not None:
-        HANDLER.writer.close(LAST_WORDS)
+        HANDLER.writer.close(CLOSE_TIMEOUT)
 
 
 def traceback_location(error: BaseException) -> str:
-    """The innermost line of a traceback, for a log of one line."""
+    """File and line where an exception was raised; empty if it has no traceback."""
     at = error.__traceback__
     while at is not None and at.tb_next is not None:
         at = at.tb_next
--- a/loftweir/telemetry/reading.py
+++ b/loftweir/telemetry/reading.py
@@ -1,4 +1,4 @@
-"""Reads structured logs back: lines of JSON or logfmt to records, filtered and counted. No I/O."""
+"""Reads structured logs: parses lines of JSON or logfmt, and filters and counts the records. No I/O."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 
 class Filter(NamedTuple):
-    """What to keep; empty: all."""
+    """Conditions that a record has to meet; an empty one is met by all."""
 
     level: str = "debug"
-    events: tuple[str, ...] = ()  # names, or their first parts: `discovery` keeps `discovery.watch_failed`
+    events: tuple[str, ...] = ()  # names, or their first parts: `discovery` matches `discovery.watch_failed`
     request_id: str = ""
     provider: str = ""
     since: float = float("-inf")  # Unix seconds
     until: float = float("inf")
 
-    def keeps(self, record: Record) -> bool:
+    def matches(self, record: Record) -> bool:
+        """Whether a record meets all conditions."""
         if LEVELS.get(str(record.get("level")), 0) < LEVELS[self.level]:
             return False
         event = str(record.get("event", ""))
@@ -36,30 +37,31 @@
             return False
         if self.request_id and record.get("id") != self.request_id:
             return False
-        if self.provider and self.provider not in providers(record):
+        if self.provider and self.provider not in providers_of(record):
             return False
         if (self.since, self.until) == (float("-inf"), float("inf")):
             return True
-        at = seconds(str(record.get("time", "")))
+        at = parse_time(str(record.get("time", "")))
         return at is not None and self.since <= at < self.until
 
 
-def providers(record: Record) -> set[str]:
-    calls = record.get("calls")
+def providers_of(record: Record) -> set[str]:
+    """The providers that a record names, in its own field or in those of its attempts."""
+    attempts = record.get("calls")
     named = {str(record.get("provider", ""))}
-    return named | {str(call.get("provider")) for call in calls or () if isinstance(call, dict)}
+    return named | {str(attempt.get("provider")) for attempt in attempts or () if isinstance(attempt, dict)}
 
 
-def seconds(text: str) -> float | None:
-    """Unix seconds of an RFC 3339 time; None where it is none."""
+def parse_time(text: str) -> float | None:
+    """Converts an RFC 3339 time to Unix seconds; returns None if it is not one."""
     try:
         return datetime.fromisoformat(text.replace("Z", "+00:00")).timestamp()
     except ValueError:
         return None
 
 
-def parse(line: str) -> Record | None:
-    """A record, or None: not a line of this log (another program's, or half of one)."""
+def parse_line(line: str) -> Record | None:
+    """Parses a line; returns None if it is not a whole line of this log."""
     line = line.strip()
     if line.startswith("{"):
         try:
@@ -69,32 +71,31 @@
         return record if isinstance(record, dict) and "event" in record else None
     if not line.startswith("time=") or LOGFMT_LINE.fullmatch(line) is None:
         return None
-    return {name: unquoted(value) for name, value in LOGFMT_PAIR.findall(line)}
+    return {name: _unquote(value) for name, value in LOGFMT_PAIR.findall(line)}
 
 
-def unquoted(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
     return re.sub(r"\\(.)", lambda found: "\n" if found[1] == "n" else found[1], value[1:-1])
 
 
-def read(lines: Iterable[str], chosen: Filter) -> Iterator[tuple[Record | None, str]]:
-    """The records that are kept, each with its line; None with a line that is none of this log."""
+def read_records(lines: Iterable[str], wanted: Filter) -> Iterator[tuple[Record | None, str]]:
+    """Yields the records that match, each with its line, and None with each line that is not of this log."""
     for line in lines:
-        record = parse(line)
+        record = parse_line(line)
         if record is None:
             if line.strip():
                 yield None, line
-        elif chosen.keeps(record):
+        elif wanted.matches(record):
             yield record, line
 
 
-def over_time(records: Iterable[Record], every: float) -> list[tuple[float, Counter[str]]]:
-    """How often each event came in each span of `every` seconds, from the first record on. A record that stands
-    for others left out counts for them too."""
+def count_events(records: Iterable[Record], every: float) -> list[tuple[float, Counter[str]]]:
+    """Counts the events of each span of `every` seconds, including those that were skipped as repeats."""
     spans: dict[int, Counter[str]] = {}
     for record in records:
-        at = seconds(str(record.get("time", "")))
+        at = parse_time(str(record.get("time", "")))
         if at is None:
             continue
         event = str(record["event"])
--- a/loftweir/telemetry/writer.py
+++ b/loftweir/telemetry/writer.py
@@ -1,8 +1,8 @@
-"""Lines to a descriptor whose reader may stall, go or come back: the writer never waits.
+"""Writes lines to a descriptor whose reader may stall, close or reconnect, without ever waiting for it.
 
-What can't be written is kept up to a limit. Past it, lines are dropped whole and counted until all that was kept
-is out; then the count is written, and after it the next lines. So the log is always in order, says where it has
-a gap and how large, and never holds a half line.
+Lines that can't be written are buffered up to a limit. Beyond it, whole lines are dropped and counted until the buffer
+has been written; then the count is written, and after it the next lines. The log is therefore always in order, reports
+each gap with its size, and never contains half a line.
 """
 
 from __future__ import annotations
@@ -14,82 +14,87 @@
 from collections import deque
 from collections.abc import Callable
 
-# A pipe that polls writable takes this many bytes at once; with more, a write on a descriptor that we may not
-# make non-blocking could wait (pipe(7)).
-AT_ONCE = select.PIPE_BUF
+# A pipe that polls as writable takes this many bytes at once. A larger write could block on a descriptor that this
+# process may not make non-blocking (pipe(7)).
+MAX_BLOCKING_WRITE = select.PIPE_BUF
 
 
 class Writer:
-    """Owns a descriptor of its own to where `fd` leads. `blocked` is called when lines begin to wait: whoever
-    runs the loop then calls `flush` each time the descriptor is writable, until it says that none are left."""
+    """Writes to the file that `fd` refers to, through a descriptor of its own.
 
-    def __init__(self, fd: int, keep: int, notice: Callable[[int], bytes]) -> None:
-        self.keep = keep  # bytes
-        self.notice = notice  # the line that says how many were dropped
+    `blocked` is called when lines begin to wait. The event loop then has to call `flush` each time the descriptor is
+    writable, until `flush` returns True.
+    """
+
+    def __init__(self, fd: int, max_buffered_bytes: int, dropped_line: Callable[[int], bytes]) -> None:
+        """`dropped_line`: returns the line that reports a number of dropped lines."""
+        self.max_buffered_bytes = max_buffered_bytes
+        self.dropped_line = dropped_line
         self.blocked: Callable[[], None] | None = None
-        self.kept: deque[bytes] = deque()
-        self.kept_bytes = 0
+        self.buffered: deque[bytes] = deque()
+        self.buffered_bytes = 0
         self.dropped = 0
-        self.fd, self._write = opened(fd)
+        self.fd, self._write = open_nonblocking(fd)
 
     def fileno(self) -> int:
         return self.fd
 
     def write(self, line: bytes) -> None:
-        if self.kept or self.dropped:
-            if self.dropped or self.kept_bytes + len(line) > self.keep:
+        """Writes a line, or buffers or drops it."""
+        if self.buffered or self.dropped:
+            if self.dropped or self.buffered_bytes + len(line) > self.max_buffered_bytes:
                 self.dropped += 1
-                if not self.kept:  # a reader that had gone may be back
+                if not self.buffered:  # a reader that had closed may have been replaced
                     self.flush()
                 return
-            self._keep(line)
+            self._buffer(line)
             return
-        written = self._try(line)
+        written = self._try_write(line)
         if written is None:
             self.dropped += 1
         elif written < len(line):
-            self._keep(line[written:])
+            self._buffer(line[written:])
             if self.blocked is not None:
                 self.blocked()
 
     def flush(self) -> bool:
-        """Writes what can be written now. True: nothing is left to wait for."""
-        while self.kept:
-            line = self.kept[0]
-            written = self._try(line)
-            if written is None:  # the reader has gone: nobody will read what is kept
-                self.dropped += len(self.kept)
-                self.kept.clear()
-                self.kept_bytes = 0
+        """Writes what can be written without waiting. Returns True if nothing is left to wait for."""
+        while self.buffered:
+            line = self.buffered[0]
+            written = self._try_write(line)
+            if written is None:  # the reader has closed: nobody will read the buffer
+                self.dropped += len(self.buffered)
+                self.buffered.clear()
+                self.buffered_bytes = 0
                 return True
-            self.kept_bytes -= written
+            self.buffered_bytes -= written
             if written < len(line):
-                self.kept[0] = line[written:]
+                self.buffered[0] = line[written:]
                 return False
-            self.kept.popleft()
+            self.buffered.popleft()
         if self.dropped:
-            line = self.notice(self.dropped)
-            written = self._try(line)
+            line = self.dropped_line(self.dropped)
+            written = self._try_write(line)
             if written is not None:
                 self.dropped = 0
                 if written < len(line):
-                    self._keep(line[written:])
+                    self._buffer(line[written:])
                     return False
         return True
 
-    def close(self, within: float) -> None:
-        """The end of the program: what waits has so many seconds more."""
+    def close(self, timeout: float) -> None:
+        """Flushes at the end of the program, and waits up to `timeout` seconds for the reader."""
         poll = select.poll()
         poll.register(self.fd, select.POLLOUT)
-        if not self.flush() and poll.poll(within * 1000):
+        if not self.flush() and poll.poll(timeout * 1000):
             self.flush()
 
-    def _keep(self, line: bytes) -> None:
-        self.kept.append(line)
-        self.kept_bytes += len(line)
+    def _buffer(self, line: bytes) -> None:
+        self.buffered.append(line)
+        self.buffered_bytes += len(line)
 
-    def _try(self, line: bytes) -> int | None:
-        """The bytes written, 0 where it would have to wait; None: there is no reader."""
+    def _try_write(self, line: bytes) -> int | None:
+        """Returns the number of bytes written, 0 if the write would block, None if there is no reader."""
         try:
             return self._write(line)
         except (BlockingIOError, InterruptedError):
@@ -98,15 +103,15 @@
             return None
 
 
-def opened(fd: int) -> tuple[int, Callable[[bytes], int]]:
-    """A descriptor of our own and how to write to it without waiting.
+def open_nonblocking(fd: int) -> tuple[int, Callable[[bytes], int]]:
+    """Returns a descriptor of this process's own for the same file, and a function that writes to it without waiting.
 
-    O_NONBLOCK belongs to the open file, which other processes may share (a shell, the fleet's supervisor): set on
-    theirs, their writes would fail. So a pipe or terminal is opened anew, and a socket is asked per call.
+    O_NONBLOCK belongs to the open file, which other processes may share (a shell, the fleet's supervisor); setting it
+    would make their writes fail. A pipe or terminal is therefore opened again, and a socket gets a flag per call.
     """
     try:
         mode = os.fstat(fd).st_mode
-    except OSError:  # started with it closed: there is nothing to write to, and 2 may become someone's socket
+    except OSError:  # closed before the start: 2 may later become the descriptor of a socket
         fd = os.open(os.devnull, os.O_WRONLY | os.O_CLOEXEC)
         return fd, lambda line: os.write(fd, line)
     if stat.S_ISSOCK(mode):
@@ -118,6 +123,6 @@
         except OSError:  # no /proc, or a pipe of another user
             poll = select.poll()
             poll.register(fd, select.POLLOUT)
-            return fd, lambda line: os.write(fd, line[:AT_ONCE]) if poll.poll(0) else 0
+            return fd, lambda line: os.write(fd, line[:MAX_BLOCKING_WRITE]) if poll.poll(0) else 0
         return own, lambda line: os.write(own, line)
-    return fd, lambda line: os.write(fd, line)  # a file: the kernel's cache takes it
+    return fd, lambda line: os.write(fd, line)  # a regular file: the kernel's cache takes the line at once
