--- a/loftweir/operations/overlay.py
+++ b/loftweir/operations/overlay.py
@@ -38,7 +38,7 @@
             return replace(endpoint, lifecycle=Lifecycle.DRAINING)
         at = max(override.at for override in overrides)
         # The fleet's overrides are never deleted: a start long after one is not the restart that it was about.
-        return replace(endpoint, started_at=max(endpoint.started_at, at), called_back=endpoint.started_at <= at + HOUR)
+        return replace(endpoint, started_at=max(endpoint.started_at, at), reenabled=endpoint.started_at <= at + HOUR)
 
     def update(self, update: MembershipUpdate, addresses: Mapping[str, str]) -> tuple[MembershipUpdate, dict[str, str]]:
         """Takes discovery's list, or changes to it, and returns it as the balancer is to have it."""
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -106,7 +106,7 @@
     assert effective(overlay, changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.apply_record(record.with_override("s-1", False, 99))
     (back,) = update.endpoints
-    assert (back.lifecycle, back.started_at, back.called_back) == (Lifecycle.READY, 99, True)
+    assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 99, True)
     assert effective(overlay, full(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
 
 
@@ -123,7 +123,7 @@
     balancer.handle(SECOND, [overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
     record = OverrideRecord().with_override("s-1", True, SECOND)
     balancer.handle(SECOND, [overlay.apply_record(record)[0]])
-    chosen = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].server for n in range(20)]
+    chosen = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].provider for n in range(20)]
     assert set(chosen) == {"s-2"}
     balancer.handle(SECOND, [overlay.apply_record(record.with_override("s-2", True, SECOND))[0]])
     assert not attempts(balancer.handle(2 * SECOND, [request("none")]))  # the last provider is disabled too
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -193,16 +193,16 @@
     assert update.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.apply_record(OverrideRecord().with_override("s-1", True, 60).with_override("s-1", False, 65))
     back = update.endpoints[0]
-    assert (back.lifecycle, back.started_at, back.called_back) == (Lifecycle.READY, 70, True)
+    assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 70, True)
     later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
-    assert (back.started_at, back.called_back) == (80 + HOUR, False), "a start that nobody called it back from"
+    assert (back.started_at, back.reenabled) == (80 + HOUR, False), "a start that nobody called it back from"
     overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
     assert overlay.knows("s-9") and overlay.apply_fleet({"s-1": Override(70, False)}, False) is None
     listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
     assert listed.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.apply_fleet({}, True)
-    assert {(e.address, e.lifecycle, e.called_back) for e in update.endpoints} == {
+    assert {(e.address, e.lifecycle, e.reenabled) for e in update.endpoints} == {
         ("s-1", Lifecycle.READY, True),
         ("s-9", Lifecycle.READY, False),
     }
