--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -20,7 +20,7 @@
 from loftweir.config.model import Options
 from loftweir.config.units import seats
 from loftweir.core.host import Host
-from loftweir.core.invocation import Call
+from loftweir.core.invocation import ProviderAttempt
 from loftweir.http1.discovery import Discovery
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.net.loop import READABLE, Coroutine, Loop, Wait
@@ -79,10 +79,10 @@
 class NoProviders:
     """The providers' side of a decision core that is asked for nothing."""
 
-    def begin(self, call: Call) -> None:
+    def begin(self, call: ProviderAttempt) -> None:
         raise AssertionError("a hollow sidecar serves no calls")
 
-    def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         """Nobody is connected to."""
 
     def close_idle(self, provider: str) -> None:
@@ -105,7 +105,7 @@
             self.host = Host(loop, settings, secrets.randbits(64), NoProviders(), self.discovery)
             update, addresses = read_list(plan.known, UpdateKind.REMEMBERED)
             self.discovery.version = update.version
-            self.host.listed(update, addresses)
+            self.host.update_list(update, addresses)
         else:  # the first call as the decision core spreads it
             self._watch_in(random.randrange(self.ask_within // 2))
 
@@ -118,7 +118,7 @@
 
     def _listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         if self.host is not None:
-            self.host.listed(update, addresses)
+            self.host.update_list(update, addresses)
         if update.kind is UpdateKind.FAILED:
             self.failures += 1
             if self.host is None:
--- a/benchmarks/scale/stages.py
+++ b/benchmarks/scale/stages.py
@@ -19,7 +19,7 @@
 from loftweir.balance import Balancer
 from loftweir.config.lists import read_list
 from loftweir.config.model import Options
-from loftweir.http1.back import Back
+from loftweir.http1.back import Backend
 from loftweir.interface import Settings
 from loftweir.net.loop import Loop
 from loftweir.operations.overlay import Overlay
@@ -44,12 +44,12 @@
     update, addresses = read_list(ujson.loads(answer))
     loop, options = Loop(), Options()
     overlay, balancer = Overlay(), Balancer(settings, 1)
-    back = Back(loop, settings, options, CONNECTIONS, ROOM)
+    back = Backend(loop, settings, options, CONNECTIONS, ROOM)
     steps: dict[str, Callable[[], object]] = {
         "JSON": lambda: ujson.loads(answer),
         "config.lists.read_list": lambda: read_list(ujson.loads(answer)),
         "operations.overlay": lambda: overlay.update(update, addresses),
-        "http1.back.Back.listed": lambda: back.listed(update, addresses),
+        "http1.back.Back.listed": lambda: back.update_list(update, addresses),
         "balance.Balancer": lambda: balancer.handle(loop.now(), [update]),
     }
     for step in steps.values():
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -22,13 +22,13 @@
 from loftweir.core.host import Host
 from loftweir.core.invocation import Invocation
 from loftweir.errors import LoftweirError
-from loftweir.http1.back import Back, Connection, Pool
-from loftweir.http1.request import Malformed
-from loftweir.http1.response import COME_BACK
+from loftweir.http1.back import Backend, Pool, ProviderConnection
+from loftweir.http1.request import BadRequest
+from loftweir.http1.response import BODY_RETRY_AFTER
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.partners.merge import Merged
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
@@ -53,19 +53,19 @@
 
     def __init__(self, whole: Pool, shared: Shared, key: str) -> None:
         self.whole, self.shared, self.key = whole, shared, key
-        self.loop, self.most, self.resting = whole.loop, whole.most, whole.resting
+        self.loop, self.max_connections, self.idle = whole.loop, whole.max_connections, whole.idle
         self.addresses: dict[str, str] = {}
-        self.names: dict[str, str] = {}  # the same the other way round, as in `Pool`
-        self.heard: dict[str, int] = {}
-        self.idle: dict[str, dict[Connection, None]] = {}
+        self.names_by_address: dict[str, str] = {}  # the same the other way round, as in `Pool`
+        self.last_response_at: dict[str, int] = {}
+        self.idle_by_provider: dict[str, dict[ProviderConnection, None]] = {}
 
     @property
-    def open(self) -> int:
-        return self.whole.open
+    def open_count(self) -> int:
+        return self.whole.open_count
 
-    @open.setter
-    def open(self, count: int) -> None:
-        self.whole.open = count
+    @open_count.setter
+    def open_count(self, count: int) -> None:
+        self.whole.open_count = count
 
     @property
     def settings(self) -> Settings:  # type: ignore[override]
@@ -75,12 +75,14 @@
     def options(self) -> Any:  # type: ignore[override]
         return self.whole.options
 
-    def connect(self, name: str, until: int) -> Coroutine[Connection]:
+    def connect(self, name: str, until: int) -> Coroutine[ProviderConnection]:
         while not self.shared.take(self.key):
-            oldest = min((c for idle in self.idle.values() for c in idle), key=lambda c: c.rested_at, default=None)
+            oldest = min(
+                (c for idle in self.idle_by_provider.values() for c in idle), key=lambda c: c.idle_since, default=None
+            )
             if oldest is None:
-                raise NotUp(Outcome.NOT_SENT)
-            self.take_out(oldest)
+                raise ConnectError(Outcome.NOT_SENT)
+            self.remove_idle(oldest)
             self.close(oldest)
         try:
             return (yield from super().connect(name, until))
@@ -88,7 +90,7 @@
             self.shared.give(self.key)
             raise
 
-    def close(self, connection: Connection) -> None:
+    def close(self, connection: ProviderConnection) -> None:
         super().close(connection)
         self.shared.give(self.key)
 
@@ -118,7 +120,7 @@
     been told the providers of its key; all of them have the one map of ids that `first` has, so that the same id under
     two names is never two copies."""
 
-    def __init__(self, loop: Loop, services: Services, first: Host, back: Back, seed: int) -> None:
+    def __init__(self, loop: Loop, services: Services, first: Host, back: Backend, seed: int) -> None:
         self.loop, self.services = loop, services
         self.first, self.back, self.seed = first, back, seed
         self.known: dict[str, Endpoint] = {}
@@ -130,7 +132,7 @@
         self.seen: dict[str, tuple[str, Seen]] = {}  # by global name: the partner by which it came, and since when
         self.refused: dict[str, int] = {}  # by global name, until when
         self.unsettled: set[str] = set()  # names whose claim may be another than what is seen says
-        self.shared = Shared(back.pool.most)
+        self.shared = Shared(back.pool.max_connections)
         self.ats: dict[str, At] = {}  # by the service's key
         self.catalog = self._made()
         loop.spawn(self._sweep())
@@ -143,7 +145,7 @@
     # ---- a request ------------------------------------------------------------------------------
 
     def admit(self, name: str, invocation: Invocation) -> Host:
-        """The host of the service that a request names; its class becomes the service's. Raises `Malformed`."""
+        """The host of the service that a request names; its class becomes the service's. Raises `BadRequest`."""
         found = self.catalog.find(name)
         if isinstance(found, Unknown):
             raise self._no(found.text, STATUS[found.reason])
@@ -158,14 +160,14 @@
             raise self._no(f"{found.key}: nobody who is there for it now takes {cls.name}; come back", 503)
         self._within(at)
         invocation.cls = cls
-        invocation.patience = min(invocation.patience, cls.deadline)
+        invocation.time_left = min(invocation.time_left, cls.deadline)
         return at.host
 
-    def _no(self, text: str, status: int) -> Malformed:
-        after = min(COME_BACK, self.settings.max_retry_after)
+    def _no(self, text: str, status: int) -> BadRequest:
+        after = min(BODY_RETRY_AFTER, self.settings.max_retry_after)
         if status == 503 and self.settings.retry_after and after >= MS:
-            return Malformed(text, status, ("retry-after", f"{after / SECOND:.3f}"))
-        return Malformed(text, status)
+            return BadRequest(text, status, ("retry-after", f"{after / SECOND:.3f}"))
+        return BadRequest(text, status)
 
     def _within(self, at: At) -> None:
         """Holds the work sent by a partner's terms: `part` of the service's, and the least of the rates, of which each
@@ -201,7 +203,7 @@
         side.pool = Lane(self.back.pool, self.shared, service.key)
         host = Host(self.loop, self._fitted(service), self.seed ^ crc32(service.key.encode()), side, NoDiscovery())
         host.invocations, host.overload = self.first.invocations, self.first.overload
-        side.ended = host.ended
+        side.on_attempt_ended = host.attempt_ended
         at = self.ats[service.key] = At(host, Follower(self._grace()), service)
         self._step(service.key, at)
         return at
@@ -214,7 +216,7 @@
         at.follower.grace = self._grace()
         step = at.follower.step(self.loop.now(), at.set)
         if step is not None:
-            at.host.listed(step.update, step.addresses)
+            at.host.update_list(step.update, step.addresses)
         due_at = at.follower.next_at
         if due_at is not None and not 0 < at.wakes_at <= due_at:  # one is under way: it looks again
             at.wakes_at = due_at
@@ -236,7 +238,7 @@
             return EMPTY
         if found != at.service:
             at.service = found
-            at.host.use(self._fitted(found))
+            at.host.apply_settings(self._fitted(found))
         return self.catalog.providers(found)
 
     def _sweep(self) -> Coroutine[None]:
@@ -273,7 +275,7 @@
             if before.collisions.get(event.short) != event:
                 say(CATALOG_COLLISION, text=event.text)
         for key, at in list(self.ats.items()):
-            at.host.use(self._fitted(at.service))
+            at.host.apply_settings(self._fitted(at.service))
             self._step(key, at)
 
     def _changed(self, changed: Changed) -> None:
--- a/loftweir/core/__init__.py
+++ b/loftweir/core/__init__.py
@@ -1,2 +1,5 @@
-"""The core: invocations, invoker calls and the balancer's host. It speaks of classes, effects, keys, deadlines and
-opaque payloads, and knows no protocol; docs/core.md says what a front and a back owe it."""
+"""The protocol-independent core: invocations, their attempts, and the host of the balancer.
+
+It deals in classes, effects, keys, deadlines and opaque payloads; docs/core.md describes what a frontend and a backend
+must provide.
+"""
--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -1,7 +1,7 @@
-"""The balancer's host: owns the `Balancer`, tells it what happens, and carries out what it decides.
+"""The balancer's host: owns the `Balancer`, passes events to it, and carries out the actions that it returns.
 
-Events go in by `tell`, in order; actions are carried out at once and in order, directly on the front and the back.
-There is no queue of work between, and no other model of what happened.
+Events go in through `handle`, in order. Actions are carried out at once and in order, directly on the frontend and the
+backend: there is no queue of work between them, and no second model of what happened.
 """
 
 from __future__ import annotations
@@ -12,79 +12,86 @@
 
 from loftweir import interface as api
 from loftweir.balance import Balancer
-from loftweir.core.invocation import BROKEN, FAILED, LATE, Call, Final, Invocation, Kind
+from loftweir.core.invocation import BROKEN, FAILED, LATE, AnswerKind, FinalAnswer, Invocation, ProviderAttempt
 from loftweir.core.overload import Overload
 from loftweir.net.loop import Loop
 from loftweir.telemetry.catalogue import DECISION_BROKEN, DECISION_NOTE
 from loftweir.telemetry.log import say, where
 
 
-class Back(Protocol):
-    """The providers' side, of one protocol."""
+class Backend(Protocol):
+    """The providers' side, for one protocol."""
 
-    def begin(self, call: Call) -> None:
-        """Carries a call out. Sets `call.running` while it goes on; tells `Host.ended` exactly once, unless
-        cancelled. Once that is told, no copy of it is out."""
+    def begin(self, attempt: ProviderAttempt) -> None:
+        """Carry out an attempt.
 
-    def listed(self, update: api.MembershipUpdate, addresses: dict[str, str]) -> None:
-        """The list has changed: nothing more goes to one that is gone or drains."""
+        Sets `attempt.running` while it is in flight, and calls `Host.attempt_ended` exactly once unless it is
+        cancelled. Once that has been called, no copy of the request is in flight.
+        """
 
-    def close_idle(self, provider: str) -> None: ...
+    def update_list(self, update: api.MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Apply a list update: nothing more is sent to a provider that is gone or drains."""
 
+    def close_idle(self, provider: str) -> None:
+        """Close the idle connections to a provider."""
 
-class Lists(Protocol):
+
+class ListSource(Protocol):
     """Discovery's side."""
 
-    def watch(self, on: bool) -> None: ...
+    def watch(self, on: bool) -> None:
+        """Start or stop watching the list for changes."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Fetch the whole list once."""
 
 
 class Host:
-    """One balancer and the invocations that it owes answers for.
+    """One balancer and the invocations that still owe a final answer.
 
-    Invariant: an id is in `invocations` from `take` until its answer is out and none of its calls is: the same id in
-    that time would be a second copy, and could run twice.
+    Invariant: an id is in `invocations` from `accept` until its final answer is out and none of its attempts is in
+    flight. The same id within that time would be a duplicate, and could run twice.
     """
 
-    def __init__(self, loop: Loop, settings: api.Settings, seed: int, back: Back, lists: Lists) -> None:
+    def __init__(self, loop: Loop, settings: api.Settings, seed: int, back: Backend, lists: ListSource) -> None:
         self.loop = loop
         self.balancer = Balancer(settings, seed)
         self.overload = Overload()
         self.back = back
         self.invocations: dict[str, Invocation] = {}
         self.events: deque[api.Event] = deque()
-        self.telling = False
-        self.carry_out: dict[type, Callable[[Any], None]] = {
+        self.handling = False
+        self.handlers: dict[type, Callable[[Any], None]] = {
             api.Attempt: self._attempt,
             api.Reject: self._reject,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.Timer: self._timer,
-            api.Watch: lambda a: lists.watch(a.on),
-            api.FetchList: lambda a: lists.fetch(),
-            api.CloseIdle: lambda a: back.close_idle(a.provider),
-            api.Log: lambda a: say(DECISION_NOTE, text=a.text),
+            api.Watch: lambda action: lists.watch(action.on),
+            api.FetchList: lambda action: lists.fetch(),
+            api.CloseIdle: lambda action: back.close_idle(action.provider),
+            api.Log: lambda action: say(DECISION_NOTE, text=action.text),
         }
 
     @property
     def settings(self) -> api.Settings:
-        """Those that hold now: the balancer's."""
+        """The settings in force, which are the balancer's."""
         return self.balancer.settings
 
-    def use(self, settings: api.Settings) -> None:
-        self.tell(api.SettingsChanged(settings))
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Use new settings from now on."""
+        self.handle(api.SettingsChanged(settings))
 
     # ---- events ---------------------------------------------------------------------------------
 
-    def tell(self, event: api.Event) -> None:
-        """Hands one event to the balancer and carries out its actions; what these raise waits its turn."""
+    def handle(self, event: api.Event) -> None:
+        """Pass one event to the balancer and carry out its actions; events that these cause are handled afterwards."""
         events = self.events
         events.append(event)
-        if self.telling:
+        if self.handling:
             return
-        self.telling = True
-        carry_out = self.carry_out
+        self.handling = True
+        handlers = self.handlers
         while events:
             event = events.popleft()
             try:
@@ -94,63 +101,71 @@
                 continue
             for action in actions:
                 try:
-                    carry_out[type(action)](action)
+                    handlers[type(action)](action)
                 except Exception as error:
                     self._broken(action, error)
-        self.telling = False
+        self.handling = False
 
     def _broken(self, thing: api.Event | api.Action, error: Exception) -> None:
-        """A decision that broke, or can't be carried out: what it was about is answered, the rest goes on."""
+        """Handle an exception from a decision or an action: the request concerned is answered, the rest goes on."""
         say(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=where(error))
         invocation = self.invocations.get(getattr(thing, "request_id", getattr(thing, "id", "")))
         if invocation is not None and invocation.open:
             invocation.close(BROKEN)
             self.events.append(api.RequestCancelled(invocation.id))
 
-    def take(self, invocation: Invocation, age: int = 0, unread: int = 0) -> None:
-        """An invocation whose last byte came `age` ns ago: from now on it is owed its answer, by what is left of its
-        patience. For `unread` of these this process could have read it and did not; the rest of the time it waited
-        for its own client's request before it, which is no sign that the process is behind."""
+    def accept(self, invocation: Invocation, age: int = 0, unread: int = 0) -> None:
+        """Take an invocation, which owes a final answer from now on.
+
+        Its last byte arrived `age` ns ago, which is deducted from its time left. For `unread` ns of these this process
+        could have read it and did not. The rest of the time it waited for an earlier request of its own client, which
+        is no sign that this process is overloaded.
+        """
         now = self.loop.time
-        invocation.patience -= age
-        invocation.deadline = now + invocation.patience
+        invocation.time_left -= age
+        invocation.deadline = now + invocation.time_left
         self.invocations[invocation.id] = invocation
-        shed = self.overload.read(now, unread)
-        if invocation.wanted():  # one whose client has left is no request: the balancer measures its traffic by them
-            self.tell(invocation.event(shed))
+        reject_share = self.overload.read(now, unread)
+        if invocation.is_wanted():  # the balancer measures its traffic by its requests: one without a client is none
+            self.handle(invocation.event(reject_share))
 
-    def leave(self, invocation: Invocation) -> None:
-        """The client's side is done with it, answered or not. An invoker call still out runs on: giving it up
-        would stop no work, and read to its end its connection can be used again."""
+    def release(self, invocation: Invocation) -> None:
+        """End the client's side of an invocation, whether it is answered or not.
+
+        An attempt in flight runs on: giving it up would stop no work at the provider, and once its response is read to
+        the end its connection can be used again.
+        """
         if invocation.open:
             invocation.close(None)
-            self.tell(api.RequestCancelled(invocation.id))
+            self.handle(api.RequestCancelled(invocation.id))
         self._forget(invocation)
 
     def _forget(self, invocation: Invocation) -> None:
+        """Drop an invocation that is closed and has no attempt in flight."""
         if invocation.open:
             return
-        for call in invocation.calls:
-            if call.running is not None:
+        for attempt in invocation.attempts:
+            if attempt.running is not None:
                 return
         self.invocations.pop(invocation.id, None)
-        invocation.calls.clear()  # each names its invocation: in a ring, its answer would keep its room
+        invocation.attempts.clear()  # breaks the reference cycle, which would keep the response's memory in use
 
-    def listed(self, update: api.MembershipUpdate, addresses: dict[str, str]) -> None:
-        self.back.listed(update, addresses)
-        self.tell(update)
+    def update_list(self, update: api.MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Apply an update of the list of providers."""
+        self.back.update_list(update, addresses)
+        self.handle(update)
 
-    def ended(self, call: Call, outcome: api.Outcome, payload: Any = None) -> None:
-        """A call's one outcome; `payload` with OK: the answer, for a front of the same protocol."""
+    def attempt_ended(self, attempt: ProviderAttempt, outcome: api.Outcome, payload: Any = None) -> None:
+        """Record an attempt's one outcome; with OK, `payload` is the response for a frontend of the same protocol."""
         now = self.loop.time
-        call.running = None
-        call.outcome, call.ended_at = outcome, now
-        invocation = call.invocation
+        attempt.running = None
+        attempt.outcome, attempt.ended_at = outcome, now
+        invocation = attempt.invocation
         if outcome is api.Outcome.OK and invocation.open:
-            invocation.close(Final(Kind.SERVED, payload))
-        self.tell(
+            invocation.close(FinalAnswer(AnswerKind.SERVED, payload))
+        self.handle(
             api.AttemptEnded(
-                invocation.id, call.number, call.provider, outcome, now - call.started_at, not invocation.open
+                invocation.id, attempt.number, attempt.provider, outcome, now - attempt.started_at, not invocation.open
             )
         )
         self._forget(invocation)
@@ -158,40 +173,42 @@
     # ---- actions --------------------------------------------------------------------------------
 
     def _attempt(self, action: api.Attempt) -> None:
-        """Begins an attempt, unless the client has gone: then the balancer is told that there was none, and that the
-        request is over. Whatever decides on one, at a request, an end, a timer or a list, it begins only here."""
+        """Begin an attempt, unless the client has gone: then report that nothing was sent and the request is over.
+
+        Attempts begin only here, whether a request, the end of another attempt, a timer or a list caused the decision.
+        """
         invocation = self.invocations[action.request_id]
-        if not invocation.wanted():
-            number, none = len(invocation.calls), api.Outcome.NOT_SENT
-            self.tell(api.AttemptEnded(invocation.id, number, action.provider, none, 0, True))
+        if not invocation.is_wanted():
+            number, none = len(invocation.attempts), api.Outcome.NOT_SENT
+            self.handle(api.AttemptEnded(invocation.id, number, action.provider, none, 0, True))
             return
-        call = Call(invocation, action.provider, action.give_up_at, self.loop.time, action.send_by)
-        invocation.calls.append(call)
-        self.back.begin(call)
+        attempt = ProviderAttempt(invocation, action.provider, action.give_up_at, self.loop.time, action.send_by)
+        invocation.attempts.append(attempt)
+        self.back.begin(attempt)
 
     def _timer(self, action: api.Timer) -> None:
         if action.request_id:
-            self.loop.after(action.delay, self._due, action.request_id, action.tag)
+            self.loop.after(action.delay, self._request_timer_fired, action.request_id, action.tag)
         else:
-            self.loop.after(action.delay, self.tell, api.TimerFired(action.tag))
+            self.loop.after(action.delay, self.handle, api.TimerFired(action.tag))
 
-    def _due(self, request_id: str, tag: str) -> None:
-        """A timer that is about one request: of no interest once that has its answer."""
+    def _request_timer_fired(self, request_id: str, tag: str) -> None:
+        """Report a request's timer to the balancer, unless the request has its final answer."""
         invocation = self.invocations.get(request_id)
         if invocation is not None and invocation.open:
-            self.tell(api.TimerFired(tag))
+            self.handle(api.TimerFired(tag))
 
     def _reject(self, action: api.Reject) -> None:
-        """A rejection says that trying again is harmless, and after how long it may help."""
+        """Close with a rejection, which tells that a retry is harmless and after what time it may help."""
         after = min(action.retry_after, self.settings.max_retry_after)
-        self._close(action.request_id, Final(Kind.REJECTED, after=after))
+        self._close(action.request_id, FinalAnswer(AnswerKind.REJECTED, after=after))
 
     def _fail(self, action: api.Fail) -> None:
         invocation = self.invocations.get(action.request_id)
         late = invocation is not None and self.loop.time >= invocation.deadline
         self._close(action.request_id, LATE if late else FAILED)
 
-    def _close(self, request_id: str, final: Final) -> None:
+    def _close(self, request_id: str, final: FinalAnswer) -> None:
         invocation = self.invocations.get(request_id)
         if invocation is not None and invocation.open:
             invocation.close(final)
@@ -199,8 +216,8 @@
     def _cancel(self, action: api.Cancel) -> None:
         invocation = self.invocations.get(action.request_id)
         if invocation is None:
-            return  # all its calls have ended
-        call = invocation.calls[action.attempt]
-        if call.running is not None:
-            call.running.cancel()
-            self.ended(call, api.Outcome.CANCELLED)
+            return  # all its attempts have ended
+        attempt = invocation.attempts[action.attempt]
+        if attempt.running is not None:
+            attempt.running.cancel()
+            self.attempt_ended(attempt, api.Outcome.CANCELLED)
--- a/loftweir/core/invocation.py
+++ b/loftweir/core/invocation.py
@@ -1,5 +1,7 @@
-"""An invocation, a request that the sidecar has taken, and its invoker calls, each one attempt of the balancer at one
-provider. No I/O, no clock; whatever protocol they come and go over."""
+"""An invocation, which is a request that the sidecar has taken, and its attempts at providers. No I/O, no clock.
+
+Both are independent of the protocol over which requests arrive and leave.
+"""
 
 from __future__ import annotations
 
@@ -9,77 +11,78 @@
 
 from loftweir.interface import Effect, Outcome, Request, RequestClass
 
-MS = 1_000_000
+MS = 1_000_000  # nanoseconds
 
 
-class Kind(Enum):
-    """How an invocation ends. Each front has its own words for them."""
+class AnswerKind(Enum):
+    """How an invocation ends. Each frontend maps it to its own protocol."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # trying again is harmless
-    FAILED = "failed"  # no promise about the effect
+    REJECTED = "rejected"  # a retry is harmless
+    FAILED = "failed"  # without a promise about the effect
     LATE = "late"  # failed, and its deadline has passed
-    BROKEN = "broken"  # failed by a fault of the program
+    BROKEN = "broken"  # failed because of a fault of this program
 
 
-class Final(NamedTuple):
-    """The one final answer."""
+class FinalAnswer(NamedTuple):
+    """The one final answer to an invocation."""
 
-    kind: Kind
-    payload: Any = None  # of SERVED: what the back made of the provider's answer
-    after: int = 0  # of REJECTED: ns after which trying again may help; 0: nothing is said
+    kind: AnswerKind
+    payload: Any = None  # SERVED: the response as the backend returns it
+    after: int = 0  # REJECTED: how long the client should wait before a retry, ns; 0: no advice
 
 
-BROKEN = Final(Kind.BROKEN)
-FAILED, LATE = Final(Kind.FAILED), Final(Kind.LATE)
+BROKEN = FinalAnswer(AnswerKind.BROKEN)
+FAILED = FinalAnswer(AnswerKind.FAILED)
+LATE = FinalAnswer(AnswerKind.LATE)
 
 
-class Unfit(Exception):
-    """A request that can't be taken as it stands: says why."""
+class InvalidRequest(Exception):
+    """A request that can't be taken as it is; the message tells why."""
 
 
 def check(cls: RequestClass | None, name: str, has_key: bool) -> RequestClass:
-    """A request's class, where it may come as one of it; else an `Unfit`."""
+    """Return the class of a request; raise `InvalidRequest` if the request can't be taken in that class."""
     if cls is None:
-        raise Unfit(f"{name!r} is not a class of this service")
+        raise InvalidRequest(f"{name!r} is not a class of this service")
     if cls.effect is Effect.BY_KEY and not has_key:
-        raise Unfit(f"{name} needs a key")
+        raise InvalidRequest(f"{name} needs a key")
     return cls
 
 
 class Invocation:
-    """Owes exactly one final answer while it is open.
+    """A request that owes exactly one final answer while it is open.
 
-    Invariants: `final` is set once, by `close`, and `open` is false from then on. `calls` holds every invoker call of
-    it, in their order, until the last has ended and the client's side is done with it. No attempt of it begins, first
-    or further, unless `wanted` has just said so.
+    Invariants: `final` is set once, by `close`, and `open` is false from then on. `attempts` has every attempt in the
+    order of their beginning, until the last one has ended and the client's side is done with the invocation. No
+    attempt, first or further, begins unless `is_wanted` has just returned true.
     """
 
     __slots__ = (
         "id",
         "cls",
-        "patience",
+        "time_left",
         "deadline",
-        "after_body",
-        "sending",
+        "time_after_body",
+        "receive_time",
         "payload",
         "write",
         "client_retry",
         "key",
         "open",
         "final",
-        "calls",
-        "closed",
-        "left",
+        "attempts",
+        "on_closed",
+        "client_left",
         "traced",
-        "told",
+        "attempt_records",
     )
 
     def __init__(
         self,
         request_id: str,
         cls: RequestClass,
-        patience: int,
+        time_left: int,
         payload: Any,
         write: bool = False,
         client_retry: bool = False,
@@ -87,61 +90,71 @@
         key: str | None = None,
     ) -> None:
         self.id = request_id
-        self.cls = cls  # as it was when the head came, whatever the settings say later
-        self.patience = patience  # ns that the client still waits, from when it is taken
-        self.deadline = 0  # patience from the moment it was taken
-        self.after_body = 0  # patience from its last byte on, where that is sent on while it comes
-        self.sending = 0  # ns from its first byte to its last one
-        self.payload = payload  # the front's and the back's; nobody between looks into it
+        self.cls = cls  # as of the arrival of the head, whatever the settings are later
+        self.time_left = time_left  # how long the client still waits, ns, from when the invocation is taken
+        self.deadline = 0  # `time_left` after it was taken
+        self.time_after_body = (
+            0  # a body that is forwarded as it arrives: how long the client waits after its last byte
+        )
+        self.receive_time = 0  # ns from its first byte to its last one
+        self.payload = payload  # for the frontend and the backend only
         self.write = write
         self.client_retry = client_retry
-        self.key = key  # what the request concerns, where the application says so
+        self.key = key  # what the request concerns, if the client says so
         self.open = True
-        self.final: Final | None = None
-        self.calls: list[Call] = []
-        self.closed: Callable[[], None] | None = None  # the front's: the final answer is there
-        self.left: Callable[[], bool] = lambda: False  # the front's: whether the client has gone, as of now
-        self.traced = traced  # whether an access line may be due
-        self.told: list[dict[str, Any]] = []  # its calls as that line has them, once it is decided
-
-    def event(self, shed: float) -> Request:
+        self.final: FinalAnswer | None = None
+        self.attempts: list[ProviderAttempt] = []
+        self.on_closed: Callable[[], None] | None = None  # set by the frontend: called with the final answer in place
+        self.client_left: Callable[[], bool] = lambda: False  # set by the frontend: whether the client has gone by now
+        self.traced = traced  # whether an access line may be logged
+        self.attempt_records: list[dict[str, Any]] = []  # the attempts as the access line has them, once it is closed
+
+    def event(self, reject_share: float) -> Request:
+        """Return the balancer's event for this request."""
         return Request(
             self.id,
             self.cls.name,
-            self.patience,
+            self.time_left,
             request_class=self.cls,
             key=self.key,
             client_retry=self.client_retry,
             write=self.write,
-            reject_share=shed,
+            reject_share=reject_share,
         )
 
-    def wanted(self) -> bool:
-        """Whether an answer is owed to someone who is still there. The client's end may lie in the kernel while the
-        loop is behind, or behind an event of the same turn: it is looked at here, and not waited for."""
-        if self.open and self.left():
+    def is_wanted(self) -> bool:
+        """Whether the invocation is open and its client still there; closes it if the client has gone.
+
+        The client's disconnect may be in the kernel while the loop is behind, or be queued behind another event of the
+        same turn. So it is checked here rather than waited for.
+        """
+        if self.open and self.client_left():
             self.close(None)
         return self.open
 
-    def close(self, final: Final | None) -> None:
-        """The final answer, or none where the client has gone."""
+    def close(self, final: FinalAnswer | None) -> None:
+        """Set the final answer; None if the client has gone."""
         self.open = False
         self.final = final
         if self.traced:
-            self.told = [call.told() for call in self.calls]
-        if self.closed is not None:
-            self.closed()
+            self.attempt_records = [attempt.access_record() for attempt in self.attempts]
+        if self.on_closed is not None:
+            self.on_closed()
 
 
 class Running(Protocol):
-    """What carries a call out, and can be stopped."""
+    """The task that carries out an attempt."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Stop it; it then reports no outcome."""
 
 
-class Call:
-    """One attempt, from its decision to its one outcome. Invariant: `running` is what carries it out, and None once its
-    outcome has been told or before it began; so the outcome is told exactly once."""
+class ProviderAttempt:
+    """One attempt, from the balancer's decision to its one outcome.
+
+    Invariant: `running` is the task that carries it out. It is None before the attempt begins and once its outcome has
+    been reported, so the outcome is reported exactly once.
+    """
 
     __slots__ = (
         "invocation",
@@ -150,7 +163,7 @@
         "give_up_at",
         "send_by",
         "started_at",
-        "up_at",
+        "connected_at",
         "sent_at",
         "ended_at",
         "outcome",
@@ -161,28 +174,31 @@
         self, invocation: Invocation, provider: str, give_up_at: int, started_at: int, send_by: int = 0
     ) -> None:
         self.invocation = invocation
-        self.number = len(invocation.calls)
+        self.number = len(invocation.attempts)
         self.provider = provider
         self.give_up_at = min(give_up_at or invocation.deadline, invocation.deadline)
-        # A repeat is dropped by its servers for a while only: what counts is when it is written, not when it is
-        # decided, and a connection may take long to come up.
+        # Providers drop duplicates of a key only for a limited time. What counts is when a retry is written, not when
+        # it is decided: opening a connection may take long.
         self.send_by = min(send_by or self.give_up_at, self.give_up_at)
         self.started_at = started_at
-        # For the access line: when its connection was there, its last byte out, its outcome known; 0: not yet.
-        self.up_at = self.sent_at = self.ended_at = 0
+        # For the access line; 0: not yet.
+        self.connected_at = 0
+        self.sent_at = 0  # when its last byte was written
+        self.ended_at = 0  # when its outcome was known
         self.outcome: Outcome | None = None
         self.running: Running | None = None
 
-    def told(self) -> dict[str, Any]:
-        """The call as the access line has it: `at` in ns, and each phase in ms from the end of the one before."""
-        told: dict[str, Any] = {
+    def access_record(self) -> dict[str, Any]:
+        """Return the attempt as the access line has it: `at` in ns, each phase in ms from the end of the previous."""
+        record: dict[str, Any] = {
             "at": self.started_at,
             "provider": self.provider,
             "outcome": None if self.outcome is None else self.outcome.label,
         }
         before = self.started_at
-        for phase, at in (("connect_ms", self.up_at), ("send_ms", self.sent_at), ("answer_ms", self.ended_at)):
+        phases = (("connect_ms", self.connected_at), ("send_ms", self.sent_at), ("answer_ms", self.ended_at))
+        for phase, at in phases:
             if at:
-                told[phase] = round((at - before) / MS, 3)
+                record[phase] = round((at - before) / MS, 3)
                 before = at
-        return told
+        return record
--- a/loftweir/errors.py
+++ b/loftweir/errors.py
@@ -4,10 +4,10 @@
 error may say more with an own. docs/errors.md is made from the types (`table`), and a test holds the two together.
 
 In the family is what can come to an operator as it is: in the log, at the program's end, as the answer of a call or of
-a command. What is caught before that, and there becomes something else, stays out. `TookTooLong`, `TooLarge`, `NoRoom`,
-`NotUp`, `LocalFault` and `Unsent` become an invoker call's outcome, a status or a `CallFailed`; `Malformed` and `Unfit`
-become the answer to the application's own request (docs/on-call.md has the statuses). `Breach` is a finding of the
-virtual runs.
+a command. What is caught before that, and there becomes something else, stays out. `TimedOut`, `TooLarge`,
+`OutOfBudget`, `ConnectError`, `LocalError` and `UploadFailed` become an invoker call's outcome, a status or a
+`CallFailed`; `BadRequest` and `InvalidRequest` become the answer to the application's own request (docs/on-call.md has
+the statuses). `Breach` is a finding of the virtual runs.
 """
 
 from __future__ import annotations
--- a/loftweir/http1/access_trace.py
+++ b/loftweir/http1/access_trace.py
@@ -16,16 +16,16 @@
 class AccessTrace:
     """What the access line says of one invocation, taken once it is decided and before it is forgotten."""
 
-    __slots__ = ("id", "class_name", "patience", "began", "taken_at", "decided_at", "answered_at", "calls")
+    __slots__ = ("id", "class_name", "time_left", "began", "taken_at", "decided_at", "answered_at", "calls")
 
     def __init__(self, invocation: Invocation, began: int, now: int) -> None:
         self.id = invocation.id
         self.class_name = invocation.cls.name
-        self.patience = invocation.patience
+        self.time_left = invocation.time_left
         self.began = began
-        self.taken_at = invocation.deadline - invocation.patience
+        self.taken_at = invocation.deadline - invocation.time_left
         self.answered_at = now
-        self.calls = invocation.told
+        self.calls = invocation.attempt_records
         self.decided_at = self.calls[0].pop("at") if self.calls else now
         for call in self.calls[1:]:
             call["after_ms"] = round((call.pop("at") - self.taken_at) / MS, 3)
@@ -48,6 +48,6 @@
             decision_ms=round((self.decided_at - self.taken_at) / MS, 3),
             calls=self.calls,
             write_ms=round((now - self.answered_at) / MS, 3),
-            patience_ms=self.patience // MS,
+            patience_ms=self.time_left // MS,
             why=why,
         )
--- a/loftweir/http1/back.py
+++ b/loftweir/http1/back.py
@@ -13,58 +13,58 @@
 import h11
 
 from loftweir.config.model import Options
-from loftweir.core.invocation import Call
+from loftweir.core.invocation import ProviderAttempt
 from loftweir.http1 import grammar
-from loftweir.http1.flow import Passing, Unsent
-from loftweir.http1.message import Answer, Flow, Message, by_name, passed_on
-from loftweir.http1.strict import Strict
+from loftweir.http1.flow import ResponseStream, UploadFailed
+from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, by_name, passed_on
+from loftweir.http1.strict import H11Reader
 from loftweir.interface import Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
 from loftweir.net.loop import MS, READABLE, Coroutine, Loop, Wait
 from loftweir.net.stream import (
     READ_SIZE,
     RETRY_WRITE,
     Body,
-    LocalFault,
-    NoRoom,
-    NotUp,
-    Room,
-    TookTooLong,
+    ConnectError,
+    LocalError,
+    MemoryBudget,
+    OutOfBudget,
+    TimedOut,
     TooLarge,
     connect,
     send,
     unacknowledged,
-    waited,
+    unread_for,
 )
 
-Ended = Callable[[Call, Outcome, Any], None]
-Exchanged = tuple[Outcome, Answer | None, bool | None]
+Ended = Callable[[ProviderAttempt, Outcome, Any], None]
+Exchanged = tuple[Outcome, HttpResponse | None, bool | None]
 HELD_FOR = 200 * MS  # an answer of unknown length, from its first part on,
 HELD_UNKNOWN = 4  # or up to so many times `limits.held`: what has begun and is reset then is no answer
 
 
-class Connection:
+class ProviderConnection:
     """A connection to a provider. At rest it watches itself: whatever comes then, a close or something unasked, ends
     it."""
 
-    __slots__ = ("pool", "sock", "name", "address", "rested_at", "mask")
+    __slots__ = ("pool", "sock", "name", "address", "idle_since", "mask")
 
     def __init__(self, pool: Pool, sock: socket.socket, name: str, address: str) -> None:
         self.pool = pool
         self.sock = sock
         self.name = name
         self.address = address
-        self.rested_at = 0
+        self.idle_since = 0
         self.mask = READABLE
 
     def ready(self, events: int) -> None:
-        self.pool.loop.due.append(self.spoke)
+        self.pool.loop.runnable.append(self.on_event)
 
-    def spoke(self) -> None:
-        if self in self.pool.resting:
-            self.pool.take_out(self)
+    def on_event(self) -> None:
+        if self in self.pool.idle:
+            self.pool.remove_idle(self)
             self.pool.close(self)
 
-    def sound(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it still stands and is quiet. Closed by the provider, with epoll having had no turn to say so yet,
         a request on it would be lost."""
         try:
@@ -84,168 +84,168 @@
     whole list of hundreds of providers is taken in time that goes with its length.
     """
 
-    def __init__(self, loop: Loop, settings: Settings, options: Options, most: int) -> None:
+    def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int) -> None:
         self.loop = loop
         self.settings = settings
         self.options = options  # replaced whole by a reload
-        self.most = most  # connections, in use and at rest
-        self.open = 0
+        self.max_connections = max_connections  # connections, in use and at rest
+        self.open_count = 0
         self.addresses: dict[str, str] = {}  # of those that may be sent to
-        self.names: dict[str, str] = {}  # the same the other way round
-        self.heard: dict[str, int] = {}  # when each gave its last whole answer
-        self.idle: dict[str, dict[Connection, None]] = {}
-        self.resting: dict[Connection, None] = {}
+        self.names_by_address: dict[str, str] = {}  # the same the other way round
+        self.last_response_at: dict[str, int] = {}  # when each gave its last whole answer
+        self.idle_by_provider: dict[str, dict[ProviderConnection, None]] = {}
+        self.idle: dict[ProviderConnection, None] = {}
 
-    def rest_for(self) -> int:
+    def max_idle_time(self) -> int:
         """A provider counts idle time from its own last byte: closing this much earlier than it does, nothing is
         written too late."""
         conn_idle = self.settings.conn_idle
         return max(conn_idle // 2, conn_idle - self.options.providers.idle_margin)
 
-    def moved(self, name: str, address: str) -> None:
+    def set_address(self, name: str, address: str) -> None:
         """The list names an address: connections to another one lead to a process that is gone, and so do those of
         another provider that had this one."""
-        other = self.names.get(address)
+        other = self.names_by_address.get(address)
         if other == name:
             return
         if other is not None:
-            self.forget(other)
-        self.forget(name)
+            self.remove_provider(other)
+        self.remove_provider(name)
         self.addresses[name] = address
-        self.names[address] = name
+        self.names_by_address[address] = name
 
-    def forget(self, name: str) -> None:
+    def remove_provider(self, name: str) -> None:
         """One that is gone or drains: nothing more is sent to it, and nothing of it is kept."""
         address = self.addresses.pop(name, None)
         if address is not None:
-            del self.names[address]
-        self.heard.pop(name, None)
+            del self.names_by_address[address]
+        self.last_response_at.pop(name, None)
         self.close_idle(name)
 
-    def connect(self, name: str, until: int) -> Coroutine[Connection]:
+    def connect(self, name: str, until: int) -> Coroutine[ProviderConnection]:
         address = self.addresses.get(name)
         if address is None:  # gone since the call was decided on
-            raise NotUp(Outcome.NOT_SENT)
-        if self.open >= self.most and not self.spare():
-            raise NotUp(Outcome.NOT_SENT)
-        self.open += 1
+            raise ConnectError(Outcome.NOT_SENT)
+        if self.open_count >= self.max_connections and not self.evict_idle():
+            raise ConnectError(Outcome.NOT_SENT)
+        self.open_count += 1
         try:
             sock = yield from connect(self.loop, address, self.settings.connect_timeout, until)
         except BaseException:
-            self.open -= 1
+            self.open_count -= 1
             raise
-        connection = Connection(self, sock, name, address)
-        if not connection.sound():  # ended, or spoken on, before anything was asked: nothing ran
+        connection = ProviderConnection(self, sock, name, address)
+        if not connection.is_usable():  # ended, or spoken on, before anything was asked: nothing ran
             self.close(connection)
-            raise NotUp(Outcome.CONNECT_FAILED)
+            raise ConnectError(Outcome.CONNECT_FAILED)
         return connection
 
-    def close(self, connection: Connection) -> None:
-        self.open -= 1
+    def close(self, connection: ProviderConnection) -> None:
+        self.open_count -= 1
         self.loop.close(connection.sock)
 
-    def spare(self) -> bool:
+    def evict_idle(self) -> bool:
         """Makes room: closes the connection that has been at rest for longest."""
-        connection = next(iter(self.resting), None)
+        connection = next(iter(self.idle), None)
         if connection is not None:
-            connection.pool.take_out(connection)  # which may be a service's own
+            connection.pool.remove_idle(connection)  # which may be a service's own
             connection.pool.close(connection)
         return connection is not None
 
-    def take_out(self, connection: Connection) -> None:
+    def remove_idle(self, connection: ProviderConnection) -> None:
         """Takes a connection from its rest."""
-        del self.resting[connection]
-        idle = self.idle[connection.name]
+        del self.idle[connection]
+        idle = self.idle_by_provider[connection.name]
         del idle[connection]
         if not idle:
-            del self.idle[connection.name]
+            del self.idle_by_provider[connection.name]
         self.loop.unwatch(connection.sock.fileno())
 
-    def take(self, name: str) -> Connection | None:
+    def acquire(self, name: str) -> ProviderConnection | None:
         """A warm connection that still stands: the one used last of those that have rested for a moment. A provider
         may close right behind its answer, or send more: what has rested for less has not shown it yet."""
-        while idle := self.idle.get(name):
+        while idle := self.idle_by_provider.get(name):
             rested = self.loop.time - self.options.providers.rest_least
-            connection = next((c for c in reversed(idle) if c.rested_at <= rested), None) or next(iter(idle))
-            self.take_out(connection)
-            if connection.sound():
+            connection = next((c for c in reversed(idle) if c.idle_since <= rested), None) or next(iter(idle))
+            self.remove_idle(connection)
+            if connection.is_usable():
                 return connection
             self.close(connection)
         return None
 
-    def rest(self, connection: Connection) -> None:
+    def release(self, connection: ProviderConnection) -> None:
         name = connection.name
         if connection.address != self.addresses.get(name):
             self.close(connection)
             return
-        self.heard[name] = connection.rested_at = self.loop.time
-        self.resting[connection] = None
-        self.idle.setdefault(name, {})[connection] = None
+        self.last_response_at[name] = connection.idle_since = self.loop.time
+        self.idle[connection] = None
+        self.idle_by_provider.setdefault(name, {})[connection] = None
         self.loop.watch(connection.sock.fileno(), connection)
 
-    def keep(self) -> Coroutine[None]:
+    def reap_idle(self) -> Coroutine[None]:
         """Closes resting connections before their providers do. They rest for one time all, so the longest at rest
         is the next one due, and one timer serves them all."""
         while True:
-            due = self.loop.time - self.rest_for()
-            oldest = next(iter(self.resting), None)
-            while oldest is not None and oldest.rested_at <= due:
-                self.spare()
-                oldest = next(iter(self.resting), None)
-            yield Wait(None, 0, (self.loop.time if oldest is None else oldest.rested_at) + self.rest_for())
+            due = self.loop.time - self.max_idle_time()
+            oldest = next(iter(self.idle), None)
+            while oldest is not None and oldest.idle_since <= due:
+                self.evict_idle()
+                oldest = next(iter(self.idle), None)
+            yield Wait(None, 0, (self.loop.time if oldest is None else oldest.idle_since) + self.max_idle_time())
 
     def close_idle(self, name: str) -> None:
-        for connection in list(self.idle.get(name, ())):
-            self.take_out(connection)
+        for connection in list(self.idle_by_provider.get(name, ())):
+            self.remove_idle(connection)
             self.close(connection)
 
 
-class Back:
-    """Carries invoker calls out. `ended` is told each call's outcome and, with OK, its `Answer`."""
+class Backend:
+    """Carries invoker calls out. `on_attempt_ended` is told each call's outcome and, with OK, its `HttpResponse`."""
 
-    def __init__(self, loop: Loop, settings: Settings, options: Options, most: int, room: int) -> None:
+    def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int, room: int) -> None:
         self.loop = loop
-        self.pool = Pool(loop, settings, options, most)
-        self.room = Room(room)
-        self.ended: Ended = lambda call, outcome, payload: None  # the host's, once there is one
-        loop.spawn(self.pool.keep())
+        self.pool = Pool(loop, settings, options, max_connections)
+        self.room = MemoryBudget(room)
+        self.on_attempt_ended: Ended = lambda call, outcome, payload: None  # the host's, once there is one
+        loop.spawn(self.pool.reap_idle())
 
-    def use(self, options: Options, settings: Settings) -> None:
+    def apply_settings(self, options: Options, settings: Settings) -> None:
         self.pool.options, self.pool.settings = options, settings
 
     def close_idle(self, provider: str) -> None:
         self.pool.close_idle(provider)
 
-    def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         latest = {e.address: e for e in update.endpoints}  # of two entries for one provider the later one holds
         ready = [e for e in latest.values() if e.lifecycle is Lifecycle.READY]
         gone = latest.keys() - {e.address for e in ready}
         if update.kind in (UpdateKind.FULL, UpdateKind.REMEMBERED):
             gone |= self.pool.addresses.keys() - addresses.keys()  # a whole list merely omits them
         for name in gone:
-            self.pool.forget(name)
+            self.pool.remove_provider(name)
         # Where two have one address, it is the later one's.
         for endpoint in sorted(ready, key=lambda e: e.started_at):
-            self.pool.moved(endpoint.address, addresses[endpoint.address])
+            self.pool.set_address(endpoint.address, addresses[endpoint.address])
 
-    def begin(self, call: Call) -> None:
-        task = self.loop.start(self.run(call), lambda _: self.ended(call, Outcome.UNKNOWN, None))
+    def begin(self, call: ProviderAttempt) -> None:
+        task = self.loop.start(self.run(call), lambda _: self.on_attempt_ended(call, Outcome.UNKNOWN, None))
         if not task.over:
             call.running = task
 
-    def run(self, call: Call) -> Coroutine[None]:
+    def run(self, call: ProviderAttempt) -> Coroutine[None]:
         pool, body = self.pool, call.invocation.payload.body
         if getattr(body, "begun", False):  # sent on already, and can't be again
-            self.ended(call, Outcome.NOT_SENT, None)
+            self.on_attempt_ended(call, Outcome.NOT_SENT, None)
             return
-        connection = pool.take(call.provider)
+        connection = pool.acquire(call.provider)
         try:
             if connection is None:
                 connection = yield from pool.connect(call.provider, call.send_by)
-        except NotUp as error:
-            self.ended(call, error.outcome, None)
+        except ConnectError as error:
+            self.on_attempt_ended(call, error.outcome, None)
             return
-        call.up_at = self.loop.time
+        call.connected_at = self.loop.time
         reusable: bool | None = False
         try:
             if not self._may_send(call, connection):
@@ -257,35 +257,35 @@
             # Given up, broken or cancelled: closed before the balancer hears of it, so that whatever it sends next
             # is the only copy out.
             if reusable:
-                pool.rest(connection)
+                pool.release(connection)
             elif reusable is not None:
                 pool.close(connection)
-        self.ended(call, outcome, answer)
+        self.on_attempt_ended(call, outcome, answer)
         if answer is not None and not isinstance(answer.body, list):
             final = call.invocation.final
             if final is None or final.payload is not answer:
                 answer.body.close()  # it came too late for anyone
 
-    def _may_send(self, call: Call, connection: Connection) -> bool:
+    def _may_send(self, call: ProviderAttempt, connection: ProviderConnection) -> bool:
         """Whether the request can still go out: not to a provider that has gone, drains or moved meanwhile, nor for a
         client that has gone, nor too late, nor where another attempt has begun its body."""
         if connection.address != self.pool.addresses.get(call.provider):
             return False
         begun = getattr(call.invocation.payload.body, "begun", False)
-        return call.invocation.wanted() and not begun and self.loop.now() < call.send_by
+        return call.invocation.is_wanted() and not begun and self.loop.now() < call.send_by
 
-    def _send(self, call: Call, connection: Connection) -> Coroutine[bool]:
+    def _send(self, call: ProviderAttempt, connection: ProviderConnection) -> Coroutine[bool]:
         """Writes the request, its body but for one that is sent on; False: it must not go out any more."""
         while True:
             try:
                 yield from send(self.loop, connection.sock, self.message(call), call.send_by, READABLE, begins=True)
                 return True
-            except LocalFault:
+            except LocalError:
                 yield Wait(None, 0, self.loop.now() + RETRY_WRITE)
             if not self._may_send(call, connection):
                 return False
 
-    def _exchange(self, call: Call, connection: Connection) -> Coroutine[Exchanged]:
+    def _exchange(self, call: ProviderAttempt, connection: ProviderConnection) -> Coroutine[Exchanged]:
         """The outcome, the answer with OK, and whether the connection can be used again; None: it went with the
         answer."""
         sock, give_up_at = connection.sock, call.give_up_at
@@ -295,14 +295,14 @@
                 return Outcome.NOT_SENT, None, True
             if not isinstance(body, list):
                 give_up_at = yield from self._send_on(call, connection, body)
-        except (TookTooLong, Unsent):
+        except (TimedOut, UploadFailed):
             return Outcome.NOT_SENT, None, False
         except OSError:
             return Outcome.CONNECT_FAILED, None, False  # before the last byte: it can't have run
         call.sent_at = self.loop.time
         try:
             if not (yield Wait(sock, READABLE, give_up_at)):
-                raise TookTooLong
+                raise TimedOut
             try:
                 data = sock.recv(READ_SIZE)
             except BlockingIOError:
@@ -326,7 +326,7 @@
                     data = sock.recv(READ_SIZE)
                 except BlockingIOError:
                     if not (yield Wait(sock, READABLE, give_up_at)):
-                        raise TookTooLong from None
+                        raise TimedOut from None
                     continue
                 if not data:
                     return Outcome.RESET, None, False
@@ -336,11 +336,11 @@
             if not whole:
                 body[-1] = body[-1][: head.length - body.size]
             return self._outcome(int(head.first), head.second, head.pairs, head.fields, body, whole)
-        except TookTooLong:
+        except TimedOut:
             # A machine that vanished leaves its warm connections open and silent. Only a new one can tell, and one
             # that does not come up proves that nothing ran: rest no longer on these. Where others were answered
             # meanwhile, it was this one alone.
-            if self.pool.heard.get(call.provider, 0) < call.started_at:
+            if self.pool.last_response_at.get(call.provider, 0) < call.started_at:
                 self.pool.close_idle(call.provider)
             return Outcome.TIMED_OUT, None, False
         except TooLarge:
@@ -348,10 +348,12 @@
         except (OSError, h11.RemoteProtocolError):
             return Outcome.RESET, None, False
 
-    def _strictly(self, call: Call, connection: Connection, data: bytes | None) -> Coroutine[Exchanged]:
+    def _strictly(
+        self, call: ProviderAttempt, connection: ProviderConnection, data: bytes | None
+    ) -> Coroutine[Exchanged]:
         """An answer that is not of the common form, as h11 reads it."""
         options, until = self.pool.options, call.give_up_at
-        wire = Strict(connection.sock, h11.CLIENT, data)
+        wire = H11Reader(connection.sock, h11.CLIENT, data)
         for _ in range(options.providers.information + 1):
             head = yield from wire.next_event(until)
             if not isinstance(head, h11.InformationalResponse):
@@ -376,7 +378,9 @@
         reusable = wire.whole() and not wire.rest()
         return self._outcome(head.status_code, head.reason, pairs, fields, body, reusable)
 
-    def _part(self, wire: Strict, body: Body, known: int | None, begun_at: int, until: int) -> Coroutine[bytes | None]:
+    def _part(
+        self, wire: H11Reader, body: Body, known: int | None, begun_at: int, until: int
+    ) -> Coroutine[bytes | None]:
         """The next part of an answer; None: a long one of unknown length is not to be held any more."""
         hold_until = until
         if known is None and body.size > self.pool.options.limits.held:
@@ -385,7 +389,7 @@
             hold_until = min(until, begun_at + HELD_FOR)
         try:
             return (yield from wire.part(hold_until))
-        except TookTooLong:
+        except TimedOut:
             if hold_until == until:
                 raise
             return None
@@ -397,7 +401,7 @@
             return False
         try:
             body.reserve(body.size + READ_SIZE)
-        except NoRoom:
+        except OutOfBudget:
             return False
         return True
 
@@ -411,14 +415,14 @@
 
     def _passed_on(
         self,
-        call: Call,
-        connection: Connection,
+        call: ProviderAttempt,
+        connection: ProviderConnection,
         status: int,
         head: grammar.Head,
         body: Body,
         length: int | None,
-        wire: Strict | None,
-    ) -> tuple[Outcome, Answer | None, bool | None]:
+        wire: H11Reader | None,
+    ) -> tuple[Outcome, HttpResponse | None, bool | None]:
         """A long answer: its outcome is known, and its rest comes with the connection to whoever passes it on."""
         outcome, answer, _ = self._outcome(status, head.second, head.pairs, head.fields, body, False)
         if answer is None:
@@ -427,12 +431,12 @@
 
         def give_back(reusable: bool) -> None:
             # A slow client has the last of it long after its provider wrote it: from then on that counts it as idle.
-            if reusable and waited(connection.sock) < pool.options.providers.idle_margin:
-                pool.rest(connection)
+            if reusable and unread_for(connection.sock) < pool.options.providers.idle_margin:
+                pool.release(connection)
             else:
                 pool.close(connection)
 
-        flow = Passing(
+        flow = ResponseStream(
             self.loop,
             connection.sock,
             body,
@@ -454,29 +458,29 @@
         fields: dict[bytes, bytes],
         body: list[bytes],
         reusable: bool,
-    ) -> tuple[Outcome, Answer | None, bool]:
+    ) -> tuple[Outcome, HttpResponse | None, bool]:
         if status == 200:
-            return Outcome.OK, Answer(200, reason, passed_on(pairs, fields), body), reusable
+            return Outcome.OK, HttpResponse(200, reason, passed_on(pairs, fields), body), reusable
         declined = status in (503, 504) and fields.get(b"srv-declined") == b"1"
         return Outcome.FULL if declined else Outcome.ERROR, None, reusable
 
-    def _send_on(self, call: Call, connection: Connection, body: Flow) -> Coroutine[int]:
+    def _send_on(self, call: ProviderAttempt, connection: ProviderConnection, body: BodyStream) -> Coroutine[int]:
         """A body that is sent on while it comes; the time that its call has from its last byte on."""
         try:
             while piece := (yield from body.pull()):
-                if not connection.sound():
+                if not connection.is_usable():
                     raise ConnectionResetError("spoken on before the request was whole")
                 until = self.loop.time + self.pool.options.limits.silent_for
                 yield from send(self.loop, connection.sock, [piece], until, READABLE)
         finally:
             body.close()
         invocation = call.invocation
-        invocation.deadline = call.give_up_at = self.loop.time + invocation.after_body
+        invocation.deadline = call.give_up_at = self.loop.time + invocation.time_after_body
         return call.give_up_at
 
-    def message(self, call: Call) -> list[Any]:
+    def message(self, call: ProviderAttempt) -> list[Any]:
         request = call.invocation.payload
-        assert isinstance(request, Message)
+        assert isinstance(request, HttpRequest)
         method, target, pairs, fields, body = request
         head = b"%s %s HTTP/1.1\r\n%s" % (method, target, passed_on(pairs, fields))
         if b"host" not in fields:  # HTTP/1.0
@@ -486,6 +490,6 @@
         elif body or method != b"GET":
             head += b"Content-Length: %d\r\n" % sum(map(len, body))
         # The client's time may run from its first byte on, the attempt's runs from the last one.
-        left = max(1, (call.give_up_at - self.loop.time - call.invocation.sending) // MS)
+        left = max(1, (call.give_up_at - self.loop.time - call.invocation.receive_time) // MS)
         head += b"Req-Deadline-Ms: %d\r\n\r\n" % left
         return [head, *body] if isinstance(body, list) else [head]
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -10,14 +10,14 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING, NamedTuple
 
-from loftweir.core.invocation import Final, Invocation, Kind
+from loftweir.core.invocation import AnswerKind, FinalAnswer, Invocation
 from loftweir.http1.access_trace import CLIENT_GONE, AccessTrace
 from loftweir.http1.flow import Upload
-from loftweir.http1.message import Answer, Flow, Message, plain
-from loftweir.http1.request import Malformed, check_length, is_health_check, to_invocation
+from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, plain
+from loftweir.http1.request import BadRequest, check_length, is_health_check, to_invocation
 from loftweir.http1.request_reader import RequestReader
 from loftweir.http1.response import (
-    COME_BACK,
+    BODY_RETRY_AFTER,
     answered,
     begin_head,
     client_error,
@@ -27,12 +27,12 @@
 )
 from loftweir.http1.stage import Stage
 from loftweir.net.loop import HUNG_UP, MS, READABLE, WOKEN, Coroutine, Task, Wait
-from loftweir.net.stream import READ_SIZE, NoRoom, TookTooLong, hung_up, send, untaken, waited
+from loftweir.net.stream import READ_SIZE, OutOfBudget, TimedOut, has_unacknowledged, hung_up, send, unread_for
 from loftweir.telemetry.catalogue import INVOCATION_BROKEN, OVERDUE
 from loftweir.telemetry.log import say, where
 
 if TYPE_CHECKING:
-    from loftweir.http1.front import Front
+    from loftweir.http1.front import Frontend
 
 LOOK_FOR_TAKEN = 20 * MS  # how often an ended connection's answer is looked after, past its time
 HALF_REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -41,13 +41,13 @@
 class Exchange(NamedTuple):
     """A request's answer, and what is known of the connection behind the request."""
 
-    answer: Answer
+    answer: HttpResponse
     rest: bytes | None  # what was read behind the request; None: where that ends is not known
     unread: int  # bytes of the client's that are read off behind its last answer, at most
     ended: bool = False  # nothing more comes behind `rest`
 
 
-class Client:
+class ClientConnection:
     """One connection of the application.
 
     Invariant: `task` runs while a request is being read, decided or answered, and while the connection ends; else it is
@@ -69,7 +69,7 @@
         "trace",
     )
 
-    def __init__(self, front: Front, sock: socket.socket) -> None:
+    def __init__(self, front: Frontend, sock: socket.socket) -> None:
         self.front = front
         self.host = front.host  # that its request is decided by
         self.sock = sock
@@ -87,7 +87,7 @@
 
     def ready(self, events: int) -> None:
         """The loop has seen something on the connection: it is served in this turn."""
-        self.front.loop.fresh.append(self.begin)
+        self.front.loop.new_work.append(self.begin)
 
     def begin(self) -> None:
         """Something has come, or the client has gone."""
@@ -100,7 +100,7 @@
         """Whether no whole request has come that is not answered, and no answer is on its way: closing the connection
         loses none."""
         if self.stage is Stage.ENDING:
-            return not untaken(self.sock)
+            return not has_unacknowledged(self.sock)
         if self.stage > most:
             return False
         try:
@@ -136,7 +136,7 @@
         until, latest = loop.time + limits.linger_for, loop.time + limits.write_within
         while True:
             if loop.time >= until or left <= 0:
-                if loop.time >= latest or not untaken(sock):
+                if loop.time >= latest or not has_unacknowledged(sock):
                     return
                 until = min(latest, loop.time + LOOK_FOR_TAKEN)
             if (yield Wait(sock if left > 0 else None, READABLE, until)) and left > 0:
@@ -174,7 +174,7 @@
         rests = False
         try:
             rests = yield from self._serve_requests()
-        except (TookTooLong, OSError):
+        except (TimedOut, OSError):
             rests = False
         finally:
             self.task = None
@@ -240,8 +240,8 @@
     def _refusal(self, error: Exception) -> Exchange:
         """What a request is answered that could not be read or decided."""
         limits = self.front.options.limits
-        if isinstance(error, NoRoom):
-            after = min(COME_BACK, self.front.host.settings.max_retry_after)
+        if isinstance(error, OutOfBudget):
+            after = min(BODY_RETRY_AFTER, self.front.host.settings.max_retry_after)
             # A usual client reads its answer once it has written all.
             return Exchange(rejection(max(1, after // MS)), None, limits.body)
         answer = client_error(error, limits.body)
@@ -256,7 +256,7 @@
         or may go on at full speed: each further one costs it a new connection."""
         return exchange.rest is None or self.front.life.traits.last or 400 <= exchange.answer.status < 500
 
-    def _write(self, answer: Answer, last: bool) -> Coroutine[None]:
+    def _write(self, answer: HttpResponse, last: bool) -> Coroutine[None]:
         status, reason, lines, body = answer
         head = begin_head(status, reason, lines, last)
         if not isinstance(body, list):
@@ -265,7 +265,7 @@
         within = self.front.options.limits.write_within
         return send(self.front.loop, self.sock, parts, self.front.loop.time + within)
 
-    def _pass_on(self, head: bytes, flow: Flow) -> Coroutine[None]:
+    def _pass_on(self, head: bytes, flow: BodyStream) -> Coroutine[None]:
         within = self.front.options.limits.write_within
         return stream(self.front.loop, self.sock, head, flow, not self.old, within)
 
@@ -276,7 +276,7 @@
 
     # ---- deciding -------------------------------------------------------------------------------
 
-    def admit(self, request: Message) -> Invocation | None:
+    def admit(self, request: HttpRequest) -> Invocation | None:
         """The head is looked at first: what can't be served is not waited for. None: it is asked for our health."""
         options = self.front.options
         check_length(request.fields, options.limits.body)
@@ -288,25 +288,25 @@
         """Whether the client has gone."""
         return hung_up(self.sock)
 
-    def _health(self) -> Answer:
+    def _health(self) -> HttpResponse:
         return plain(200, "ready") if self.front.ready() else plain(503, "not ready")
 
-    def _decided(self, invocation: Invocation, began: int, upload: Upload | None = None) -> Coroutine[Answer]:
+    def _decided(self, invocation: Invocation, began: int, upload: Upload | None = None) -> Coroutine[HttpResponse]:
         """Takes an invocation, and waits for its answer or for the client to go."""
         host = self.host
         if invocation.id in host.invocations:
             # A second copy of something still out: neither sent (it could run twice) nor called a rejection.
-            raise Malformed("Req-Id is in use")
+            raise BadRequest("Req-Id is in use")
         self.stage = Stage.BUSY
-        final: Final | None = None
+        final: FinalAnswer | None = None
         try:
             self._submit(invocation, began, upload)
             if invocation.open:
                 final = yield from self._wait_for_final(invocation, upload)
             final = invocation.final or final
         finally:
-            invocation.closed = None
-            host.leave(invocation)
+            invocation.on_closed = None
+            host.release(invocation)
             if invocation.traced:
                 self.trace = AccessTrace(invocation, began, self.front.loop.time)
         if final is None:
@@ -317,17 +317,17 @@
         """Hands the invocation to the host, with the time that its request has been in the kernel unread."""
         front = self.front
         if front.ends_at:
-            invocation.patience = min(invocation.patience, front.ends_at - front.loop.time)
-        invocation.left = self.left
-        age = waited(self.sock) if upload is None else 0
-        invocation.sending = max(0, front.loop.time - age - began)
-        self.host.take(invocation, age, min(age, front.loop.time - self.free_at))
+            invocation.time_left = min(invocation.time_left, front.ends_at - front.loop.time)
+        invocation.client_left = self.left
+        age = unread_for(self.sock) if upload is None else 0
+        invocation.receive_time = max(0, front.loop.time - age - began)
+        self.host.accept(invocation, age, min(age, front.loop.time - self.free_at))
 
-    def _wait_for_final(self, invocation: Invocation, upload: Upload | None) -> Coroutine[Final | None]:
+    def _wait_for_final(self, invocation: Invocation, upload: Upload | None) -> Coroutine[FinalAnswer | None]:
         """Waits until the invocation is closed or the client hangs up. Only a hang-up is looked for: what a client
         sends ahead of its answer stays in the kernel."""
         if self.task is not None:
-            invocation.closed = self.task.wake
+            invocation.on_closed = self.task.wake
             if upload is not None:
                 upload.told = self.task.wake
         host = self.host
@@ -341,5 +341,5 @@
                 raise upload.broken
         if invocation.open and event == 0:
             say(OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
-            return Final(Kind.LATE)
+            return FinalAnswer(AnswerKind.LATE)
         return None
--- a/loftweir/http1/connections.py
+++ b/loftweir/http1/connections.py
@@ -10,17 +10,17 @@
 from itertools import islice
 
 from loftweir.config.model import Options
-from loftweir.http1.client import Client
+from loftweir.http1.client import ClientConnection
 from loftweir.http1.stage import Stage
 from loftweir.net.loop import SECOND, Coroutine, Loop, Wait
-from loftweir.net.stream import untaken
+from loftweir.net.stream import has_unacknowledged
 
 CLOSES_A_TURN = 64  # a wave of connections whose time is over waits for the answers that are ready
 LOOK_AGAIN = SECOND  # at the latest, for connections whose time is over
 LOOKS_AT = 16  # connections that `spare` looks at in each row, the longest there first
 
 
-class Connections:
+class ClientConnections:
     """The table of connections.
 
     Invariants: `clients` has every connection; `silent` and `idle` those at rest, in the order in which their time
@@ -37,23 +37,23 @@
         # Clients hold connections up to a number of their own: idle ones that they don't use again, kept for long,
         # would leave them none for new requests.
         self.most_idle = max(int(sockets * limits.idle_of_sockets), 1)
-        self.clients: set[Client] = set()
-        self.silent: dict[Client, None] = {}
-        self.ending: dict[Client, None] = {}
-        self.idle: dict[Client, None] = {}
+        self.clients: set[ClientConnection] = set()
+        self.silent: dict[ClientConnection, None] = {}
+        self.ending: dict[ClientConnection, None] = {}
+        self.idle: dict[ClientConnection, None] = {}
 
     # ---- connections at rest --------------------------------------------------------------------
 
-    def row(self, client: Client) -> dict[Client, None]:
+    def row(self, client: ClientConnection) -> dict[ClientConnection, None]:
         """The row in which a connection of this stage rests."""
         return self.silent if client.stage is Stage.SILENT else self.idle
 
-    def watch(self, client: Client) -> None:
+    def watch(self, client: ClientConnection) -> None:
         """A connection rests: the loop watches it."""
         self.row(client)[client] = None
         self.loop.watch(client.sock.fileno(), client)
 
-    def rests(self, client: Client) -> None:
+    def rests(self, client: ClientConnection) -> None:
         """A client has its answer. Of too many that rest, the one unused for longest goes."""
         if client.stage is not Stage.SILENT:
             client.stage = Stage.IDLE
@@ -64,7 +64,7 @@
             if oldest is not None:
                 oldest.end()
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         """A connection is over: it stands in no row, and its descriptor is free."""
         self.clients.discard(client)
         self.silent.pop(client, None)
@@ -80,7 +80,7 @@
             wake_idle, _ = self._end_overdue(self.idle, limits.idle_for, CLOSES_A_TURN - closed)
             yield Wait(None, 0, min(wake_silent, wake_idle))
 
-    def _end_overdue(self, row: dict[Client, None], rest: int, most: int) -> tuple[int, int]:
+    def _end_overdue(self, row: dict[ClientConnection, None], rest: int, most: int) -> tuple[int, int]:
         """Ends those of a row whose rest is over, so many at most: when to look again (0: at once), and how many."""
         now = self.loop.time
         closed = 0
@@ -110,7 +110,7 @@
             client.close()
         return client is not None
 
-    def _oldest_quiet(self) -> Client | None:
+    def _oldest_quiet(self) -> ClientConnection | None:
         """One that ends or rests and is quiet. A new connection is given a moment to send what it is opened for."""
         settled = self.loop.time - self.options.limits.sends_within
         for row in (self.ending, self.silent, self.idle):
@@ -121,7 +121,7 @@
                     return client
         return None
 
-    def _oldest_begun(self) -> Client | None:
+    def _oldest_begun(self) -> ClientConnection | None:
         """One that has sent a part of a request at most."""
         begun = [client for client in self.clients if client.stage in (Stage.SILENT, Stage.BEGUN)]
         begun.sort(key=lambda client: client.since)
@@ -147,7 +147,7 @@
     def close(self) -> int:
         """The process ends: what it has written goes out after it, unless something unread is left here. How many
         clients have not been given all that they are owed."""
-        left = sum(client.stage is not Stage.ENDING or untaken(client.sock) for client in self.clients)
+        left = sum(client.stage is not Stage.ENDING or has_unacknowledged(client.sock) for client in self.clients)
         for client in list(self.clients):
             client.close()
         return left
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -16,10 +16,10 @@
 from loftweir.config.lists import NotAList, read_list
 from loftweir.config.model import Options
 from loftweir.errors import LoftweirError
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.interface import MembershipUpdate, UpdateKind
 from loftweir.net.loop import MS, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp, TookTooLong, TooLarge, connect, send
+from loftweir.net.stream import ConnectError, TimedOut, TooLarge, connect, send
 from loftweir.telemetry.catalogue import (
     DISCOVERY_CALL,
     DISCOVERY_CALL_FAILED,
@@ -39,13 +39,13 @@
     remedy = "If it goes on, see that discovery runs at the address that is named and answers `GET /catalog/members`."
 
 
-class Answer(NamedTuple):
+class ListResponse(NamedTuple):
     """One answer of discovery."""
 
     update: MembershipUpdate
     addresses: dict[str, str]
     reusable: bool  # whether its connection can be used again
-    heard_at: int  # when it began: it is as old as that
+    received_at: int  # when it began: it is as old as that
 
 
 class Silent(CallFailed):
@@ -53,7 +53,7 @@
 
     remedy = "See whether discovery's machine hangs or is cut off from this one. Drains are not seen meanwhile."
 
-    def __init__(self, why: str, rest: Callable[[int], Coroutine[Answer]] | None = None) -> None:
+    def __init__(self, why: str, rest: Callable[[int], Coroutine[ListResponse]] | None = None) -> None:
         super().__init__(why)
         self.rest = rest  # waits on for the answer, until then, where nothing of it has come
 
@@ -86,7 +86,7 @@
     place: int
     address: str
     asked: Asked
-    rest: Callable[[int], Coroutine[Answer]]  # waits on for the answer, until then
+    rest: Callable[[int], Coroutine[ListResponse]]  # waits on for the answer, until then
     task: Task | None = None  # that does so
 
 
@@ -95,7 +95,7 @@
 
     sock: socket
     asked: Asked
-    answer: Answer
+    answer: ListResponse
 
 
 class End(NamedTuple):
@@ -122,14 +122,14 @@
         loop: Loop,
         address: str,
         options: Options,
-        told: Callable[[MembershipUpdate, dict[str, str]], None],
+        on_update: Callable[[MembershipUpdate, dict[str, str]], None],
         seed: int = 0,
     ) -> None:
         self.loop = loop
         self.random = Random(seed)
         self.options = options  # replaced whole by a reload
         self.address = address
-        self.told = told
+        self.on_update = on_update
         self.place = self.held = 0
         self.news = 0  # lists told, that said something new
         # Of the list held; None: no list. 0 is a version like any other: taken for none, the whole list was
@@ -146,7 +146,7 @@
         # whatever the balancer says, and a watch that fails is set up again at once.
         self.pushed = False
 
-    def use(self, pushed: bool, callers: int) -> None:
+    def apply_settings(self, pushed: bool, callers: int) -> None:
         """From the settings: whether an agent pushes lists, and how many sidecars ask for them else."""
         self.pushed, self.callers = pushed, callers
         if pushed:
@@ -167,7 +167,7 @@
         # Its place is that of now: a move may come before its first turn.
         return self.loop.spawn(self._follow(self.place, self.address, self.version), self._crashed, urgent=True)
 
-    def move(self, address: str) -> None:
+    def change_address(self, address: str) -> None:
         """Calls discovery at another address from now on, and at once: what it has to tell is soon taken for
         told. The whole list comes first, since versions may be counted anew there. News that are on their way
         over the old watch are told already: it is read until the new one has answered."""
@@ -195,7 +195,7 @@
 
     def _fail(self) -> None:
         pending = self._may_be_answered()
-        self.told(MembershipUpdate(UpdateKind.FAILED, list_age=self._age(), response_pending=pending), {})
+        self.on_update(MembershipUpdate(UpdateKind.FAILED, list_age=self._age(), response_pending=pending), {})
 
     def _may_be_answered(self) -> bool:
         """Whether discovery may not have got yet to a call that was given up. To a watch that fell silent it has."""
@@ -222,7 +222,7 @@
 
     # ---- which list is newer --------------------------------------------------------------------
 
-    def _hear(self, asked: Asked, answer: Answer, stands: bool) -> bool:
+    def _hear(self, asked: Asked, answer: ListResponse, stands: bool) -> bool:
         """Tells a list if it is not older than the one held; whether it was told. `stands`: also with no news.
 
         Answers cross: a fetch and a watch are out at once, or the watches at two places. Versions are counted by place,
@@ -250,15 +250,15 @@
             if asked.place == self.place:
                 self.version = None
             return False
-        self.owed_since = max(self.owed_since, answer.heard_at)
+        self.owed_since = max(self.owed_since, answer.received_at)
         if asked.wait:
-            self.lateness = listclock.lateness(self.lateness, answer.heard_at - asked.at - asked.wait)
+            self.lateness = listclock.lateness(self.lateness, answer.received_at - asked.at - asked.wait)
         news = bool(update.endpoints) or update.version != asked.version
         if asked.place == self.place:
             self.held, self.version = asked.place, update.version
         if news or stands:
             self.news += news
-            self.told(update, answer.addresses)
+            self.on_update(update, answer.addresses)
         return True
 
     # ---- calls ----------------------------------------------------------------------------------
@@ -361,7 +361,7 @@
         """One call after another over one connection: the next starts at once, so that the watch goes on. It ends as
         a call fails. The first does not wait, so that it is soon known whether this one is silent, and has `until`; or
         it was made before, and `late` is its answer."""
-        answered, due, heard_at, answer = False, until, 0, None
+        answered, due, received_at, answer = False, until, 0, None
         asked = self._asked(place, version)
         try:
             if late is None:
@@ -380,13 +380,13 @@
                         except Refused as error:
                             # A watch that is lost so is dear to set up anew, just where discovery is full.
                             again_at = self.loop.now() + self.options.discovery.calls_apart
-                            if not error.reusable or again_at > heard_at + listclock.GOES_ON:
+                            if not error.reusable or again_at > received_at + listclock.GOES_ON:
                                 raise
                             self._say_failed(asked, str(error))
                             yield Wait(None, 0, again_at)
                             continue
                         self._say_answered(asked, "answered")
-                    heard_at, age = answer.heard_at, self._age()
+                    received_at, age = answer.received_at, self._age()
                     # The first answer of a watch is told with or without news: the watch stands.
                     heard = self._hear(asked, answer, not answered)
                     if heard and not answered:
@@ -399,13 +399,13 @@
                     # From the last answer on, not from the asking: what was new since then is what would be missed.
                     asked, clock = self._asked(place, answer.update.version if heard else None), self._clock()
                     held, stands = self._held(clock), answered and asked.version is not None
-                    until = answer.heard_at + (
+                    until = answer.received_at + (
                         clock.silent_for(held, self.lateness, self.callers) if stands else clock.first
                     )
                     if not answer.reusable:
                         self.loop.close(sock)
                         sock = yield from self._connect(address, until)
-                    delay = self.loop.now() - answer.heard_at - self.options.discovery.calls_apart
+                    delay = self.loop.now() - answer.received_at - self.options.discovery.calls_apart
                     asked = asked._replace(wait=max(0, held - max(0, delay)) if answered else 0)
                     due = self.loop.now() + asked.wait if asked.wait else until
                     answer = None
@@ -486,37 +486,37 @@
     def _connect(self, address: str, until: int) -> Coroutine[socket]:
         try:
             return (yield from connect(self.loop, address, self._clock().connect, until))
-        except NotUp:
+        except ConnectError:
             if address == self.address:
                 self.owed_since = self.loop.now()  # it could not be reached until now
             raise CallFailed("not up") from None
 
-    def _call(self, sock: socket, target: str, until: int) -> Coroutine[Answer]:
-        wire = Strict(sock, h11.CLIENT)
+    def _call(self, sock: socket, target: str, until: int) -> Coroutine[ListResponse]:
+        wire = H11Reader(sock, h11.CLIENT)
         head = f"GET {target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n"
         try:
             yield from send(self.loop, sock, [head.encode()], until)
-        except TookTooLong:
+        except TimedOut:
             raise Silent("silent") from None
         except OSError as error:
             raise CallFailed(f"broken: {error}") from None
         return (yield from self._answer(wire, until))
 
-    def _answer(self, wire: Strict, until: int) -> Coroutine[Answer]:
+    def _answer(self, wire: H11Reader, until: int) -> Coroutine[ListResponse]:
         """The answer to a call. One that has begun is whole soon: what trickles is as good as silent."""
         try:
             head = yield from wire.next_event(until)
-        except TookTooLong:
+        except TimedOut:
             raise Silent("silent", partial(self._answer, wire)) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise CallFailed(f"broken: {error}") from None
         if not isinstance(head, h11.Response):
             raise CallFailed("no answer")
-        heard_at = self.loop.now()
-        whole_by = min(until, heard_at + self.options.discovery.answer_within)
+        received_at = self.loop.now()
+        whole_by = min(until, received_at + self.options.discovery.answer_within)
         try:
             body = yield from wire.body(lambda _: whole_by, self.options.discovery.list_size)
-        except TookTooLong:
+        except TimedOut:
             raise Silent("silent") from None
         except (OSError, h11.RemoteProtocolError, TooLarge) as error:
             raise CallFailed(f"broken: {error}") from None
@@ -531,4 +531,4 @@
             raise CallFailed(f"not a list: {error}") from None
         except ValueError as error:
             raise CallFailed(f"not a list: not JSON: {error}") from None
-        return Answer(update, addresses, reusable, heard_at)
+        return ListResponse(update, addresses, reusable, received_at)
--- a/loftweir/http1/flow.py
+++ b/loftweir/http1/flow.py
@@ -11,14 +11,14 @@
 
 import h11
 
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.net.loop import MS, READABLE, Coroutine, Loop, Wait
-from loftweir.net.stream import SMALL, Body, Room, TookTooLong, TooLarge
+from loftweir.net.stream import SMALL, Body, MemoryBudget, TimedOut, TooLarge
 
 SILENT_LATE = 300 * MS  # past its deadline; the platform counts an answer as lost 500 ms past it
 
 
-class Passing:
+class ResponseStream:
     """Invariant: the provider's connection is its own until `close`, which gives it back exactly once."""
 
     def __init__(
@@ -27,8 +27,8 @@
         sock: socket,
         held: Body,
         length: int | None,
-        wire: Strict | None,
-        room: Room,
+        wire: H11Reader | None,
+        room: MemoryBudget,
         silent_for: int,
         limit: int,
         deadline: int,
@@ -78,7 +78,7 @@
                 piece = self.sock.recv(min(left, self.room.piece()))
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, until)):
-                    raise TookTooLong from None
+                    raise TimedOut from None
                 continue
             if not piece:
                 raise ConnectionResetError("the provider ended inside its answer")
@@ -95,7 +95,7 @@
         self.close()
 
 
-class Unsent(Exception):
+class UploadFailed(Exception):
     """A request's body that did not come whole, or can't be sent a second time: nothing of it has run."""
 
 
@@ -127,7 +127,7 @@
                 data = self.sock.recv(min(self.left, self.room.piece()))
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, self.loop.time + self.silent_for)):
-                    self._end(TookTooLong())
+                    self._end(TimedOut())
                 continue
             except OSError as error:
                 self._end(error)
@@ -138,7 +138,7 @@
             self.left -= len(data)
             return data
         if self.broken is not None:
-            raise Unsent
+            raise UploadFailed
         self._end(None)
         return b""
 
--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -10,11 +10,11 @@
 from loftweir.config.model import Options
 from loftweir.config.units import host_and_port
 from loftweir.core.host import Host
-from loftweir.core.life import Life
-from loftweir.http1.client import Client
-from loftweir.http1.connections import Connections
+from loftweir.core.life import SidecarLifecycle
+from loftweir.http1.client import ClientConnection
+from loftweir.http1.connections import ClientConnections
 from loftweir.net.loop import EXCLUSIVE, MS, READABLE, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import Room, prepare
+from loftweir.net.stream import MemoryBudget, prepare
 from loftweir.telemetry.catalogue import ACCEPT_FAILED, ROOM_NONE
 from loftweir.telemetry.log import say
 
@@ -36,16 +36,18 @@
 LACK_LASTS = 100 * MS  # of descriptors, from which on connections that hold no request are closed for new ones
 
 
-class Front(Connections):
+class Frontend(ClientConnections):
     """The listener and all connections to it."""
 
-    def __init__(self, loop: Loop, host: Host, life: Life, options: Options, sockets: int, room: int) -> None:
+    def __init__(
+        self, loop: Loop, host: Host, life: SidecarLifecycle, options: Options, sockets: int, room: int
+    ) -> None:
         super().__init__(loop, options, sockets)
         self.host = host
-        self.kind: type[Client] = Client  # of each connection
+        self.kind: type[ClientConnection] = ClientConnection  # of each connection
         self.also: Callable[[], bool] = lambda: False  # others than the host's own providers are there to serve
         self.life = life
-        self.room = Room(room)
+        self.room = MemoryBudget(room)
         self.listener: socket.socket | None = None
         self.accepting: Task | None = None
         self.opens_at = 0  # clients wait in the listener's queue until then, or `open`
@@ -63,7 +65,7 @@
         accepts = self.accepting is not None and not self.accepting.over
         return accepts and (bool(self.host.balancer.servers) or self.also())
 
-    def use(self, options: Options) -> None:
+    def apply_options(self, options: Options) -> None:
         """Takes the options of a reload."""
         self.options = options
 
@@ -89,7 +91,7 @@
 
     def _listen(self, sock: socket.socket) -> None:
         self.listener = sock
-        self.accepting = self.loop.spawn(self._accept(sock), fresh=True)
+        self.accepting = self.loop.spawn(self._accept(sock), new_work=True)
         self.loop.spawn(self.keep())
 
     def open(self) -> None:
@@ -109,7 +111,7 @@
             self.accepting.cancel()
         # Of one that others listen on too: woken for a connection and not taking it, this process would leave it
         # waiting for the next one's.
-        self.loop.forget(listener.fileno())
+        self.loop.unregister(listener.fileno())
         if not self._empty_queue(listener):
             return False
         self.listener = None
--- a/loftweir/http1/message.py
+++ b/loftweir/http1/message.py
@@ -20,35 +20,35 @@
 Fields = dict[bytes, bytes]
 
 
-class Flow(Protocol):
+class BodyStream(Protocol):
     """A long body that is passed on as it comes, a piece at a time."""
 
     length: int | None  # bytes in all; None: it ends when it ends
 
     def pull(self) -> Coroutine[bytes]:
-        """The next piece; empty: it has ended. OSError, TookTooLong, TooLarge where it breaks."""
+        """The next piece; empty: it has ended. OSError, TimedOut, TooLarge where it breaks."""
 
     def close(self) -> None:
         """Nothing more is pulled. Whoever was given it calls this."""
 
 
-class Answer(NamedTuple):
+class HttpResponse(NamedTuple):
     """A final answer, but for the fields that its connection needs."""
 
     status: int
     reason: bytes
     lines: bytes  # its fields, each with its CR LF
-    body: list[bytes] | Flow
+    body: list[bytes] | BodyStream
 
 
-class Message(NamedTuple):
+class HttpRequest(NamedTuple):
     """A request as it came: what a call passes on."""
 
     method: bytes
     target: bytes
     pairs: Pairs
     fields: Fields
-    body: list[bytes] | Flow
+    body: list[bytes] | BodyStream
 
 
 def by_name(pairs: Iterable[tuple[bytes, bytes]]) -> Fields:
@@ -65,8 +65,8 @@
     return b"".join([b"%s: %s\r\n" % pair for pair in pairs if pair[0].lower() not in left_out])
 
 
-def plain(status: int, text: str, *headers: tuple[str, str]) -> Answer:
+def plain(status: int, text: str, *headers: tuple[str, str]) -> HttpResponse:
     """An answer of the sidecar's own."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     lines += "Content-Type: text/plain; charset=utf-8\r\n"
-    return Answer(status, HTTPStatus(status).phrase.encode(), lines.encode(), [f"{text}\n".encode()])
+    return HttpResponse(status, HTTPStatus(status).phrase.encode(), lines.encode(), [f"{text}\n".encode()])
--- a/loftweir/http1/named.py
+++ b/loftweir/http1/named.py
@@ -5,29 +5,29 @@
 from typing import TYPE_CHECKING
 
 from loftweir.core.invocation import Invocation
-from loftweir.http1.client import Client
-from loftweir.http1.message import Message
-from loftweir.http1.request import Malformed
+from loftweir.http1.client import ClientConnection
+from loftweir.http1.message import HttpRequest
+from loftweir.http1.request import BadRequest
 
 if TYPE_CHECKING:
     from loftweir.catalog.hosts import Hosts
 
 
-def kind(hosts: Hosts) -> type[Client]:
+def kind(hosts: Hosts) -> type[ClientConnection]:
     """The connections of a front with these hosts."""
 
-    class Named(Client):
+    class Named(ClientConnection):
         """Invariant: `host` is, from a request's head to its answer, that of the service which it named at its head,
         whatever the name stands for by then."""
 
         __slots__ = ()
 
-        def admit(self, request: Message) -> Invocation | None:
+        def admit(self, request: HttpRequest) -> Invocation | None:
             self.host = self.front.host
             invocation = super().admit(request)
             if invocation is not None:
                 if sum(name.lower() == b"host" for name, _ in request.pairs) > 1:
-                    raise Malformed("Host comes twice")
+                    raise BadRequest("Host comes twice")
                 self.host = hosts.admit(request.fields.get(b"host", b"").decode("latin-1"), invocation)
             return invocation
 
--- a/loftweir/http1/request.py
+++ b/loftweir/http1/request.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from loftweir.core.invocation import Invocation, Unfit, check
-from loftweir.http1.message import Fields, Message
+from loftweir.core.invocation import InvalidRequest, Invocation, check
+from loftweir.http1.message import Fields, HttpRequest
 from loftweir.interface import RequestClass, Settings
 from loftweir.net.loop import MS
 from loftweir.net.stream import TooLarge
@@ -14,7 +14,7 @@
 DEADLINE_DIGITS = 9  # of `Req-Deadline-Ms` at most
 
 
-class Malformed(Exception):
+class BadRequest(Exception):
     """A request that can't be served as it stands: the reason, and the status of its answer."""
 
     def __init__(self, why: str, status: int = 400, *headers: tuple[str, str]) -> None:
@@ -24,38 +24,38 @@
 
 
 def check_length(fields: Fields, most: int) -> None:
-    """Raises `Malformed` or `TooLarge` where the length given in a head can't be accepted."""
+    """Raises `BadRequest` or `TooLarge` where the length given in a head can't be accepted."""
     length = fields.get(b"content-length")
     if length is None:
         return
     if b"transfer-encoding" in fields:
         # Whoever reads it by the other length finds another request in the body.
-        raise Malformed("Content-Length and Transfer-Encoding together")
+        raise BadRequest("Content-Length and Transfer-Encoding together")
     if int(length) > most:
         raise TooLarge
 
 
-def is_health_check(request: Message) -> bool:
-    """Whether the request asks for the sidecar's own health; `Malformed` where it asks for nothing that is here."""
+def is_health_check(request: HttpRequest) -> bool:
+    """Whether the request asks for the sidecar's own health; `BadRequest` where it asks for nothing that is here."""
     path = request.target.partition(b"?")[0]
     if path == HEALTH_PATH:
         return True
     if path != INVOCATION_PATH:
-        raise Malformed("no such path", 404)
+        raise BadRequest("no such path", 404)
     if request.method not in (b"GET", b"POST"):
-        raise Malformed("GET or POST", 405, ("allow", "GET, POST"))
+        raise BadRequest("GET or POST", 405, ("allow", "GET, POST"))
     return False
 
 
-def to_invocation(request: Message, settings: Settings, traced: bool) -> Invocation:
-    """The invocation that a request makes, but for its body; `Malformed` where it can't be taken."""
+def to_invocation(request: HttpRequest, settings: Settings, traced: bool) -> Invocation:
+    """The invocation that a request makes, but for its body; `BadRequest` where it can't be taken."""
     fields = request.fields
     _check_repeated(request)
     request_id, class_name = _text(fields, b"req-id"), _text(fields, b"req-kind", "utf-8")
     try:
         cls = check(settings.classes.get(class_name), class_name, bool(fields.get(b"idempotency-key")))
-    except Unfit as error:
-        raise Malformed(f"Req-Kind: {error}") from None
+    except InvalidRequest as error:
+        raise BadRequest(f"Req-Kind: {error}") from None
     return Invocation(
         request_id,
         cls,
@@ -77,12 +77,12 @@
     return slash + path if slash else b"/" + authority[len(authority.partition(b"?")[0]) :]
 
 
-def _check_repeated(request: Message) -> None:
+def _check_repeated(request: HttpRequest) -> None:
     if len(request.fields) == len(request.pairs):
         return
     names = [name for name, _ in request.pairs if name.lower() in OWN_FIELDS]
     if len(names) > len({name.lower() for name in names}):
-        raise Malformed("a Req field or Idempotency-Key comes twice")
+        raise BadRequest("a Req field or Idempotency-Key comes twice")
 
 
 def _patience(fields: Fields, cls: RequestClass) -> int:
@@ -91,7 +91,7 @@
     if wait is None:
         return cls.deadline
     if not wait.isdigit() or len(wait) > DEADLINE_DIGITS or int(wait) <= 0:
-        raise Malformed("Req-Deadline-Ms is not a whole number above 0")
+        raise BadRequest("Req-Deadline-Ms is not a whole number above 0")
     return min(int(wait) * MS, cls.deadline)
 
 
@@ -101,7 +101,7 @@
     except UnicodeDecodeError:
         text = ""
     if not text:
-        raise Malformed(f"{name.decode().title()} is missing or not plain text")
+        raise BadRequest(f"{name.decode().title()} is missing or not plain text")
     return text
 
 
--- a/loftweir/http1/request_reader.py
+++ b/loftweir/http1/request_reader.py
@@ -11,15 +11,15 @@
 from loftweir.core.invocation import Invocation
 from loftweir.http1 import grammar
 from loftweir.http1.flow import Upload
-from loftweir.http1.message import Message, by_name
-from loftweir.http1.request import Malformed, origin_form
+from loftweir.http1.message import HttpRequest, by_name
+from loftweir.http1.request import BadRequest, origin_form
 from loftweir.http1.stage import Stage
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.net.loop import MS, READABLE, SECOND, Coroutine, Wait
-from loftweir.net.stream import READ_SIZE, Body, TookTooLong, reserved
+from loftweir.net.stream import READ_SIZE, Body, TimedOut, reserved
 
 if TYPE_CHECKING:
-    from loftweir.http1.client import Client
+    from loftweir.http1.client import ClientConnection
 
 LONGEST_UPLOAD = 60 * SECOND  # that a body which is sent on while it comes may take
 ROOM_WITHIN = 1500 * MS  # that a long body waits for room: its request's time has not begun
@@ -35,7 +35,7 @@
     limits: Limits  # as they are when the body begins
     body_until: int  # when a body is to be there, but for the time that its bytes take
 
-    def __init__(self, client: Client, until: int) -> None:
+    def __init__(self, client: ClientConnection, until: int) -> None:
         """`until`: when the request is to be there."""
         self.client = client
         self.front = client.front
@@ -46,13 +46,13 @@
         self.ended = False  # nothing more comes behind `rest`
 
     def read(self) -> Coroutine[bool]:
-        """False: the connection ended before a request began. What can't be served raises `Malformed`, `TooLarge`,
-        `TookTooLong` or h11's error."""
+        """False: the connection ended before a request began. What can't be served raises `BadRequest`, `TooLarge`,
+        `TimedOut` or h11's error."""
         client = self.client
         data, client.received = client.received, b""
         head = grammar.request(data)
         if head is None:
-            return self._read_strictly(Strict(client.sock, h11.SERVER, data))
+            return self._read_strictly(H11Reader(client.sock, h11.SERVER, data))
         client.method = head.first
         return self._read_common(head, data)
 
@@ -60,7 +60,7 @@
 
     def _read_common(self, head: grammar.Head, data: bytes) -> Coroutine[bool]:
         body = Body(self.front.room)
-        self.invocation = self.client.admit(Message(head.first, head.second, head.pairs, head.fields, body))
+        self.invocation = self.client.admit(HttpRequest(head.first, head.second, head.pairs, head.fields, body))
         end = head.end + head.length
         if self.invocation is not None and head.length > body.room.most():
             body.append(data[head.end : end])
@@ -84,10 +84,10 @@
                 data = self.client.sock.recv(min(READ_SIZE, length - body.size))
             except BlockingIOError:
                 if not (yield Wait(self.client.sock, READABLE, self._due(body.size))):
-                    raise TookTooLong from None
+                    raise TimedOut from None
                 continue
             if not data:
-                raise Malformed("malformed HTTP")
+                raise BadRequest("malformed HTTP")
             body.append(data)
 
     def _upload(self, invocation: Invocation, body: Body, length: int) -> Upload:
@@ -100,20 +100,20 @@
         allowed = min(length * SECOND // limits.body_rate, LONGEST_UPLOAD)
         cls = invocation.cls
         invocation.cls = replace(cls, aim=cls.aim + allowed, deadline=cls.deadline + allowed)
-        invocation.after_body = invocation.patience
-        invocation.patience += allowed
+        invocation.time_after_body = invocation.time_left
+        invocation.time_left += allowed
         return upload
 
     # ---- any other request, as h11 reads it ------------------------------------------------------
 
-    def _read_strictly(self, wire: Strict) -> Coroutine[bool]:
+    def _read_strictly(self, wire: H11Reader) -> Coroutine[bool]:
         client = self.client
         head = yield from wire.next_event(self.until)
         if not isinstance(head, h11.Request):
             return False
         client.method, client.old = head.method, head.http_version < b"1.1"
         pairs = list(head.headers.raw_items())
-        request = Message(head.method, origin_form(head.target), pairs, by_name(pairs), [])
+        request = HttpRequest(head.method, origin_form(head.target), pairs, by_name(pairs), [])
         self.invocation = client.admit(request)
         if wire.http.they_are_waiting_for_100_continue and self.invocation is not None:
             client.sock.send(CONTINUE)
@@ -124,7 +124,7 @@
         self.ended = wire.http.trailing_data[1]
         return True
 
-    def _strict_body(self, wire: Strict, length: int) -> Coroutine[Body]:
+    def _strict_body(self, wire: H11Reader, length: int) -> Coroutine[Body]:
         body = Body(self.front.room)
         yield from self._reserve(body, length)
 
--- a/loftweir/http1/response.py
+++ b/loftweir/http1/response.py
@@ -8,44 +8,44 @@
 
 import h11
 
-from loftweir.core.invocation import Final, Kind
-from loftweir.http1.message import Answer, Flow, plain
-from loftweir.http1.request import Malformed
+from loftweir.core.invocation import AnswerKind, FinalAnswer
+from loftweir.http1.message import BodyStream, HttpResponse, plain
+from loftweir.http1.request import BadRequest
 from loftweir.net.loop import MS, Coroutine, Loop
-from loftweir.net.stream import TookTooLong, TooLarge, send
+from loftweir.net.stream import TimedOut, TooLarge, send
 
-COME_BACK = 500 * MS  # when a request that found no room for its body is to come again
-STATUSES = {Kind.FAILED: 502, Kind.LATE: 504, Kind.BROKEN: 500}
+BODY_RETRY_AFTER = 500 * MS  # when a request that found no room for its body is to come again
+STATUSES = {AnswerKind.FAILED: 502, AnswerKind.LATE: 504, AnswerKind.BROKEN: 500}
 CONNECTION_CLOSE = b"Connection: close\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
-def answered(final: Final) -> Answer:
+def answered(final: FinalAnswer) -> HttpResponse:
     """The answer that an invocation's outcome is in HTTP."""
-    if final.kind is Kind.SERVED:
-        assert isinstance(final.payload, Answer)
+    if final.kind is AnswerKind.SERVED:
+        assert isinstance(final.payload, HttpResponse)
         return final.payload
-    if final.kind is Kind.REJECTED:
+    if final.kind is AnswerKind.REJECTED:
         return rejection(max(1, final.after // MS) if final.after > 0 else 0)
     return plain(STATUSES[final.kind], "failed")
 
 
 @lru_cache(maxsize=4096)
-def rejection(after_ms: int) -> Answer:
+def rejection(after_ms: int) -> HttpResponse:
     """Kept for each whole millisecond: when there is most to reject, there is least time for it."""
     headers = [("retry-after", f"{after_ms / 1000:.3f}")] if after_ms > 0 else []
     return plain(503, "rejected", *headers)
 
 
-def client_error(error: Exception, largest_body: int) -> Answer | None:
+def client_error(error: Exception, largest_body: int) -> HttpResponse | None:
     """The answer to a request that could not be read or taken; None: the error is no fault of the client."""
     if isinstance(error, h11.RemoteProtocolError):
         return plain(error.error_status_hint, "malformed HTTP")
-    if isinstance(error, Malformed):
+    if isinstance(error, BadRequest):
         return plain(error.status, str(error), *error.headers)
     if isinstance(error, TooLarge):
         return plain(413, f"a body holds {largest_body} bytes at most")
-    if isinstance(error, TookTooLong):
+    if isinstance(error, TimedOut):
         return plain(408, "the request did not come")
     return None
 
@@ -64,7 +64,7 @@
 
 
 def stream(
-    loop: Loop, sock: socket.socket, head: bytes, flow: Flow, knows_chunks: bool, write_within: int
+    loop: Loop, sock: socket.socket, head: bytes, flow: BodyStream, knows_chunks: bool, write_within: int
 ) -> Coroutine[None]:
     """Writes a long answer, a piece at a time. One that breaks ends in a reset: whatever its framing, the client can
     tell that it is not whole."""
--- a/loftweir/http1/strict.py
+++ b/loftweir/http1/strict.py
@@ -9,7 +9,7 @@
 import h11
 
 from loftweir.net.loop import READABLE, Coroutine, Wait
-from loftweir.net.stream import READ_SIZE, TookTooLong, TooLarge
+from loftweir.net.stream import READ_SIZE, TimedOut, TooLarge
 
 PARTS_A_TURN = 32  # a body in tiny chunks must not keep the loop from all else
 
@@ -17,7 +17,7 @@
 DUE = h11.Request(method="GET", target="/", headers=[("host", "provider")])
 
 
-class Strict:
+class H11Reader:
     """One message on one connection. `data` is what of it has been read already."""
 
     __slots__ = ("sock", "http", "parts")
@@ -48,7 +48,7 @@
                 data = self.sock.recv(READ_SIZE)
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, until)):
-                    raise TookTooLong from None
+                    raise TimedOut from None
             else:
                 self.http.receive_data(data)
 
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -44,7 +44,7 @@
 TCP_INFO_SIZE, LAST_DATA_RECEIVED = 56, 52
 
 
-class TookTooLong(Exception):
+class TimedOut(Exception):
     """The other side did not read or write in time."""
 
 
@@ -52,18 +52,18 @@
     """More bytes than there may be, or than there is room for."""
 
 
-class NoRoom(TooLarge):
+class OutOfBudget(TooLarge):
     """No more than there may be, but there is no room for it now."""
 
 
-class NotUp(Exception):
+class ConnectError(Exception):
     """No connection: carries the outcome, which proves that nothing ran."""
 
     def __init__(self, outcome: Outcome) -> None:
         self.outcome = outcome
 
 
-class Room:
+class MemoryBudget:
     """The bytes that may be held at a time, over all who take from it.
 
     A part of it is for small bodies alone: however many long ones there are, small requests go on being served.
@@ -93,18 +93,18 @@
 
     __slots__ = ("room", "size", "taken")
 
-    def __init__(self, room: Room) -> None:
+    def __init__(self, room: MemoryBudget) -> None:
         super().__init__()
         self.room = room
         self.size = 0
         self.taken = 0
 
     def reserve(self, size: int) -> None:
-        """Room for so many bytes in all; `NoRoom` where there is none now."""
+        """MemoryBudget for so many bytes in all; `OutOfBudget` where there is none now."""
         wanted = size - self.taken
         if wanted > 0:
             if not self.room.has(wanted, self.taken):
-                raise NoRoom
+                raise OutOfBudget
             self.room.left -= wanted
             self.taken = size
 
@@ -121,19 +121,19 @@
 
 
 def reserved(loop: Loop, body: Body, size: int, within: int) -> Coroutine[None]:
-    """Room for `size` bytes in all, waited for; `NoRoom` where there is none within that time."""
+    """MemoryBudget for `size` bytes in all, waited for; `OutOfBudget` where there is none within that time."""
     until = loop.time + within
     while True:
         try:
             body.reserve(size)
             return
-        except NoRoom:
+        except OutOfBudget:
             if loop.time >= until or size > body.room.size:
                 raise
         yield Wait(None, 0, loop.time + LOOK_FOR_ROOM)
 
 
-class LocalFault(OSError):
+class LocalError(OSError):
     """Something was not begun, through a fault of this machine: nothing was sent."""
 
 
@@ -144,7 +144,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def waited(sock: socket.socket) -> int:
+def unread_for(sock: socket.socket) -> int:
     """How long ago the last bytes came on a connection, ns, to some milliseconds: what is read now has been in the
     kernel for as long, unread."""
     try:
@@ -155,7 +155,7 @@
     return int(ms) * MS
 
 
-def untaken(sock: socket.socket) -> bool:
+def has_unacknowledged(sock: socket.socket) -> bool:
     """Whether the other side's machine has not taken all that was written: a reset would lose it. The end of the
     stream itself may be still on its way."""
     return unacknowledged(sock) > 1
@@ -170,7 +170,7 @@
 
 
 def connect(loop: Loop, address: str, connect_timeout: int, until: int) -> Coroutine[socket.socket]:
-    """A new connection, up within `connect_timeout`; else a `NotUp`.
+    """A new connection, up within `connect_timeout`; else a `ConnectError`.
 
     A fault of this machine says nothing of the other one, which must not be blamed for it: the connection is begun
     again for as long, and `NOT_SENT` is its outcome where that never works.
@@ -178,41 +178,41 @@
     try:
         host, port = host_and_port(address)
     except ValueError:
-        raise NotUp(Outcome.CONNECT_FAILED) from None  # the list gave no address that can be called
+        raise ConnectError(Outcome.CONNECT_FAILED) from None  # the list gave no address that can be called
     up_by = loop.now() + connect_timeout
     while True:
         try:
             return (yield from _connect(loop, host, port, up_by, until))
-        except LocalFault as fault:
+        except LocalError as fault:
             say(CONNECT_NOT_BEGUN, why=fault.strerror)
             if loop.now() + RETRY_CONNECT >= min(up_by, until):
-                raise NotUp(Outcome.NOT_SENT) from None
+                raise ConnectError(Outcome.NOT_SENT) from None
         yield Wait(None, 0, loop.now() + RETRY_CONNECT)
 
 
 def _connect(loop: Loop, host: str, port: int, up_by: int, until: int) -> Coroutine[socket.socket]:
-    """One try of `connect`. Raises `NotUp`, or `LocalFault` where it was not begun."""
+    """One try of `connect`. Raises `ConnectError`, or `LocalError` where it was not begun."""
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
-        raise LocalFault(error.errno, error.strerror) from None
+        raise LocalError(error.errno, error.strerror) from None
     try:
         prepare(sock)
         fault = sock.connect_ex((host, port))
         if fault in NOT_BEGUN:
-            raise LocalFault(fault, os.strerror(fault))
+            raise LocalError(fault, os.strerror(fault))
         if fault == errno.EINPROGRESS:
             if not (yield Wait(sock, WRITABLE, min(up_by, until))):
-                raise NotUp(Outcome.CONNECT_FAILED if up_by <= until else Outcome.NOT_SENT)
+                raise ConnectError(Outcome.CONNECT_FAILED if up_by <= until else Outcome.NOT_SENT)
             fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if fault:
-            raise NotUp(Outcome.CONNECT_FAILED)
-    except LocalFault:
+            raise ConnectError(Outcome.CONNECT_FAILED)
+    except LocalError:
         loop.close(sock)
         raise
     except OSError:
         loop.close(sock)
-        raise NotUp(Outcome.CONNECT_FAILED) from None
+        raise ConnectError(Outcome.CONNECT_FAILED) from None
     except BaseException:
         loop.close(sock)
         raise
@@ -233,14 +233,14 @@
 ) -> Coroutine[None]:
     """Writes a whole message, gathered; takes the parts off the list as they go out. `breaks`: events that end it, as
     a reset does, while it waits to write on. Where the kernel has no memory for it, it is tried again; with `begins`
-    that is a `LocalFault` as long as nothing of it is out."""
+    that is a `LocalError` as long as nothing of it is out."""
     while parts:
         try:
             written = sock.sendmsg(parts[:GATHER_LIMIT])
         except BlockingIOError:
             event = yield Wait(sock, WRITABLE | breaks, until)
             if not event:
-                raise TookTooLong from None
+                raise TimedOut from None
             if event & breaks:
                 raise ConnectionResetError("spoken on before the message was whole") from None
             continue
@@ -248,7 +248,7 @@
             if error.errno not in NO_BUFFER:
                 raise
             if begins:
-                raise LocalFault(error.errno, error.strerror) from None
+                raise LocalError(error.errno, error.strerror) from None
             yield from _wait_for_buffer(loop, until)
             continue
         begins = False
@@ -265,5 +265,5 @@
 def _wait_for_buffer(loop: Loop, until: int | None) -> Coroutine[None]:
     again_at = loop.now() + RETRY_WRITE
     if until is not None and again_at >= until:
-        raise TookTooLong
+        raise TimedOut
     yield Wait(None, 0, again_at)
--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -11,7 +11,7 @@
 
 from loftweir.config.units import host_and_port
 from loftweir.net.loop import MS, READABLE, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, send
+from loftweir.net.stream import TimedOut, send
 from loftweir.operations.calls import LONGEST, Call, No, no, parse, yes
 from loftweir.telemetry.catalogue import OPERATOR_CALL
 from loftweir.telemetry.log import say
@@ -72,7 +72,7 @@
                 until = self.loop.now() + 100 * MS
                 while (yield Wait(sock, READABLE, until)) and sock.recv(4096):
                     pass
-        except (TookTooLong, OSError):
+        except (TimedOut, OSError):
             pass
         finally:
             del self.callers[sock]
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from loftweir.core.life import Life, Step
+from loftweir.core.life import LifecycleEvent, SidecarLifecycle
 from loftweir.interface import MembershipUpdate
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.operations.calls import Call, Command, No
@@ -39,7 +39,7 @@
 class CommandHandler:
     """Invariant: what `overlay.record` says holds: the balancer was told, and `life` stands where the drain says."""
 
-    def __init__(self, loop: Loop, life: Life, told: Told, takes_clients: Callable[[], bool]) -> None:
+    def __init__(self, loop: Loop, life: SidecarLifecycle, told: Told, takes_clients: Callable[[], bool]) -> None:
         self.loop = loop
         self.life = life
         self.told = told
@@ -151,7 +151,7 @@
         if update is not None:
             self.told(*update)
         if record.drain.on != before.drain.on:
-            self.life.step(Step.DRAIN if record.drain.on else Step.UNDRAIN)
+            self.life.step(LifecycleEvent.DRAIN if record.drain.on else LifecycleEvent.UNDRAIN)
         say(RECORD_HELD, out=sorted(n for n, w in record.bans.items() if w.on), drain=record.drain.on)
 
     def _save(self, record: Record) -> Coroutine[Record]:
--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -19,10 +19,10 @@
 from loftweir.config.model import THROUGH_COPIES
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.lease.duty import Duty
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp, TookTooLong, connect, send
+from loftweir.net.stream import ConnectError, TimedOut, connect, send
 from loftweir.partners.file import Neighbour
 from loftweir.partners.keeping import Keeping, Target
 from loftweir.partners.replicated_table import HEAD, Cutter, Head, Shelf, written
@@ -237,7 +237,7 @@
             if sock is None:
                 sock = yield from connect(self.loop, address, CONNECT_WITHIN, until)
             yield from send(self.loop, sock, [head.encode()], until)
-            wire = Strict(sock, h11.CLIENT)
+            wire = H11Reader(sock, h11.CLIENT)
             answer = yield from wire.next_event(until)
             if not isinstance(answer, h11.Response):
                 raise NotAnswered("no answer", address)
@@ -247,9 +247,9 @@
                 raise NotAnswered(f"answered {answer.status_code}: {' '.join(words.split())}", address)
             rests = wire.whole() and not wire.rest()
             return body
-        except NotUp:
+        except ConnectError:
             raise NotAnswered("not up", address) from None
-        except TookTooLong:
+        except TimedOut:
             raise NotAnswered("silent", address) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise NotAnswered(f"broken: {error}", address) from None
@@ -259,7 +259,7 @@
             elif sock is not None:
                 self.loop.close(sock)
 
-    def _body(self, wire: Strict, until: int, most: int) -> Coroutine[bytes]:
+    def _body(self, wire: H11Reader, until: int, most: int) -> Coroutine[bytes]:
         """A whole body; one that is longer than it may be is read a little further than that, for the reader of tables
         to say so."""
         parts, size = [], 0
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -18,9 +18,9 @@
 import h11
 
 from loftweir.config.units import host_and_port
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.net.loop import MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, send
+from loftweir.net.stream import TimedOut, send
 from loftweir.partners.file import Neighbour
 from loftweir.partners.shown import Shown
 from loftweir.telemetry.catalogue import PARTNERS_LISTENS, PARTNERS_TURNED
@@ -135,7 +135,7 @@
                     if not (yield Wait(sock, READABLE, self.loop.now() + RESTS_FOR)):
                         return
                     data = None
-                wire = Strict(sock, h11.SERVER, data)
+                wire = H11Reader(sock, h11.SERVER, data)
                 until = self.loop.now() + HEAD_WITHIN
                 request = yield from wire.next_event(until)
                 if not isinstance(request, h11.Request):
@@ -158,7 +158,7 @@
                     while (yield Wait(sock, READABLE, until)) and sock.recv(4096):
                         pass
                     return
-        except (TookTooLong, OSError, h11.RemoteProtocolError):
+        except (TimedOut, OSError, h11.RemoteProtocolError):
             pass
         finally:
             self.callers.pop(sock, None)
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -17,7 +17,7 @@
 from loftweir.config.model import Replication
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import Value
 from loftweir.replication.line import Broken, Line, dial
 from loftweir.replication.machine import Act, AnyResult, Order, UnknownSession, read_result, written
@@ -188,7 +188,7 @@
             try:
                 line = yield from self._connected(min(until, now + SECOND))
                 self.tokens += 1
-            except (NotUp, TurnedAway) as error:
+            except (ConnectError, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
                     why = f"{self.at}: {error}"
                 self._turn()
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -16,7 +16,7 @@
 from loftweir.config.model import Replication
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp, TookTooLong
+from loftweir.net.stream import ConnectError, TimedOut
 from loftweir.replication.line import Line, dial
 from loftweir.replication.machine import Machine
 from loftweir.replication.wire import VERSION, Fetch, Follow, Frame, Hello, Kind, News, Whole
@@ -105,9 +105,9 @@
                     yield from self._follow(line)
                 finally:
                     line.close()
-            except NotUp:
+            except ConnectError:
                 why = "not up"
-            except TookTooLong:
+            except TimedOut:
                 why = "silent"
             except (OSError, LoftweirError) as error:
                 why = str(error) or type(error).__name__
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import Member
 from loftweir.replication.line import Broken, dial
 from loftweir.replication.member import Removed, Voter
@@ -144,7 +144,7 @@
         except TurnedAway as error:
             say(REPLICATION_TURNED, name=name, why=error)
             return None
-        except NotUp:
+        except ConnectError:
             return None
         try:
             if there.name != name:
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -11,7 +11,7 @@
 
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, SECOND, WOKEN, WRITABLE, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import READ_SIZE, NotUp, TookTooLong, connect
+from loftweir.net.stream import READ_SIZE, ConnectError, TimedOut, connect
 from loftweir.replication.wire import BadFrame, Frame, Hello, Reader, Turned, TurnedAway, written
 
 GREETED_WITHIN = SECOND  # from a connection's opening until both have said who they are
@@ -19,7 +19,7 @@
 GATHERED = 64  # frames in one write
 MOST = 8 * 1024 * 1024  # bytes held for one that does not read
 
-Broken = (TookTooLong, OSError, BadFrame)  # what ends a line
+Broken = (TimedOut, OSError, BadFrame)  # what ends a line
 
 
 class Line:
@@ -122,7 +122,7 @@
             events = yield Wait(self.sock, READABLE | WRITABLE if self.out else READABLE, until)
             self.told_to_write = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             if events == WOKEN or self.over:
                 continue
             if self.out:
@@ -142,7 +142,7 @@
             events = yield Wait(self.sock, WRITABLE, until)
             self.told_to_write = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             self._flush()
 
     def greeting(self, until: int) -> Coroutine[Hello]:
@@ -156,7 +156,7 @@
 
 
 def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[Line, Hello]]:
-    """A line to an address, greeted. Raises `NotUp` where nobody answers there in time, and `TurnedAway`."""
+    """A line to an address, greeted. Raises `ConnectError` where nobody answers there in time, and `TurnedAway`."""
     sock = yield from connect(loop, address, GREETED_WITHIN, until)
     line = Line(loop, sock)
     try:
@@ -165,7 +165,7 @@
         there = yield from line.greeting(min(until, loop.now() + GREETED_WITHIN))
     except Broken:
         line.close()
-        raise NotUp(Outcome.CONNECT_FAILED) from None
+        raise ConnectError(Outcome.CONNECT_FAILED) from None
     except BaseException:
         line.close()
         raise
--- a/loftweir/replication/links.py
+++ b/loftweir/replication/links.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import AnyMessage, Append, Piece
 from loftweir.replication.line import Broken, Line, dial
 from loftweir.replication.wire import Hello, Turned, TurnedAway, Why
@@ -58,7 +58,7 @@
             self.rests = False
             try:
                 line, there = yield from dial(self.loop, self.address(), self.hello, self.loop.now() + UP_WITHIN)
-            except (NotUp, TurnedAway) as error:
+            except (ConnectError, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
                     self.turned(self.id, str(error))
             else:
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -218,7 +218,7 @@
             self._answer(token, How.LOST, 0, None)
         for task in (self.ticker, self.reader):
             task.cancel()
-        self.loop.forget(self.disk.fileno())
+        self.loop.unregister(self.disk.fileno())
         self.disk.close(within)
 
     def _keep(self, action: Keep) -> None:
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -17,7 +17,7 @@
 
 from loftweir.config.units import host_and_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, prepare
+from loftweir.net.stream import TimedOut, prepare
 from loftweir.replication.api import Heard, Message
 from loftweir.replication.line import GREETED_WITHIN, Broken, Line
 from loftweir.replication.machine import AnyResult, checked
@@ -142,7 +142,7 @@
                 prepare(sock)
                 line = Line(self.loop, sock)
                 self.ungreeted[line] = self.loop.now()
-                self._run(line, self._greet(line), self.loop.due)
+                self._run(line, self._greet(line), self.loop.runnable)
 
     def _run(self, line: Line, coroutine: Coroutine[None], lane: deque[Callable[[], None]]) -> None:
         """Runs a line's coroutine, at once to its first wait: from then on, what ends it closes the line."""
@@ -201,7 +201,7 @@
             if hello.name in self.voter.seats:
                 self._make_room([line for line, other in self.others.items() if other.name == hello.name], BESIDE)
             self.others[line] = hello
-            self._run(line, self._answer(line), self.loop.due)
+            self._run(line, self._answer(line), self.loop.runnable)
 
     def _seat(self, name: str) -> str:
         """One of those that there are; empty for all others."""
@@ -247,7 +247,7 @@
                 parked = self.parked.get(line)
                 try:
                     frame = yield from line.next(parked[1] if parked else unused_at)
-                except TookTooLong:
+                except TimedOut:
                     if line in self.parked:
                         self._news(line, self.parked[line][0])
                         unused_at = self.loop.now() + UNUSED_FOR
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -13,10 +13,10 @@
 from loftweir.config.model import MIB, Options
 from loftweir.config.platform import Platform
 from loftweir.core.host import Host
-from loftweir.core.life import Life, State, Step
-from loftweir.http1.back import Back
+from loftweir.core.life import LifecycleEvent, SidecarLifecycle, State
+from loftweir.http1.back import Backend
 from loftweir.http1.discovery import Discovery
-from loftweir.http1.front import Front
+from loftweir.http1.front import Frontend
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.listclock import LEAST
 from loftweir.net.loop import MS, READABLE, SECOND, WRITABLE, Coroutine, Loop, Task, Wait
@@ -73,7 +73,7 @@
         self.options = options
         self.platform = platform
         limits, memory = options.limits, platform.memory_mb * MIB
-        self.life = Life()
+        self.life = SidecarLifecycle()
         self.life.changed = self._changed
         self.left_at = 0  # when the latest drain began
         self.commands = CommandHandler(loop, self.life, self.listed, self._takes_clients)
@@ -99,12 +99,12 @@
             self.commands.partners = self.partners
             others += partners.descriptors(options.partners, sites)
         most_calls = max(platform.sockets - shared - others, 1)
-        self.back = Back(loop, platform.settings, options, most_calls, int(memory * limits.answers_of_memory))
+        self.back = Backend(loop, platform.settings, options, most_calls, int(memory * limits.answers_of_memory))
         self.host = Host(loop, platform.settings, platform.seed, self.back, self.discovery)
-        self.back.ended = self.host.ended
+        self.back.on_attempt_ended = self.host.attempt_ended
         bodies = int(memory * limits.requests_of_memory)
-        self.front = Front(loop, self.host, self.life, options, platform.sockets, bodies)
-        self.front.spare_descriptor = self.back.pool.spare
+        self.front = Frontend(loop, self.host, self.life, options, platform.sockets, bodies)
+        self.front.spare_descriptor = self.back.pool.evict_idle
         self.catalog: Hosts | None = None
         self.services_file = options.catalog.file  # another one waits for the next start
         if services is not None and self.partners is not None:
@@ -124,13 +124,13 @@
 
     def _tell(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         """The balancer, of the partners' providers as of any."""
-        self.host.listed(update, addresses)
+        self.host.update_list(update, addresses)
 
     def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         if self.partners is None:
-            self.host.listed(update, addresses)
+            self.host.update_list(update, addresses)
         else:
-            self.host.listed(*self.partners.through(update, addresses))
+            self.host.update_list(*self.partners.through(update, addresses))
         if self.catalog is not None:
             self.catalog.listed(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
@@ -161,16 +161,16 @@
         same_site = options.partners.site == self.options.partners.site
         same_catalog = options.catalog.file == self.services_file
         self.options = self.discovery.options = options
-        self.front.use(options)
-        self.back.use(options, settings)
+        self.front.apply_options(options)
+        self.back.apply_settings(options, settings)
         if settings != self.host.settings:
-            self.host.use(settings)
+            self.host.apply_settings(settings)
         if self.partners is not None and sites is not None and same_site:
             self.partners.use(sites)  # looks at the settings too
         if self.catalog is not None:
             self.catalog.use(services if same_site and same_catalog else None)
-        self.discovery.move(discovery)
-        self.discovery.use(settings.discovery_pushes, settings.balancers)
+        self.discovery.change_address(discovery)
+        self.discovery.apply_settings(settings.discovery_pushes, settings.balancers)
 
     # ---- life -----------------------------------------------------------------------------------
 
@@ -213,7 +213,7 @@
         if self.commands.follows:
             # News bind soon after this process says that it is ready, and there is one of it: no crowd to spread.
             self.discovery.watch(True)
-        self.discovery.use(platform.settings.discovery_pushes, platform.settings.balancers)
+        self.discovery.apply_settings(platform.settings.discovery_pushes, platform.settings.balancers)
         if self.partners is not None:
             self.partners.start()
         if self.fleet is not None:
@@ -270,7 +270,7 @@
                 woken.recv(4096)
             for number in came - {signal.SIGHUP}:
                 came.discard(number)
-                if self.life.step(Step.END):
+                if self.life.step(LifecycleEvent.END):
                     say(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
                     self.loop.spawn(self._stop(wakes))
             if hears_from is not None and self.loop.now() >= hears_from:
@@ -313,7 +313,7 @@
         left_at = self.left_at = self.loop.now()
         yield Wait(None, 0, left_at + LEAVES_FOR)
         if self.life.state is State.LEAVING and self.left_at == left_at:
-            self.life.step(Step.EMPTIED)
+            self.life.step(LifecycleEvent.EMPTIED)
         while self.life.state is State.EMPTY:
             self.front.send_away(half=False)
             yield Wait(None, 0, self.loop.now() + SWEEP_EVERY)
@@ -338,7 +338,7 @@
         yield Wait(None, 0, now + limits.accept_after_term)
         while not front.stop_accepting() and self.loop.now() < front.ends_at:
             yield Wait(None, 0, self.loop.now() + 5 * MS)
-        self.life.step(Step.SHUT)
+        self.life.step(LifecycleEvent.SHUT)
         while front.clients and self.loop.now() < (latest if front.owes() else last):
             front.send_away(half=self.loop.now() > now + HALF_FOR)
             yield Wait(None, 0, self.loop.now() + 5 * MS)
--- a/tests/discovery_scene.py
+++ b/tests/discovery_scene.py
@@ -8,7 +8,7 @@
 from support import MS, SECOND, make, of, settings
 
 from loftweir.config.model import Options
-from loftweir.http1.discovery import Answer, CallFailed, Discovery, Refused, Silent
+from loftweir.http1.discovery import CallFailed, Discovery, ListResponse, Refused, Silent
 from loftweir.interface import MembershipUpdate, Timer, TimerFired, UpdateKind, Watch
 from loftweir.net.loop import Wait
 
@@ -65,7 +65,7 @@
         safety = replace(settings().safety, ask_within=ask_within)
         self.balancer = make(seed, discovery_pushes=False, safety=safety, balancers=callers, me=me)
         super().__init__(self.loop, "here", options, self._told)
-        self.use(False, callers)
+        self.apply_settings(False, callers)
         self.version = 1
 
     def _told(self, update, _):
@@ -109,7 +109,7 @@
             raise CallFailed("answered 503")
         kind = UpdateKind.FULL if after < 0 else UpdateKind.CHANGES
         update = MembershipUpdate(kind, (), 2 if written >= self.changes else 1)
-        return Answer(update, {}, True, self.loop.now())
+        return ListResponse(update, {}, True, self.loop.now())
 
 
 class Busy:
@@ -159,7 +159,7 @@
         if not good:
             raise CallFailed("answered 503")
         kind = UpdateKind.FULL if after < 0 else UpdateKind.CHANGES
-        return Answer(MembershipUpdate(kind, (), self.busy.version(self.loop.now())), {}, True, self.loop.now())
+        return ListResponse(MembershipUpdate(kind, (), self.busy.version(self.loop.now())), {}, True, self.loop.now())
 
 
 class Full(Busy):
@@ -237,7 +237,7 @@
             self._go_on(turn)
         sock.answered_at = self.loop.now()
         kind = UpdateKind.FULL if turn.after < 0 else UpdateKind.CHANGES
-        return Answer(MembershipUpdate(kind, (), self.busy.version(turn.due)), {}, True, self.loop.now())
+        return ListResponse(MembershipUpdate(kind, (), self.busy.version(turn.due)), {}, True, self.loop.now())
 
     def _go_on(self, turn):
         """It is the call's turn: it is answered, or held; news that end the holding wait their turn too."""
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -15,7 +15,7 @@
 from itertools import count
 from pathlib import Path
 
-from scene import READ, ROOT, SETTINGS, Catalog, Party, address_of, as_list, entry, eventually, ok
+from scene import READ, ROOT, SETTINGS, StubDiscovery, StubServer, address_of, entry, eventually, list_body, ok
 
 FLEETS = count()
 
@@ -51,7 +51,7 @@
             "operator": self.operator_address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.fleet.sockets},
-            "known": json.loads(as_list(catalog.index, catalog.entries, True)),
+            "known": json.loads(list_body(catalog.index, catalog.entries, True)),
             "settings": SETTINGS,
         }
         (self.folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
@@ -143,8 +143,8 @@
         self.folder = Path(folder.name)
         process, self.given = os.getpid(), set()
         self.host = f"127.{1 + process // 250 % 250}.{process % 250}.{1 + next(FLEETS) % 250}"
-        self.catalog = Catalog()
-        self.providers = [Party(ok) for _ in range(providers)]
+        self.catalog = StubDiscovery()
+        self.providers = [StubServer(ok) for _ in range(providers)]
         for party in (self.catalog, *self.providers):
             self.addCleanup(party.close)
         self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from fleet_scene import FleetScene
-from scene import Party, reply
+from scene import StubServer, http_response
 
 from loftweir.partners.table import Offer, one_route
 from loftweir.replication import wire
@@ -31,7 +31,7 @@
     return {**made, "terms": OPEN | (terms or {}), **more}
 
 
-class Toy(Party):
+class Toy(StubServer):
     """A partner's one sidecar: a table that tests change, and calls that wait for news. `change` makes the bytes of
     each answer of its body; `silent`: none is given."""
 
@@ -71,7 +71,7 @@
             return self.change(self.offer.answer(after, query["to"]))
 
     def change(self, body):
-        return reply(200, body)
+        return http_response(200, body)
 
     def is_held(self):
         """Whether who asked last has the table as it is."""
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -74,12 +74,12 @@
     return "{}:{}".format(*sock.getsockname())
 
 
-def reply(status, body=b"", *headers):
+def http_response(status, body=b"", *headers):
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
-class Party:
+class StubServer:
     """A server that hands each request to `self.answer`; bytes are sent, whole or as they are yielded; None closes the
     connection."""
 
@@ -130,14 +130,14 @@
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
-    def come_back(self):
+    def restart(self):
         """A new process, at the same address."""
         host, port = self.address.split(":")
         self.listener = socket.create_server((host, int(port)))
         threading.Thread(target=self._accept, daemon=True).start()
 
 
-class Catalog(Party):
+class StubDiscovery(StubServer):
     """Discovery: a list that tests change, and watches that wait for a change."""
 
     def __init__(self):
@@ -154,10 +154,10 @@
                 lambda: self.calls_fail or self.index > after, int(query.get("wait_ms", 0)) / 1000
             )
             if self.calls_fail:
-                return reply(503)
+                return http_response(503)
             whole = after < 0 or self.whole
             entries = self.entries if whole else self.changed if waited else []
-            return reply(200, as_list(self.index, entries, whole))
+            return http_response(200, list_body(self.index, entries, whole))
 
     def change(self, *entries):
         with self.news:
@@ -170,7 +170,7 @@
             self.news.notify_all()
 
 
-def as_list(index, entries, whole):
+def list_body(index, entries, whole):
     return json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode()
 
 
@@ -179,7 +179,7 @@
     return {**place, "status": status, "weight": 1.0, "since_ms": since_ms}
 
 
-class Scene(unittest.TestCase):
+class SidecarTest(unittest.TestCase):
     """Starts the program with the providers a test names; all of it ends with the test."""
 
     environment: dict[str, str] = {}
@@ -188,8 +188,8 @@
     command = [sys.executable, "-m", "loftweir"]
 
     def start(self, *answers, known=None, fault="", **changes):
-        self.catalog = Catalog()
-        self.providers = [Party(answer) for answer in answers]
+        self.catalog = StubDiscovery()
+        self.providers = [StubServer(answer) for answer in answers]
         for party in (self.catalog, *self.providers):
             self.addCleanup(party.close)
         self.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
@@ -203,7 +203,7 @@
             "discovery": self.catalog.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(as_list(0, self.catalog.entries, True)),
+            "known": json.loads(list_body(0, self.catalog.entries, True)),
             "settings": SETTINGS,
         }
         self.config |= changes
@@ -249,7 +249,7 @@
         records = [json.loads(line) for line in self.log().splitlines() if line.endswith("}")]
         return [record for record in records if record["event"] == event]
 
-    def list_is_read(self):
+    def wait_until_list_read(self):
         """The program has read the list as it is now: it asks for what comes after that."""
         asked = f"after={self.catalog.index}&"
         self.assertTrue(eventually(lambda: any(asked in head for head, *_ in self.catalog.seen)), self.log())
@@ -261,11 +261,11 @@
 
     def health(self):
         try:
-            return self.ask("GET", "/_health")[0]
+            return self.send_request("GET", "/_health")[0]
         except OSError:
             return 0
 
-    def ask(self, method, target, headers=None, body=None, client=None):
+    def send_request(self, method, target, headers=None, body=None, client=None):
         client = client or self.client()
         chunked = "Transfer-Encoding" in (headers or {})
         client.request(method, target, body, headers or {}, encode_chunked=chunked)
@@ -278,9 +278,9 @@
         if kind == KEYED:
             headers["Idempotency-Key"] = os.urandom(8).hex()
         method = "GET" if kind == READ else "POST"
-        return self.ask(method, target, headers, body if body or kind == READ else b"{}", client)
+        return self.send_request(method, target, headers, body if body or kind == READ else b"{}", client)
 
-    def raw(self, data):
+    def send_raw(self, data):
         """Sends bytes on a fresh connection, gives back all that comes until its end."""
         host, port = self.listen.split(":")
         with socket.create_connection((host, int(port)), timeout=10) as sock:
@@ -288,7 +288,7 @@
             return b"".join(iter(lambda: sock.recv(65536), b""))
 
     @contextmanager
-    def held_still(self, program=None):
+    def paused(self, program=None):
         """The program gets no turn meanwhile: all that is done to it waits in the kernel, and is there at once when it
         is let go. So a crossing is forced: both sides of it have happened before either is looked at."""
         program = program or self.program
@@ -310,10 +310,10 @@
 
 
 def ok(head, body):
-    return reply(200, b"served " + body)
+    return http_response(200, b"served " + body)
 
 
-def held(gate):
+def answer_after(gate):
     """An answer that waits until the test opens the gate."""
 
     def answer(head, body):
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -8,7 +8,7 @@
 import unittest
 
 from partner_scene import CLASSES, Site, Toy, row
-from scene import KEYED, ONCE, READ, Party, address_of, entry, ok, reply
+from scene import KEYED, ONCE, READ, StubServer, address_of, entry, http_response, ok
 from support import SECOND, settings
 
 from loftweir.catalog.build import Catalog, Own, State
@@ -21,7 +21,7 @@
 from loftweir.http1.back import Pool
 from loftweir.interface import Effect, Outcome
 from loftweir.net.loop import Loop
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.partners.merge import Used
 from loftweir.partners.table import one_route
 
@@ -40,7 +40,7 @@
     return int(head.split(" ", 2)[1]) if head else 0, body, head.lower()
 
 
-class Fails(Party):
+class Fails(StubServer):
     """Runs what comes and loses its answer."""
 
     def __init__(self):
@@ -82,7 +82,7 @@
         return toy
 
     def party(self, answer=ok):
-        party = Party(answer)
+        party = StubServer(answer)
         self.addCleanup(party.close)
         return party
 
@@ -126,7 +126,7 @@
             self.assertEqual(called(f0, "lost.shop", kind)[0], 502)
             self.assertEqual(len(lost.seen), 1, kind)
         # ... while its own service, whose class may be repeated, gets another try.
-        a.answer = b.answer = lambda head, body: None if len(a.seen) + len(b.seen) == 1 else reply(200, b"x")
+        a.answer = b.answer = lambda head, body: None if len(a.seen) + len(b.seen) == 1 else http_response(200, b"x")
         a.seen.clear()
         b.seen.clear()
         self.assertEqual(called(f0, "both")[0], 200)
@@ -258,7 +258,7 @@
 def test_one_services_connections_leave_room_for_the_next_and_are_counted_once():
     loop = Loop()
     whole = Pool(loop, settings(), Options(), 9)
-    shared = Shared(whole.most)
+    shared = Shared(whole.max_connections)
     lanes = [Lane(whole, shared, key) for key in "ab"]
     peer = socket.create_server(("127.0.0.1", 0), backlog=64)
     made, refused = {"a": [], "b": []}, []
@@ -268,7 +268,7 @@
         try:
             while True:
                 made[lane.key].append((yield from lane.connect("p", loop.time + 5 * SECOND)))
-        except NotUp as error:
+        except ConnectError as error:
             refused.append((lane.key, error.outcome))
 
     def run(coroutine):
@@ -283,16 +283,16 @@
     run(fill(lanes[0]))
     run(fill(lanes[1]))
     assert refused == [("a", Outcome.NOT_SENT), ("b", Outcome.NOT_SENT)]
-    assert (len(made["a"]), whole.open) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
+    assert (len(made["a"]), whole.open_count) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
     # One that rests makes room for its own service's next, and what is closed through the whole is given back.
-    lanes[1].rest(made["b"].pop())
+    lanes[1].release(made["b"].pop())
     run(fill(lanes[1]))
-    assert not whole.resting
+    assert not whole.idle
     for connection in [*made["a"], *made["b"]]:
-        connection.pool.rest(connection)
-    while whole.spare():
+        connection.pool.release(connection)
+    while whole.evict_idle():
         pass
-    assert (whole.open, shared.free, shared.held) == (0, 9, {})
+    assert (whole.open_count, shared.free, shared.held) == (0, 9, {})
     peer.close()
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -9,7 +9,7 @@
 
 import pytest
 from click.testing import CliRunner
-from scene import ROOT, Party, Scene, as_list, entry, eventually, ok, reply
+from scene import ROOT, SidecarTest, StubServer, entry, eventually, http_response, list_body, ok
 from support import MS, SECOND, endpoint, full, settings
 
 from loftweir.cli.root import COMMANDS, loftweir
@@ -139,11 +139,11 @@
 
 def test_the_explain_command_takes_the_list_of_a_file_or_of_a_live_discovery(tmp_path):
     entries = [entry("x1", "127.0.0.1:1", "alm-1"), entry("x2", "127.0.0.1:2", "alm-1", "leaving")]
-    (tmp_path / "list.json").write_bytes(as_list(3, entries, True))
+    (tmp_path / "list.json").write_bytes(list_body(3, entries, True))
     words = ("explain", "--config", EXAMPLE, "-n", "6", "--class", "apply-submit")
     found = json.loads(call(*words, "--list", str(tmp_path / "list.json"), "--json").stdout)
     assert found["attempts"] == {"x1": 6, "x2": 0} and len(found["decisions"]) == 6
-    live = Party(lambda head, body: reply(200, as_list(4, entries[:1], True)))
+    live = StubServer(lambda head, body: http_response(200, list_body(4, entries[:1], True)))
     table = call(*words, "--live", "--each", environment={"RELAY_DISCOVERY": live.address}).stdout
     live.close()
     assert re.search(r"^x1 +6 +-$", table, re.M) and "served 6" in table
@@ -204,7 +204,7 @@
 # ---- run and try ------------------------------------------------------------------------------------
 
 
-class RunTest(Scene):
+class RunTest(SidecarTest):
     def test_flags_go_before_the_file(self):
         self.start(ok)
         with self.errors.open("wb") as errors:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -8,17 +8,17 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from scene import KEYED, ONCE, READ, Scene, eventually, held, ok, reply
+from scene import KEYED, ONCE, READ, SidecarTest, answer_after, eventually, http_response, ok
 
 
-class ClientTest(Scene):
+class ClientTest(SidecarTest):
     def test_an_invocation_is_passed_on_unchanged_and_its_answer_comes_back_whole(self):
         answer = os.urandom(64 * 1024)
-        self.start(lambda head, body: reply(200, answer, "Content-Type: text/x"))
+        self.start(lambda head, body: http_response(200, answer, "Content-Type: text/x"))
         body = os.urandom(64 * 1024)
         headers = {"Req-Id": "r-1", "Req-Kind": KEYED, "Idempotency-Key": "k-1", "Req-Deadline-Ms": "2000"}
         headers |= {"Connection": "keep-alive, X-Hop", "X-Hop": "1", "X-End": "2"}
-        status, got, response = self.ask("POST", "/api?a=1&b=%20", headers, body)
+        status, got, response = self.send_request("POST", "/api?a=1&b=%20", headers, body)
         self.assertEqual((status, got, response.getheader("Content-Type")), (200, answer, "text/x"))
         ((head, sent, _),) = self.providers[0].seen
         self.assertEqual(head.splitlines()[0], "POST /api?a=1&b=%20 HTTP/1.1")
@@ -31,7 +31,7 @@
     def test_a_chunked_body_is_taken(self):
         self.start(ok)
         headers = {"Req-Id": "r", "Req-Kind": ONCE, "Transfer-Encoding": "chunked"}
-        self.assertEqual(self.ask("POST", "/api", headers, iter([b"ab", b"c"]))[:2], (200, b"served abc"))
+        self.assertEqual(self.send_request("POST", "/api", headers, iter([b"ab", b"c"]))[:2], (200, b"served abc"))
 
     def test_both_sides_reuse_their_connections(self):
         self.start(ok)
@@ -54,22 +54,22 @@
             (404, "HEAD", "/", {}),
         ):
             with self.subTest(target=target, **changed):
-                self.assertEqual(self.ask(method, target, good | changed)[0], status)
+                self.assertEqual(self.send_request(method, target, good | changed)[0], status)
         self.assertEqual(self.providers[0].seen, [])
         self.assertEqual(self.invoke()[0], 200)
 
     def test_malformed_http_is_answered_400_and_closed(self):
         self.start(ok)
         for data in (b"nonsense", b"GET /api HTTP/1.1\r\nBad Header", b"GET /api HTTP/1.1", b"\x00\xff" * 9):
-            self.assertTrue(self.raw(data + b"\r\n\r\n").startswith(b"HTTP/1.1 400 "), data)
+            self.assertTrue(self.send_raw(data + b"\r\n\r\n").startswith(b"HTTP/1.1 400 "), data)
         endless = b"GET /api HTTP/1.1\r\nX: " + b"x" * 99999
-        self.assertTrue(self.raw(endless).startswith(b"HTTP/1.1 431 "))
+        self.assertTrue(self.send_raw(endless).startswith(b"HTTP/1.1 431 "))
         self.assertEqual(self.health(), 200)
 
     def test_a_body_over_the_limit_is_answered_413(self):
         self.start(ok)
         head = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: apply-submit\r\n"
-        answer = self.raw(head + b"Content-Length: 34000000\r\n\r\n" + b"x" * 90000)
+        answer = self.send_raw(head + b"Content-Length: 34000000\r\n\r\n" + b"x" * 90000)
         self.assertTrue(answer.startswith(b"HTTP/1.1 413 "))
         self.assertEqual(self.providers[0].seen, [])
 
@@ -80,7 +80,7 @@
         both = b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n" % len(hidden)
         behind_a_bad_one = head.replace(b"submit", b"nothing") + b"Content-Length: 0\r\n\r\n" + head
         for data in (head + both + hidden, behind_a_bad_one + b"Content-Length: 0\r\n\r\n"):
-            answer = self.raw(data)
+            answer = self.send_raw(data)
             self.assertTrue(answer.startswith(b"HTTP/1.1 400 "), answer)
             self.assertEqual(answer.count(b"HTTP/1.1"), 1)
         self.assertEqual(self.providers[0].seen, [])
@@ -91,7 +91,7 @@
         halves = {b"": b"", head: b"HTTP/1.1 408 ", head + b"Content-Length: 9\r\n\r\nx": b"HTTP/1.1 408 "}
         with ThreadPoolExecutor() as pool:
             began = time.monotonic()
-            for start, answer in zip(halves.values(), pool.map(self.raw, halves), strict=True):
+            for start, answer in zip(halves.values(), pool.map(self.send_raw, halves), strict=True):
                 self.assertTrue(answer.startswith(start) and bool(answer) == bool(start), answer)
             self.assertLess(time.monotonic() - began, 5)
 
@@ -99,13 +99,13 @@
         self.start(ok)
         head = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: apply-submit\r\n"
         began = time.monotonic()
-        self.assertTrue(self.raw(head + b"Content-Length: 60000000\r\n\r\nx").startswith(b"HTTP/1.1 413 "))
+        self.assertTrue(self.send_raw(head + b"Content-Length: 60000000\r\n\r\nx").startswith(b"HTTP/1.1 413 "))
         self.assertLess(time.monotonic() - began, 2)
 
     def test_what_a_request_needs_is_passed_on_though_its_connection_field_names_it(self):
         self.start(ok)
         headers = {"Req-Id": "r", "Req-Kind": READ, "Connection": "host, req-id"}
-        self.assertEqual(self.ask("GET", "/api", headers)[0], 200)
+        self.assertEqual(self.send_request("GET", "/api", headers)[0], 200)
         self.assertIn("req-id: r", self.providers[0].seen[0][0].lower())
 
     def test_expect_continue_is_honoured(self):
@@ -120,7 +120,7 @@
 
     def test_when_the_client_goes_its_call_is_drained_and_the_connection_used_again(self):
         gate = threading.Event()
-        self.start(held(gate))
+        self.start(answer_after(gate))
         client = self.client()
         client.request("GET", "/api", headers={"Req-Id": "r", "Req-Kind": READ})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
@@ -133,7 +133,7 @@
     def test_an_id_that_is_still_out_is_not_sent_a_second_time(self):
         """The same id again would run twice, and two of one id would mix up the balancer's attempts."""
         gate = threading.Event()
-        self.start(held(gate))
+        self.start(answer_after(gate))
         first = self.client()
         first.request("POST", "/api", b"{}", {"Req-Id": "twin", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 from cold_scene import BEGAN, CLASSES, COLD_FROM, FALL_MULTIPLE, MS, SAFETY, WARM_WITHIN, Case, Fleet
-from scene import SECOND, SETTINGS, Party, entry, ok
+from scene import SECOND, SETTINGS, StubServer, entry, ok
 from test_mass_restart import Fleet as Sidecars
 
 from loftweir import interface as api
@@ -141,14 +141,14 @@
 
     def test_five_processes_keep_to_the_budget_of_one_that_starts_cold(self):
         rate = self.PROCESSES * self.EACH / self.SERVERS / 0.9  # what a warm server can do, at nine tenths of load
-        servers = [Party(ok) for _ in range(self.SERVERS - 1)]
+        servers = [StubServer(ok) for _ in range(self.SERVERS - 1)]
         came = []
 
         def counts(head, body):
             came.append(time.time())
             return ok(head, body)
 
-        cold = Party(counts)
+        cold = StubServer(counts)
         for party in (cold, *servers):
             self.addCleanup(party.close)
         self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(servers)]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from scene import SETTINGS, as_list, entry
+from scene import SETTINGS, entry, list_body
 
 from loftweir.config import operator, platform, reference, units
 from loftweir.config.faults import MISSING, Faulty
@@ -20,7 +20,7 @@
 
 
 def config(**changes):
-    known = json.loads(as_list(0, [entry("s0", "127.0.0.1:1")], True))
+    known = json.loads(list_body(0, [entry("s0", "127.0.0.1:1")], True))
     limits = {"sockets": 256, "memory_mb": 192}
     whole = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c", "limits": limits, "known": known}
     return whole | {"settings": SETTINGS} | changes
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -22,27 +22,27 @@
     ONCE,
     READ,
     SETTINGS,
-    Party,
-    Scene,
+    SidecarTest,
+    StubServer,
     address_of,
     entry,
     eventually,
+    http_response,
     listener,
     ok,
     profile,
-    reply,
 )
 from support import CLASSES, SECOND, settings
 
 from loftweir.config.model import Options
-from loftweir.core.invocation import Call, Invocation
-from loftweir.http1.back import Back
-from loftweir.http1.message import Message
+from loftweir.core.invocation import Invocation, ProviderAttempt
+from loftweir.http1.back import Backend
+from loftweir.http1.message import HttpRequest
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, Loop, Wait
 
-STALE = reply(200, b"another's")
-DECLINED = reply(503, b"", "Srv-Declined: 1")
+STALE = http_response(200, b"another's")
+DECLINED = http_response(503, b"", "Srv-Declined: 1")
 
 
 def reset(sock):
@@ -71,8 +71,8 @@
 
     def __init__(self):
         self.loop = Loop()
-        self.back = Back(self.loop, settings(), Options(), 8, 1 << 20)
-        self.back.ended = self.ended
+        self.back = Backend(self.loop, settings(), Options(), 8, 1 << 20)
+        self.back.on_attempt_ended = self.ended
         self.listener = listener()
         self.back.pool.addresses["s"] = address_of(self.listener)
         self.told = []
@@ -83,10 +83,10 @@
 
     def begin(self):
         fields = {b"host": b"h", b"req-id": b"r%d" % len(self.told)}
-        message = Message(b"POST", b"/api", list(fields.items()), fields, [b"{}"])
+        message = HttpRequest(b"POST", b"/api", list(fields.items()), fields, [b"{}"])
         invocation = Invocation("r", CLASSES[1], SECOND, message)
         invocation.deadline = self.loop.now() + 2 * SECOND
-        self.back.begin(Call(invocation, "s", 0, self.loop.now()))
+        self.back.begin(ProviderAttempt(invocation, "s", 0, self.loop.now()))
 
     def turn(self, done):
         def watch():
@@ -106,9 +106,9 @@
         peer, _ = self.listener.accept()
         self.turn(lambda: select.select([peer], [], [], 0)[0])
         assert peer.recv(9999).endswith(b"{}")
-        peer.sendall(reply(200, b"own"))
+        peer.sendall(http_response(200, b"own"))
         self.turn(lambda: self.told)
-        assert self.told == [(Outcome.OK, b"own")] and len(self.back.pool.resting) == 1
+        assert self.told == [(Outcome.OK, b"own")] and len(self.back.pool.idle) == 1
         return peer
 
 
@@ -129,7 +129,7 @@
     peer = side.used()
     # As in any exchange of requests and answers: the server acknowledges with what it sends.
     peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
-    (connection,) = side.back.pool.resting
+    (connection,) = side.back.pool.idle
     message = side.back.message
 
     def crossed(call):
@@ -142,7 +142,7 @@
     side.turn(lambda: len(side.told) == 2)
     assert side.told[1] == (Outcome.RESET, None)
     assert peer.recv(9999).endswith(b"{}"), "it was written whole, and may run"
-    assert side.back.pool.open == 0
+    assert side.back.pool.open_count == 0
 
 
 @pytest.mark.parametrize("what", ["a second answer", "half a line", "its end", "a reset"])
@@ -157,44 +157,44 @@
     if what != "a reset":
         with suppress(ConnectionResetError):
             assert peer.recv(9999) == b""
-    assert side.back.pool.open == 0
+    assert side.back.pool.open_count == 0
 
 
 def handed_out(side):
     """An event about the resting connection has been handed out by epoll, and has not been worked off."""
-    (connection,) = side.back.pool.resting
+    (connection,) = side.back.pool.idle
     side.loop.watchers.pop(connection.sock.fileno()).ready(READABLE)
     return connection
 
 
 def work_off(side):
-    while side.loop.due:
-        side.loop.due.popleft()()
+    while side.loop.runnable:
+        side.loop.runnable.popleft()()
 
 
 def test_an_event_of_a_connection_at_rest_that_is_worked_off_once_it_is_in_use_or_closed_ends_no_other(side):
     pool = side.back.pool
     peer = side.used()
     connection = handed_out(side)
-    assert pool.take("s") is connection, "nothing had come after all"
+    assert pool.acquire("s") is connection, "nothing had come after all"
     work_off(side)
-    assert pool.open == 1 and connection.sock.fileno() >= 0, "in use it is not closed"
-    pool.rest(connection)
+    assert pool.open_count == 1 and connection.sock.fileno() >= 0, "in use it is not closed"
+    pool.release(connection)
     peer.sendall(b"noise")
     assert select.select([connection.sock], [], [], 5)[0]
     handed_out(side)
-    assert pool.take("s") is None and pool.open == 0, "with bytes on it, it is not taken"
+    assert pool.acquire("s") is None and pool.open_count == 0, "with bytes on it, it is not taken"
     work_off(side)
-    assert pool.open == 0 and not pool.resting and not pool.idle
+    assert pool.open_count == 0 and not pool.idle and not pool.idle_by_provider
 
 
 def test_a_connection_that_rests_again_before_an_earlier_event_is_worked_off_is_closed_once_at_most(side):
     pool = side.back.pool
     peer = side.used()
     connection = handed_out(side)
-    pool.rest(pool.take("s"))
+    pool.release(pool.acquire("s"))
     work_off(side)
-    assert (pool.open, list(pool.resting), pool.idle, side.loop.watchers) == (0, [], {}, {})
+    assert (pool.open_count, list(pool.idle), pool.idle_by_provider, side.loop.watchers) == (0, [], {}, {})
     assert connection.sock.fileno() == -1 and peer.recv(1) == b""
 
 
@@ -232,7 +232,7 @@
 # ---- answers ahead of the request's last byte -----------------------------------------------------
 
 
-class Early(Party):
+class Early(StubServer):
     """A server that reads the beginning of a request, does what the test says, and reads no more."""
 
     def __init__(self, does):
@@ -250,7 +250,7 @@
                 self.does(sock)
 
 
-class EarlyTest(Scene):
+class EarlyTest(SidecarTest):
     operator = '[log]\naccess = "all"\n'
 
     def outcomes(self):
@@ -329,7 +329,7 @@
 OUTCOMES = {200: "ok", 502: "reset", 504: "timed_out"}
 
 
-class BrokenTest(Scene):
+class BrokenTest(SidecarTest):
     operator = '[log]\naccess = "all"\n\n[limits]\nsilent_for = "1s"\n'  # for what is begun and long
 
     def one(self, data, end, still=False, after=0.0):
@@ -355,7 +355,7 @@
             asked = pool.submit(self.raw_ask)
             self.assertTrue(begun.wait(5))
             if still:
-                with self.held_still():
+                with self.paused():
                     go.set()
                     self.assertTrue(said.wait(5))
             else:
@@ -431,7 +431,7 @@
             self.assertEqual((status, len(body), body == long), (200, len(long), True))
 
 
-class DripTest(Scene):
+class DripTest(SidecarTest):
     def drips(self, answer, pause, deadline_ms=600):
         """What a client gets that asks for an answer whose parts come so far apart, and for how long it has to wait."""
 
@@ -474,14 +474,14 @@
         self.assertGreater(took, 1)
 
 
-class ShortTest(Scene):
+class ShortTest(SidecarTest):
     operator = '[limits]\nheld = "2B"\n'
 
     def test_what_comes_with_an_answer_that_is_over_held_and_whole_is_not_passed_on_with_it(self):
         number = itertools.count()
         for behind in (b"", b"noise", STALE):
             with self.subTest(behind=behind):
-                self.start(lambda head, body, behind=behind: reply(200, b"own %d" % next(number)) + behind)
+                self.start(lambda head, body, behind=behind: http_response(200, b"own %d" % next(number)) + behind)
                 client = self.client()
                 answers = [self.invoke(client=client)[:2] for _ in range(4)]
                 self.assertEqual([status for status, _ in answers], [200] * 4)
@@ -492,7 +492,7 @@
 # ---- connections that come up late ----------------------------------------------------------------
 
 
-class LateTest(Scene):
+class LateTest(SidecarTest):
     def test_a_connection_that_is_up_only_when_its_time_is_over_is_closed_with_nothing_on_it(self):
         """Both are there when the program has its next turn: the event that it is up, and the end of its time."""
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -504,7 +504,7 @@
         client.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE, "Req-Deadline-Ms": "3000"})
         coming = f" 0100007F:{full.getsockname()[1]:04X} 02 "  # SYN-SENT
         self.assertTrue(eventually(lambda: coming in Path("/proc/net/tcp").read_text()))
-        with self.held_still():
+        with self.paused():
             waiting.append(full.accept()[0])
             full.settimeout(5)
             late, _ = full.accept()  # as the kernel asks once more, after 1 s
@@ -534,19 +534,19 @@
     ("by_key", "once", "out", reset, 200, 2),
     ("by_key", "window over", "out", reset, 200, 2),
     ("window over", "by_key", "out", reset, 503, 1),  # not sent again here; a client may, with its key
-    ("once", "short", "out", speaks(reply(200, b"own")), 200, 1),
+    ("once", "short", "out", speaks(http_response(200, b"own")), 200, 1),
     ("short", "once", "out", stays_silent, 504, 1),
     ("repeatable", "once", "out again", reset, 200, 3),
     ("by_key", "once", "out again", reset, 200, 3),
     ("once", "repeatable", "head", reset, 502, 1),
     ("repeatable", "once", "head", reset, 200, 2),
     ("by_key", "window over", "head", reset, 200, 2),
-    ("once", "short", "head", speaks(reply(200, b"own")), 200, 1),
+    ("once", "short", "head", speaks(http_response(200, b"own")), 200, 1),
     ("short", "once", "head", stays_silent, 504, 1),
 ]
 
 
-class ChangedTest(Scene):
+class ChangedTest(SidecarTest):
     def test_a_request_keeps_the_class_with_which_its_head_came_until_its_end(self):
         for was, becomes, moment, end, status, attempts in CHANGED:
             with self.subTest(was=was, becomes=becomes, moment=moment, end=end.__name__):
@@ -568,7 +568,7 @@
                 goes[number].wait(10)
                 end(self.party_of(head).sockets[-1])
                 over.wait(5)
-            return reply(200, b"own")
+            return http_response(200, b"own")
 
         held = 2 if moment == "out again" else 1
         self.start(answer, answer, answer, settings=was)
@@ -608,13 +608,13 @@
 # ---- many requests over few connections -----------------------------------------------------------
 
 
-class OwnAnswerTest(Scene):
+class OwnAnswerTest(SidecarTest):
     operator = '[log]\naccess = "all"\n'
     CLIENTS, EACH = 8, 400
 
     def test_each_request_is_passed_on_as_its_own_and_gets_its_own_answer_while_the_settings_change(self):
         def echo(head, body):
-            return reply(200, json.dumps([head, body.decode()]).encode())
+            return http_response(200, json.dumps([head, body.decode()]).encode())
 
         self.start(echo, echo, echo)
         over = threading.Event()
@@ -657,7 +657,9 @@
             fields |= {"Req-Extra": f"own={own}", "X-Tenant": own + "t"} if n % 5 == 0 else {}
             fields |= {"Idempotency-Key": own + "i"} if kind == KEYED else {}
             body = None if kind == READ else (own + "b" * (n % 700)).encode()
-            status, answer, _ = self.ask("GET" if kind == READ else "POST", f"/api?q={own}", fields, body, client)
+            status, answer, _ = self.send_request(
+                "GET" if kind == READ else "POST", f"/api?q={own}", fields, body, client
+            )
             self.assertIn(status, (200, 503))
             if status == 200:
                 served += 1
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import suppress
 
-from scene import KEYED, ONCE, READ, Scene, eventually, ok, reply
+from scene import KEYED, ONCE, READ, SidecarTest, eventually, http_response, ok
 
 HEAD = "{} /api HTTP/1.1\r\nHost: x\r\nReq-Id: {}\r\nReq-Kind: {}\r\nReq-Deadline-Ms: {}\r\nContent-Length: {}\r\n\r\n"
 
@@ -22,7 +22,7 @@
     return [int(part[9:12]) for part in data.split(b"HTTP/1.1 ")[1:] for part in [b"HTTP/1.1 " + part]]
 
 
-class DataPathTest(Scene):
+class DataPathTest(SidecarTest):
     def connection(self):
         host, port = self.listen.split(":")
         sock = socket.create_connection((host, int(port)), timeout=10)
@@ -67,7 +67,7 @@
         self.assertEqual(self.providers[0].seen[-1][0].split()[0], "GET", "none of them was sent on")
 
     def test_a_request_cut_anywhere_is_read_whole_and_answers_are_read_a_byte_at_a_time(self):
-        self.start(lambda head, body: reply(200, b"y" * 3000))
+        self.start(lambda head, body: http_response(200, b"y" * 3000))
         data = post("cut", b"0123456789")
         for cut in range(1, len(data), 9):
             sock = self.connection()
@@ -82,7 +82,7 @@
         self.assertEqual({body for _, body, _ in self.providers[0].seen}, {b"0123456789"})
 
     def test_requests_right_behind_one_another_are_answered_in_their_order(self):
-        self.start(lambda head, body: reply(200, body))
+        self.start(lambda head, body: http_response(200, body))
         sock = self.connection()
         odd = post("odd", b"3").replace(b"Host: x", b"Host:  x")  # not of the common form
         sock.sendall(post("one", b"1") + post("two", b"2") + odd + post("four", b"4"))
@@ -93,7 +93,7 @@
 
     def test_an_answer_cut_anywhere_is_passed_on_whole(self):
         cuts = iter(range(1, 140, 7))
-        whole = reply(200, b"z" * 50, "X-Note: as it came")
+        whole = http_response(200, b"z" * 50, "X-Note: as it came")
 
         def dribble(head, body):
             cut = next(cuts)
@@ -175,7 +175,7 @@
 
     def test_a_client_that_sends_ahead_is_not_taken_for_a_process_that_is_behind(self):
         """Its requests wait for its own answers, unread: that is old, and says nothing of this process."""
-        self.start(lambda head, body: time.sleep(0.06) or reply(200, body))
+        self.start(lambda head, body: time.sleep(0.06) or http_response(200, body))
         for apart in (0.0, 0.002):  # in one piece, and each in a packet of its own
             sock, got = self.connection(), b""
             for number in range(30):
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from scene import ONCE, Scene, reply
+from scene import ONCE, SidecarTest, http_response
 
 DEADLINE = 0.8  # seconds
 SLACK = 0.15  # of what is told, by the operators' terms
@@ -23,7 +23,7 @@
 )
 
 
-class Told(Scene):
+class Told(SidecarTest):
     """The real program before one upstream, which declines the first `declines` requests; `seen` has when each came
     and what it was told, in seconds."""
 
@@ -34,7 +34,9 @@
             told = int(head.partition("Req-Deadline-Ms: ")[2].split()[0]) / 1000
             self.seen.append((time.monotonic(), told))
             time.sleep(0.1 if len(self.seen) <= declines else 0)
-            return reply(503, b"", "Srv-Declined: 1") if len(self.seen) <= declines else reply(200, b"x")
+            return (
+                http_response(503, b"", "Srv-Declined: 1") if len(self.seen) <= declines else http_response(200, b"x")
+            )
 
         self.start(answer, answer)
 
@@ -95,7 +97,7 @@
         request = REQUEST.format(os.urandom(8).hex(), ONCE, int(DEADLINE * 1000)).encode() + b"{}"
         host, port = scene.listen.split(":")
         with socket.create_connection((host, int(port)), timeout=5) as sock:
-            with scene.held_still():
+            with scene.paused():
                 began = time.monotonic()
                 sock.sendall(request)
                 time.sleep(0.4)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -10,14 +10,14 @@
 from types import SimpleNamespace
 
 import pytest
-from scene import MS, SETTINGS, Scene, address_of, eventually, held, listener, ok, reply
+from scene import MS, SETTINGS, SidecarTest, address_of, answer_after, eventually, http_response, listener, ok
 
 from loftweir.config.model import Limits, Options
-from loftweir.core.life import Life
-from loftweir.http1.front import Front
+from loftweir.core.life import SidecarLifecycle
+from loftweir.http1.front import Frontend
 from loftweir.http1.stage import Stage
 from loftweir.net.loop import SECOND, Loop, Wait
-from loftweir.net.stream import Body, Room
+from loftweir.net.stream import Body, MemoryBudget
 
 REQUEST = b"GET /api HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Kind: status-read\r\n\r\n"
 LONG = bytes(range(256)) * 2048  # more than a slow client's machine takes
@@ -63,7 +63,7 @@
         self.loop = Loop()
         host = SimpleNamespace(loop=self.loop, invocations={})
         options = Options(limits=Limits(**limits))
-        self.front = Front(self.loop, host, Life(), options, 64, 1 << 20)
+        self.front = Frontend(self.loop, host, SidecarLifecycle(), options, 64, 1 << 20)
         near, self.peer = connected(4096 if slow else 0)
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
         self.peer.settimeout(5)
@@ -217,7 +217,7 @@
 def test_a_whole_request_that_waits_for_room_is_not_closed_as_half_of_one():
     scenery = Scenery((), slow=False)
     front, client = scenery.front, scenery.client
-    front.room = Room(64)
+    front.room = MemoryBudget(64)
     taken = Body(front.room)
     taken.reserve(64)
     scenery.peer.send(b"POST /_health HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
@@ -270,7 +270,7 @@
 # ---- the real program ---------------------------------------------------------------------------
 
 
-class EndsTest(Scene):
+class EndsTest(SidecarTest):
     def settings(self, hard_limit=None):
         if hard_limit is None:
             return SETTINGS
@@ -329,7 +329,7 @@
             sock.sendall(first)
         self.assertEqual(self.health(), 200)  # they were there before this
         self.stops()
-        with self.held_still():
+        with self.paused():
             for sock, (_, rest) in zip(socks, parts, strict=True):
                 sock.sendall(rest)
         for sock in socks:
@@ -342,11 +342,11 @@
         for signals in (("TERM", "HUP"), ("HUP", "TERM"), ("TERM", "HUP", "TERM", "HUP")):
             with self.subTest(signals=signals):
                 gate = threading.Event()
-                self.begin(held(gate))
+                self.begin(answer_after(gate))
                 out, comes = self.connect(), self.connect()
                 out.sendall(REQUEST % b"out")
                 self.assertTrue(eventually(lambda: self.providers[0].seen))
-                with self.held_still():
+                with self.paused():
                     comes.sendall(REQUEST % b"comes")
                     for name in signals:
                         self.terminate() if name == "TERM" else self.reload(json.dumps(self.config))
@@ -361,7 +361,7 @@
         def turned_away(head, body):
             if not self.logged("stop.begun"):
                 self.stops()
-            return reply(503, b"", "Srv-Declined: 1")
+            return http_response(503, b"", "Srv-Declined: 1")
 
         self.begin(turned_away, turned_away)
         self.providers[1].answer = lambda head, body: (
@@ -377,9 +377,9 @@
     def test_with_half_of_the_servers_hanging_each_request_gets_its_answer_in_time(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.begin(ok, held(gate), settings=self.settings(500 * MS))
+        self.begin(ok, answer_after(gate), settings=self.settings(500 * MS))
         socks = [self.connect() for _ in range(12)]
-        with self.held_still():
+        with self.paused():
             for number, sock in enumerate(socks):
                 sock.sendall(REQUEST % b"r%d" % number)
             self.terminate()
@@ -397,12 +397,12 @@
         for limits in ({}, {"limits": {"sockets": 24, "memory_mb": 192}}):
             with self.subTest(**limits):
                 gate = threading.Event()
-                self.begin(held(gate) if limits else ok, **limits)
+                self.begin(answer_after(gate) if limits else ok, **limits)
                 busy = [self.connect() for _ in range(12 if limits else 0)]
                 for number, sock in enumerate(busy):
                     sock.sendall(REQUEST % b"busy%d" % number)
                 self.stops()
-                with self.held_still():
+                with self.paused():
                     socks = [self.connect() for _ in range(40)]
                     for number, sock in enumerate(socks):
                         sock.sendall(REQUEST % b"r%d" % number)
@@ -424,7 +424,7 @@
                 sock.sendall(REQUEST % b"first")
                 self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200 "))
                 ends()
-                with self.held_still():
+                with self.paused():
                     sock.sendall(REQUEST % b"second")
                     time.sleep(1.2)
                 self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200 "))
@@ -436,7 +436,7 @@
         self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200 "))
         self.stops()
         self.assertEqual(sock.recv(1), b"")
-        with self.held_still():
+        with self.paused():
             sock.sendall(REQUEST % b"second")
         self.assertEqual(self.read(sock), b"")
         self.assertEqual(self.ended()["left"], 0)
@@ -444,7 +444,7 @@
 
     def test_a_request_with_more_time_than_sigkill_leaves_has_it_where_sigkill_comes_later(self):
         gate = threading.Event()
-        self.begin(held(gate), settings=self.settings(6 * SECOND))
+        self.begin(answer_after(gate), settings=self.settings(6 * SECOND))
         sock = self.connect()
         sock.sendall(REQUEST % b"long")
         self.assertTrue(eventually(lambda: self.providers[0].seen))
@@ -468,14 +468,14 @@
 
     def test_at_the_end_of_the_process_a_slow_clients_answer_is_not_lost_to_bytes_unread(self):
         body = LONG[:60000]
-        self.begin(lambda head, _: reply(200, body), settings=self.settings(300 * MS))
+        self.begin(lambda head, _: http_response(200, body), settings=self.settings(300 * MS))
         sock = self.connect(rcvbuf=4096)
-        with self.held_still():
+        with self.paused():
             sock.sendall(REQUEST % b"r")
             self.terminate()
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         self.assertTrue(eventually(lambda: self.logged("life.changed")[-1]["state"] == "shut"))
-        with self.held_still():
+        with self.paused():
             sock.sendall(b"x" * 100)
             time.sleep(1)  # past the end: its time and the bytes are there at once
         self.assertEqual(self.ended()["left"], 1)
@@ -494,7 +494,7 @@
         self.catalog.fail(True)
         self.assertTrue(eventually(lambda: self.health() == 503))
         sock = self.connect()
-        with self.held_still():
+        with self.paused():
             sock.sendall(REQUEST % b"r")
             self.terminate()
         self.one_answer(self.read(sock), 503)
@@ -506,7 +506,7 @@
                 gate = threading.Event()
                 with listener() as free:
                     operator_address = address_of(free)
-                self.begin(held(gate), operator=operator_address)
+                self.begin(answer_after(gate), operator=operator_address)
                 host, port = operator_address.split(":")
                 out, comes, rests = self.connect(), self.connect(), self.connect()
                 out.sendall(REQUEST % b"out")
@@ -520,7 +520,7 @@
                     self.assertEqual(self.read(rests), b"")
                     self.assertTrue(eventually(lambda: self.logged("life.changed")[-1]["state"] == "empty"))
                     comes = self.connect()
-                with self.held_still():
+                with self.paused():
                     comes.sendall(REQUEST % b"comes")
                     for drains in (drain_first, not drain_first):
                         if not drains:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -12,18 +12,18 @@
 from contextlib import suppress
 from pathlib import Path
 
-from scene import MS, ONCE, READ, SETTINGS, Scene, address_of, entry, eventually, ok, reply
+from scene import MS, ONCE, READ, SETTINGS, SidecarTest, address_of, entry, eventually, http_response, ok
 from support import settings
 
 from loftweir.config.model import Options
 from loftweir.core.host import Host
-from loftweir.core.invocation import Call, Invocation
-from loftweir.http1.back import Back, Connection
+from loftweir.core.invocation import Invocation, ProviderAttempt
+from loftweir.http1.back import Backend, ProviderConnection
 from loftweir.http1.flow import Upload
-from loftweir.http1.message import Message
+from loftweir.http1.message import HttpRequest
 from loftweir.interface import Outcome
 from loftweir.net.loop import Loop
-from loftweir.net.stream import Body, Room
+from loftweir.net.stream import Body, MemoryBudget
 
 
 def reset(sock):
@@ -74,7 +74,7 @@
         assert self.written.wait(10)
 
 
-class GoneTest(Scene):
+class GoneTest(SidecarTest):
     def connected(self, *data):
         host, port = self.listen.split(":")
         sock = socket.create_connection((host, int(port)), timeout=10)
@@ -114,7 +114,7 @@
             at_rest, in_its_body = self.served("before"), self.connected(whole[:-99])
             waits = self.connected(awaited[:-9])
             self.assertIn(b" 100 ", waits.recv(4096))
-            with self.held_still():
+            with self.paused():
                 for sock, rest in (
                     (self.connected(), asked("to-accept")),
                     (at_rest, asked("at-rest")),
@@ -137,7 +137,7 @@
                     sock = self.connected(asked("first") + asked("second") * together)
                     self.assertTrue(eventually(lambda: self.has("first")))
                     sock.sendall(asked("second") * (not together))
-                    with self.held_still():
+                    with self.paused():
                         gate.open()
                         leave(sock)
                     self.assertEqual(self.sent_on(), ["first", "stays"])
@@ -146,8 +146,8 @@
         """The first server's word comes first, and a connection to the second one rests: what proves that nothing
         ran, or what may be repeated, would be sent to that one in the same step."""
         ends = {
-            "declined": lambda head, body: reply(503, b"", "Srv-Declined: 1"),
-            "failed": lambda head, body: reply(500),
+            "declined": lambda head, body: http_response(503, b"", "Srv-Declined: 1"),
+            "failed": lambda head, body: http_response(500),
         }
         for end, answer in ends.items():
             for how, leave in LEAVES.items():
@@ -157,7 +157,7 @@
                     self.assertTrue(eventually(lambda: self.served("warm") and all(p.seen for p in self.providers)))
                     sock = self.connected(asked("r"))
                     self.assertTrue(eventually(lambda: self.has("r")))
-                    with self.held_still():
+                    with self.paused():
                         gates[self.has("r")[0]].open()
                         leave(sock)
                     self.assertEqual(self.sent_on(), ["r", "stays"])
@@ -170,7 +170,7 @@
                 self.assertTrue(eventually(lambda: any("after=" in head for head, _, _ in self.catalog.seen)))
                 sock = self.connected(asked("r"))
                 self.assertEqual(self.health(), 503)  # asked for later: the request has been read
-                with self.held_still():
+                with self.paused():
                     self.catalog.entries = self.entries
                     self.catalog.change(*self.entries)
                     leave(sock)
@@ -192,7 +192,7 @@
                 others = {filler.getsockname()[1] for filler in fillers}
                 sock = self.connected(asked("r"))
                 self.assertTrue(eventually(lambda server=server, others=others: coming_up(server) - others))
-                with self.held_still():
+                with self.paused():
                     server.settimeout(10)
                     up = next(s for s, (_, port) in iter(server.accept, None) if port not in others)
                     leave(sock)
@@ -204,7 +204,7 @@
 
     def test_a_burst_of_them_leaves_while_the_program_has_no_turn(self):
         self.start(ok)
-        with self.held_still():
+        with self.paused():
             for number in range(200):
                 sock = self.connected(asked(f"r{number}"))
                 list(LEAVES.values())[number % 2](sock)
@@ -222,7 +222,7 @@
                 self.assertTrue(eventually(lambda: self.most_come() >= 1 << 20))
                 leave(sock)
                 self.assertTrue(eventually(lambda b=before: len(self.providers[0].ends) > b, 2))
-                with self.held_still():
+                with self.paused():
                     sock = self.connected(asked("late", ONCE, b"x" * (9 << 20))[: 1 << 16])
                     leave(sock)
                 self.served("warm")
@@ -239,7 +239,7 @@
                 crowd += [self.connected(asked("short", ONCE, b"x" * (64 << 10))[:4096]) for _ in range(60)]
                 crowd.append(self.connected(asked("waits", ONCE, b"x" * 60_000)))
                 self.assertEqual(self.health(), 200)  # asked for later: all of them have been read
-                with self.held_still():
+                with self.paused():
                     for sock in crowd:
                         leave(sock)
                 self.served("warm")
@@ -258,7 +258,7 @@
         go_on = threading.Event()
 
         def long(head, body):
-            yield reply(200, b"x" * (9 << 20))[: 1 << 20]
+            yield http_response(200, b"x" * (9 << 20))[: 1 << 20]
             go_on.wait(10)
             yield b"x" * (8 << 20)
 
@@ -271,7 +271,7 @@
                 go_on.clear()
                 sock = self.connected(asked("long"))
                 self.assertIn(b" 200 ", sock.recv(1 << 16))
-                with self.held_still():
+                with self.paused():
                     leave(sock)
                     go_on.set()
                 self.served("warm").close()
@@ -284,38 +284,38 @@
         """It takes the time between requests for its measure of the traffic, and spaces a cold server's calls by it:
         a burst of those who left would have it send them close together."""
         loop = Loop()
-        back = Back(loop, settings(), Options(), 9, 1 << 20)
+        back = Backend(loop, settings(), Options(), 9, 1 << 20)
         host = Host(loop, settings(), 1, back, lists=None)
         for left in (True, False):
             invocation = Invocation("r", settings().classes["push"], 1000 * MS, None)
-            invocation.left = lambda left=left: left
-            host.take(invocation)
+            invocation.client_left = lambda left=left: left
+            host.accept(invocation)
             self.assertEqual((invocation.open, bool(host.balancer.asked_at)), (not left, not left))
-            host.leave(invocation)
+            host.release(invocation)
             self.assertEqual(host.invocations, {})
 
     def test_a_connection_at_rest_is_not_touched_for_a_body_that_was_sent_on_already(self):
         """Taken and put back it would rest anew, past the time after which its server closes it as idle."""
         loop, ends = Loop(), []
-        back = Back(loop, settings(), Options(), 9, 1 << 20)
-        back.ended = lambda call, outcome, payload: ends.append(outcome)
+        back = Backend(loop, settings(), Options(), 9, 1 << 20)
+        back.on_attempt_ended = lambda call, outcome, payload: ends.append(outcome)
         ours, theirs = socket.socketpair()
         for sock in (ours, theirs):
             self.addCleanup(sock.close)
         ours.setblocking(False)
-        back.pool.moved("s", "127.0.0.1:1")
-        connection = Connection(back.pool, ours, "s", "127.0.0.1:1")
-        back.pool.rest(connection)
-        connection.rested_at = rested_at = loop.time - 1000 * MS
-        upload = Upload(loop, theirs, Body(Room(1 << 20)), 9 << 20, 1000 * MS)
+        back.pool.set_address("s", "127.0.0.1:1")
+        connection = ProviderConnection(back.pool, ours, "s", "127.0.0.1:1")
+        back.pool.release(connection)
+        connection.idle_since = idle_since = loop.time - 1000 * MS
+        upload = Upload(loop, theirs, Body(MemoryBudget(1 << 20)), 9 << 20, 1000 * MS)
         upload.begun = True
-        request = Message(b"POST", b"/api", [], {}, upload)
-        back.begin(Call(Invocation("r", settings().classes["push"], 1000 * MS, request), "s", 0, loop.time))
+        request = HttpRequest(b"POST", b"/api", [], {}, upload)
+        back.begin(ProviderAttempt(Invocation("r", settings().classes["push"], 1000 * MS, request), "s", 0, loop.time))
         self.assertEqual(ends, [Outcome.NOT_SENT])
-        self.assertEqual([c.rested_at for c in back.pool.resting], [rested_at])
+        self.assertEqual([c.idle_since for c in back.pool.idle], [idle_since])
 
 
-class Crowd(Scene):
+class Crowd(SidecarTest):
     """Many clients, or few that send much, beside one as usual."""
 
     connected = GoneTest.connected
