--- a/tests/test_installed.py
+++ b/tests/test_installed.py
@@ -10,7 +10,7 @@
 import zipfile
 from pathlib import Path
 
-from scene import ROOT, Scene, eventually, ok
+from scene import ROOT, SidecarTest, eventually, ok
 
 # What the base install need not import, by the extra that it needs. All else of the package, also what is new, it must.
 NEEDS = {"tools": ("loftweir.cli",), "emulator": ("loftweir.emulator", "loftweir.cli.emulate")}
@@ -31,7 +31,7 @@
     return any(f"{name}.".startswith(f"{package}.") for package in packages)
 
 
-class InstalledTest(Scene):
+class InstalledTest(SidecarTest):
     def run_there(self, *command, text=""):
         """A command outside the tree, which no variable of the environment names to it."""
         env = {k: v for k, v in os.environ.items() if k != "PYTHONPATH"}
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -7,7 +7,7 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from scene import ONCE, Catalog, Scene, entry, eventually, held, ok
+from scene import ONCE, SidecarTest, StubDiscovery, answer_after, entry, eventually, ok
 
 BREAK = """
 whole = getattr(part, name)
@@ -19,7 +19,7 @@
 """
 
 
-class LifeTest(Scene):
+class LifeTest(SidecarTest):
     def test_a_bad_configuration_ends_it_with_a_line_for_each_fault(self):
         nowhere = '{"listen": "nowhere", "discovery": "127.0.0.1:1", "seed": "z"}'
         rest = {"limits.sockets", "limits.memory_mb", "seed", "settings", "known"}
@@ -52,7 +52,7 @@
         self.assertTrue(eventually(lambda: self.catalog.seen))
         for number, leaving in enumerate((self.entries[0], self.entries[0] | {"status": "active"})):
             self.catalog.change(leaving | {"status": ("leaving", "active")[number]})
-            self.list_is_read()
+            self.wait_until_list_read()
             before = len(self.providers[0].seen)
             for _ in range(6):
                 self.assertEqual(self.invoke()[0], 200)
@@ -109,7 +109,7 @@
         """Also with RELAY_DISCOVERY set, and with an older list there: what it tells counts 4 s later."""
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
-        other = Catalog()
+        other = StubDiscovery()
         self.addCleanup(other.close)
         self.moves(self.catalog, other, 0)
         self.moves(other, self.catalog, 1)
@@ -118,7 +118,7 @@
     def test_what_the_old_discovery_tells_while_the_new_one_is_silent_counts(self):
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
-        silent = Catalog()
+        silent = StubDiscovery()
         self.addCleanup(silent.close)
         silent.answer = lambda head, body: time.sleep(9)
         self.move(silent)
@@ -138,7 +138,7 @@
 
     def test_sighup_near_sigterm_harms_nothing(self):
         gate = threading.Event()
-        self.start(held(gate))
+        self.start(answer_after(gate))
         waiting = self.client()
         waiting.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
@@ -153,8 +153,8 @@
 
     def test_one_broken_part_is_logged_and_answered_and_the_process_lives(self):
         for fault, status in (
-            ("http1.back import Back as part; name = 'message'", 502),
-            ("http1.client import Client as part; name = '_decided'", 500),
+            ("http1.back import Backend as part; name = 'message'", 502),
+            ("http1.client import ClientConnection as part; name = '_decided'", 500),
             ("balance import Balancer as part; name = '_request'", 500),
         ):
             with self.subTest(fault=fault):
@@ -201,7 +201,7 @@
 
     def test_more_invocations_than_connections_to_providers_are_answered_and_none_is_lost(self):
         gate = threading.Event()
-        self.start(held(gate), limits={"sockets": 40, "memory_mb": 192})  # 20 for clients, 4 for providers
+        self.start(answer_after(gate), limits={"sockets": 40, "memory_mb": 192})  # 20 for clients, 4 for providers
         self.assertTrue(eventually(lambda: self.health() == 200))
         clients = [self.client() for _ in range(8)]
         for number, client in enumerate(clients):
@@ -228,9 +228,9 @@
 
     def test_a_planned_end_answers_all_that_was_taken_and_takes_more_for_a_while(self):
         gate = threading.Event()
-        self.start(held(gate))
+        self.start(answer_after(gate))
         waiting, idle = self.client(), self.client()
-        self.assertEqual(self.ask("GET", "/_health", client=idle)[0], 200)
+        self.assertEqual(self.send_request("GET", "/_health", client=idle)[0], 200)
         waiting.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         self.terminate()
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -8,7 +8,7 @@
 
 import pytest
 from discovery_scene import Calls, Clock
-from scene import SETTINGS, Party, Scene, as_list, eventually, reply
+from scene import SETTINGS, SidecarTest, StubServer, eventually, http_response, list_body
 from support import MS, SECOND
 
 from loftweir import listclock
@@ -17,7 +17,7 @@
 from loftweir.http1.discovery import CallFailed, Discovery
 from loftweir.interface import Outcome
 from loftweir.net.loop import Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 
 GRACE = 750 * MS
 
@@ -70,7 +70,7 @@
         ask_within = rng.choice([2, 10, 60]) * SECOND
         self.calls = Calls(options, self, 1 << 62 if self.just_after else self.changes, ask_within, rng.random())
         if pushed:
-            self.calls.use(True, 1)
+            self.calls.apply_settings(True, 1)
         else:
             self.calls.watch(True)
 
@@ -223,7 +223,7 @@
 
     def connect(loop, address, within, until):
         yield Wait(None, 0, loop.now() + 300 * MS)
-        raise NotUp(Outcome.CONNECT_FAILED)
+        raise ConnectError(Outcome.CONNECT_FAILED)
 
     monkeypatch.setattr("loftweir.http1.discovery.connect", connect)
     clock, told = Clock(), []
@@ -239,14 +239,14 @@
     assert clock.now() - caller.owed_since > 9 * SECOND
 
 
-class FailingDiscovery(Scene):
+class FailingDiscovery(SidecarTest):
     """The real program: its calls fail in one way or another while a provider begins to drain. By the settings the
     balancer may be far from asking."""
 
     operator = '[log]\nlevel = "debug"\nrepeat_every = "0s"\n'
 
     def begins(self):
-        self.start(lambda head, body: reply(200, b"0"), lambda head, body: reply(200, b"1"))
+        self.start(lambda head, body: http_response(200, b"0"), lambda head, body: http_response(200, b"1"))
         self.assertTrue(eventually(lambda: self.watched(self.catalog.seen)), self.log())
         self.config["settings"] = SETTINGS | {"safety": SETTINGS["safety"] | {"askWithin": 60 * SECOND}}
         self.reload(json.dumps(self.config))
@@ -274,8 +274,8 @@
             if len(calls) == 1:
                 return answer(gate)
             if len(calls) == 2:
-                return reply(503)
-            return reply(200, as_list(2 + len(calls), [self.entries[0] | {"status": "leaving"}], False))
+                return http_response(503)
+            return http_response(200, list_body(2 + len(calls), [self.entries[0] | {"status": "leaving"}], False))
 
         self.catalog.answer = catalog
         self.catalog.change()  # the watch that stands is answered, and the next one falls silent
@@ -287,9 +287,9 @@
         settings = SETTINGS | {"balancers": balancers}
         gate, calls = threading.Event(), []
         self.addCleanup(gate.set)
-        silent = Party(lambda head, _: calls.append(time.monotonic()) or gate.wait(30) and b"")
+        silent = StubServer(lambda head, _: calls.append(time.monotonic()) or gate.wait(30) and b"")
         self.addCleanup(silent.close)
-        self.start(lambda head, body: reply(200, b"0"))
+        self.start(lambda head, body: http_response(200, b"0"))
         self.config |= {"discovery": silent.address, "settings": settings}
         if reloaded:
             self.reload(json.dumps(self.config))
@@ -321,7 +321,7 @@
             calls.append(time.monotonic())
             late = 5 if len(calls) == 1 else 30
             gate.wait(late)
-            return reply(200, as_list(50, [self.entries[0] | {"status": "leaving"}], False))
+            return http_response(200, list_body(50, [self.entries[0] | {"status": "leaving"}], False))
 
         self.catalog.answer = catalog
         self.catalog.change()
@@ -338,14 +338,14 @@
         def catalog(head, _):
             calls.append(head.split()[1])
             if len(calls) == 1:
-                return reply(503)  # the watch that stands
+                return http_response(503)  # the watch that stands
             if len(calls) == 2:
                 gate.wait(2.2)
-                return reply(200, as_list(10, [], False))
+                return http_response(200, list_body(10, [], False))
             if "wait_ms=0" in head:
                 gate.wait(30)
                 return b""
-            return reply(200, as_list(11, [self.entries[0] | {"status": "leaving"}], False))
+            return http_response(200, list_body(11, [self.entries[0] | {"status": "leaving"}], False))
 
         self.catalog.answer = catalog
         self.catalog.change()
@@ -365,7 +365,7 @@
             if len(calls) == 1:
                 time.sleep(0.3)  # held for longer than calls are apart
                 answered_at.append(time.monotonic())
-            return reply(503) if len(calls) == 2 else reply(200, as_list(9 + len(calls), [], False))
+            return http_response(503) if len(calls) == 2 else http_response(200, list_body(9 + len(calls), [], False))
 
         self.catalog.answer = catalog
         self.catalog.change()
@@ -377,7 +377,7 @@
 
     def test_an_answer_that_trickles(self):
         def trickle(gate):
-            body = as_list(1, self.entries, True)
+            body = list_body(1, self.entries, True)
             yield f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n".encode()
             for at in range(len(body)):
                 yield body[at : at + 1]
@@ -410,4 +410,4 @@
         self.fails_and_recovers(lambda: self.catalog.fail(True), lambda: self.catalog.fail(False))
 
     def test_a_discovery_that_refuses_and_comes_back(self):
-        self.fails_and_recovers(lambda: self.catalog.close(), lambda: self.catalog.come_back())
+        self.fails_and_recovers(lambda: self.catalog.close(), lambda: self.catalog.restart())
--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -10,16 +10,29 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from scene import ONCE, SECOND, SETTINGS, Party, Scene, address_of, as_list, entry, eventually, held, ok, reply
+from scene import (
+    ONCE,
+    SECOND,
+    SETTINGS,
+    SidecarTest,
+    StubServer,
+    address_of,
+    answer_after,
+    entry,
+    eventually,
+    http_response,
+    list_body,
+    ok,
+)
 from support import settings
 from test_list_clock import Clock
 
 from loftweir.config.model import Options
-from loftweir.http1.back import Back, Pool
-from loftweir.http1.discovery import Answer, Discovery
+from loftweir.http1.back import Backend, Pool
+from loftweir.http1.discovery import Discovery, ListResponse
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
 from loftweir.listclock import TOLD
-from loftweir.net.loop import MS, READABLE, TURN_LASTS, Loop, Wait
+from loftweir.net.loop import MAX_TURN_TIME, MS, READABLE, Loop, Wait
 
 
 class Crossed(Discovery):
@@ -42,7 +55,7 @@
         kind = UpdateKind.FULL if whole else UpdateKind.CHANGES
         yield Wait(None, 0, self.loop.now() + (200 if whole else 50) * MS)
         member = Endpoint("s0", "a", "m", 0, Lifecycle.READY, 1.0, 0)
-        return Answer(MembershipUpdate(kind, (member,), version), {"s0": "here"}, True, self.loop.now())
+        return ListResponse(MembershipUpdate(kind, (member,), version), {"s0": "here"}, True, self.loop.now())
 
 
 @pytest.mark.parametrize("fetched, watched, told", [(41, 42, [42]), (42, 42, [42]), (43, 42, [42, 43])])
@@ -56,13 +69,13 @@
     return listed | {"status": "leaving"}
 
 
-class Listed(Scene):
+class Listed(SidecarTest):
     """Two servers, each answering its number, and a watch that stands at version 41."""
 
     operator = '[log]\nlevel = "debug"\nrepeat_every = "0s"\n'
 
     def setUp(self):
-        self.start(lambda head, body: reply(200, b"0"), lambda head, body: reply(200, b"1"))
+        self.start(lambda head, body: http_response(200, b"0"), lambda head, body: http_response(200, b"1"))
         self.gate = threading.Event()
         self.addCleanup(self.gate.set)
         with self.catalog.news:
@@ -71,12 +84,12 @@
         self.assertTrue(eventually(lambda: any("after=41&wait" in head for head, *_ in self.catalog.seen)), self.log())
 
     def party(self, answer):
-        party = Party(answer)
+        party = StubServer(answer)
         self.addCleanup(party.close)
         return party
 
     def silent(self):
-        return self.party(held(self.gate))
+        return self.party(answer_after(self.gate))
 
     def moves_to(self, party):
         before = len(self.logged("reload.done"))
@@ -105,8 +118,8 @@
         def catalog(head, body):
             if len(new.seen) == 1:
                 changed.wait(10)
-                return reply(200, as_list(5, self.entries, True))
-            return held(self.gate)(head, body)
+                return http_response(200, list_body(5, self.entries, True))
+            return answer_after(self.gate)(head, body)
 
         new = self.party(catalog)
         self.moves_to(new)
@@ -117,7 +130,7 @@
         self.nothing_goes_to_the_first()
 
     def test_a_new_address_that_failed_first_is_asked_for_its_whole_list(self):
-        new = self.party(lambda head, body: reply(503))
+        new = self.party(lambda head, body: http_response(503))
         self.moves_to(new)
         self.assertTrue(eventually(lambda: len(new.seen) > 1), self.log())
         self.assertNotIn("after=", new.seen[1][0], "versions of the address left mean nothing here")
@@ -125,7 +138,9 @@
     def test_a_change_on_the_old_watch_counts_after_the_address_was_left_and_come_back_to(self):
         """The new call there is held until the old watch has told the change."""
         catalog = self.catalog.answer
-        self.catalog.answer = lambda head, body: catalog(head, body) if "after" in head else held(self.gate)(head, body)
+        self.catalog.answer = lambda head, body: (
+            catalog(head, body) if "after" in head else answer_after(self.gate)(head, body)
+        )
         self.moves_to(self.silent())
         calls = len(self.catalog.seen)
         self.moves_to(self.catalog)
@@ -145,7 +160,7 @@
     def test_a_change_that_is_there_with_the_signal_counts(self):
         new = self.silent()
         self.config["discovery"] = new.address
-        with self.held_still():
+        with self.paused():
             self.catalog.change(leaving(self.entries[0]))
             time.sleep(0.1)  # it is written while the program is held, so before the signal is seen
             self.reload(json.dumps(self.config))
@@ -156,7 +171,7 @@
         self.catalog.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         moved = [leaving(self.entries[0]), self.entries[1]]
-        self.moves_to(self.party(lambda head, body: reply(200, as_list(2, moved, True))))
+        self.moves_to(self.party(lambda head, body: http_response(200, list_body(2, moved, True))))
         self.assertTrue(eventually(lambda: self.told("full"), 1), self.log())
         self.nothing_goes_to_the_first()
 
@@ -166,12 +181,12 @@
         self.catalog.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         self.catalog.index, self.catalog.entries = 3, [leaving(self.entries[0]), self.entries[1]]
-        self.catalog.come_back()
+        self.catalog.restart()
         self.assertTrue(eventually(lambda: self.told("full"), TOLD / SECOND), self.log())
         self.nothing_goes_to_the_first()
 
 
-class AttemptTest(Scene):
+class AttemptTest(SidecarTest):
     """A server is told as leaving while an attempt on it is under way. Between the look for a resting connection and
     the first byte written on it the program does nothing else: there is no crossing to force."""
 
@@ -180,7 +195,7 @@
         self.addCleanup(full.close)
         waiting = [socket.create_connection(full.getsockname())]
         self.addCleanup(waiting[0].close)
-        other = Party(lambda head, body: reply(200, b"other"))
+        other = StubServer(lambda head, body: http_response(200, b"other"))
         self.addCleanup(other.close)
         only = entry("s0", address_of(full))
         allowed = SETTINGS["allowed"] | {"connectTimeout": 5 * SECOND}
@@ -214,7 +229,7 @@
 
     def test_a_request_half_written_is_finished_and_sent_once(self):
         with socket.create_server(("127.0.0.1", 0)) as slow:
-            other = Party(ok)
+            other = StubServer(ok)
             self.addCleanup(other.close)
             only = entry("s0", address_of(slow))
             self.start(known=[only], settings=SETTINGS)
@@ -235,7 +250,7 @@
             size = len(rest)
             while size < len(body):
                 size += len(sock.recv(1 << 20))
-            sock.sendall(reply(200, b"whole"))
+            sock.sendall(http_response(200, b"whole"))
             thread.join(5)
             self.assertEqual(found and found[0][:2], (200, b"whole"), self.log())
             self.assertEqual(other.seen, [])
@@ -244,7 +259,7 @@
 # ---- a process that is behind, and long lists ---------------------------------------------------------
 
 
-@pytest.mark.parametrize("lane", ["due", "fresh"])
+@pytest.mark.parametrize("lane", ["runnable", "new_work"])
 def test_a_list_that_is_there_goes_before_the_requests_that_wait(lane):
     """The requests that wait to be decided are begun once the list is told, however slow each of them is."""
     loop, begun, told = Loop(), [], []
@@ -259,8 +274,8 @@
 
         def request():
             if not begun:
-                connection.send(reply(200, as_list(1, [entry("s0", "127.0.0.1:1", status="leaving")], True)))
-            begun.append(time.sleep(TURN_LASTS / SECOND))
+                connection.send(http_response(200, list_body(1, [entry("s0", "127.0.0.1:1", status="leaving")], True)))
+            begun.append(time.sleep(MAX_TURN_TIME / SECOND))
             loop.stopped = loop.stopped or len(begun) == 64
 
         getattr(loop, lane).extend([request] * 64)
@@ -284,10 +299,10 @@
         update = MembershipUpdate(UpdateKind.FULL, endpoints, 1)
         spent = []
         for _ in range(3):
-            back = Back(Loop(), settings(), Options(), 8, 1 << 20)
+            back = Backend(Loop(), settings(), Options(), 8, 1 << 20)
             began = time.process_time_ns()
-            back.listed(update, addresses)
-            back.listed(update, addresses)
+            back.update_list(update, addresses)
+            back.update_list(update, addresses)
             spent.append(time.process_time_ns() - began)
         return min(spent)
 
@@ -295,12 +310,12 @@
 
 
 def test_of_two_entries_for_one_server_in_one_list_the_later_one_holds():
-    back = Back(Loop(), settings(), Options(), 8, 1 << 20)
+    back = Backend(Loop(), settings(), Options(), 8, 1 << 20)
     endpoints, addresses = providers(1)
     left = replace(endpoints[0], lifecycle=Lifecycle.DRAINING)
-    back.listed(MembershipUpdate(UpdateKind.CHANGES, (*endpoints, left), 2), addresses)
+    back.update_list(MembershipUpdate(UpdateKind.CHANGES, (*endpoints, left), 2), addresses)
     assert not back.pool.addresses
-    back.listed(MembershipUpdate(UpdateKind.CHANGES, (left, *endpoints), 3), addresses)
+    back.update_list(MembershipUpdate(UpdateKind.CHANGES, (left, *endpoints), 3), addresses)
     assert back.pool.addresses == addresses
 
 
@@ -310,8 +325,8 @@
     for name, number in moves:
         if number:
             whole = {n: a for n, a in whole.items() if a != str(number) and n != name} | {name: str(number)}
-            pool.moved(name, str(number))
+            pool.set_address(name, str(number))
         else:
             whole.pop(name, None)
-            pool.forget(name)
-        assert pool.addresses == whole and pool.names == {a: n for n, a in whole.items()}
+            pool.remove_provider(name)
+        assert pool.addresses == whole and pool.names_by_address == {a: n for n, a in whole.items()}
--- a/tests/test_list_crowd.py
+++ b/tests/test_list_crowd.py
@@ -113,7 +113,7 @@
 def test_a_failure_says_whether_a_late_answer_may_still_come():
     updates = []
     sidecar = Watching(Clock(), Counted(2 * SECOND, MS, 3 * SECOND, []), 1, callers=32)
-    sidecar.told = lambda update, _: updates.append((update.kind, update.response_pending))
+    sidecar.on_update = lambda update, _: updates.append((update.kind, update.response_pending))
     sidecar.watch(True)
     sidecar.loop.run(1500 * MS)
     assert updates == [(UpdateKind.FAILED, True)]
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -15,7 +15,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from scene import ONCE, Scene, eventually, ok
+from scene import ONCE, SidecarTest, eventually, ok
 
 from loftweir.telemetry import catalogue
 from loftweir.telemetry.access import MODES, wanted
@@ -224,7 +224,7 @@
 # ---- on the real program ----------------------------------------------------------------------------
 
 
-class StuckReaderTest(Scene):
+class StuckReaderTest(SidecarTest):
     operator = '[log]\naccess = "all"\nkeep = "2KiB"\n'
 
     def begin(self):
@@ -278,7 +278,7 @@
         self.assertEqual(self.program.wait(10), 0)
 
 
-class ReloadTest(Scene):
+class ReloadTest(SidecarTest):
     operator = '[limits]\nbody = "2KiB"\n[log]\nrepeat_every = "0s"\n'
 
     def traffic(self):
@@ -353,7 +353,7 @@
         self.assertEqual(self.status_of_3_kib(), 200)
 
 
-class AccessTest(Scene):
+class AccessTest(SidecarTest):
     operator = '[log]\naccess = "all"\nformat = "logfmt"\n'
 
     def records(self):
@@ -368,7 +368,7 @@
         self.assertEqual((record["level"], record["how"]), ("info", "served"))
         self.assertNotIn("stop.begun", [parse(line)["event"] for line in self.log().splitlines()])
         bad = b"GET /api HTTP/1.1\r\nHost: x\r\nReq-Kind: status-read\r\nReq-Id: a\x1b[2J\x85\xff\r\n\r\n"
-        self.assertTrue(self.raw(bad).startswith(b"HTTP/1.1 400 "))
+        self.assertTrue(self.send_raw(bad).startswith(b"HTTP/1.1 400 "))
 
     def test_the_line_has_each_call_and_the_phases(self):
         self.operator = '[log]\naccess = "all"\n'
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -8,7 +8,21 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from scene import KEYED, ONCE, READ, SECOND, SETTINGS, Scene, address_of, entry, eventually, held, listener, ok, reply
+from scene import (
+    KEYED,
+    ONCE,
+    READ,
+    SECOND,
+    SETTINGS,
+    SidecarTest,
+    address_of,
+    answer_after,
+    entry,
+    eventually,
+    http_response,
+    listener,
+    ok,
+)
 
 MIB = 1024 * 1024
 HEAD = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: %s\r\nReq-Kind: apply-submit\r\n"
@@ -18,7 +32,7 @@
     return b"".join(b"%x;ext=1\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\nTrailer: x\r\n\r\n"
 
 
-class LongTest(Scene):
+class LongTest(SidecarTest):
     def small(self, *answers, memory_mb=48):
         patient = SETTINGS | {"profiles": [p | {"hardLimit": 30 * SECOND} for p in SETTINGS["profiles"]]}
         self.start(*answers, limits={"sockets": 256, "memory_mb": memory_mb}, settings=patient)
@@ -36,7 +50,7 @@
     def test_more_long_answers_than_memory_holds_are_all_passed_on(self):
         """To clients that read slowly, beside small requests: back-pressure reaches the providers."""
         answer = os.urandom(MIB) * 16
-        self.small(lambda head, body: reply(200, answer if body == b"long" else b"small"))
+        self.small(lambda head, body: http_response(200, answer if body == b"long" else b"small"))
         with ThreadPoolExecutor(12) as pool:
             long = [pool.submit(self.invoke, ONCE, 20000, "/api", b"long") for _ in range(8)]
             small = [pool.submit(self.invoke, ONCE, 20000, "/api", b"s") for _ in range(20)]
@@ -67,7 +81,7 @@
     def test_a_long_answer_that_breaks_is_cut_so_that_the_client_can_tell_and_is_not_tried_again(self):
         whole = b"y" * 300000
         framings = {
-            "length": reply(200, whole)[:-9],
+            "length": http_response(200, whole)[:-9],
             "chunked": b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(whole, whole)[:-400000],
         }
         for name, data in framings.items():
@@ -98,11 +112,11 @@
         body = os.urandom(200000)
         chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
         answers = [
-            (reply(200, body), True),
+            (http_response(200, body), True),
             (chunked + chunks(body[:70000], body[70000:]), True),
             (chunked + b"".join(b"%x\r\n%s\r\n" % (1, body[n : n + 1]) for n in range(5000)) + b"0\r\n\r\n", True),
             (b"HTTP/1.1 200 X\r\n\r\n" + body, False),
-            (b"HTTP/1.1 100 Continue\r\n\r\n" + reply(200, body), True),
+            (b"HTTP/1.1 100 Continue\r\n\r\n" + http_response(200, body), True),
         ]
         self.start(ok)
         for data, stays in answers:
@@ -115,7 +129,7 @@
             self.providers[0].answer = answer
             expected = body[:5000] if data.count(b"\r\n1\r\n") > 1000 else body
             self.assertEqual(self.invoke()[:2], (200, expected))
-            old = self.raw(f"GET /api HTTP/1.0\r\nReq-Id: {len(data)}\r\nReq-Kind: status-read\r\n\r\n".encode())
+            old = self.send_raw(f"GET /api HTTP/1.0\r\nReq-Id: {len(data)}\r\nReq-Kind: status-read\r\n\r\n".encode())
             self.assertEqual(old.partition(b"\r\n\r\n")[2], expected)
 
     def test_long_requests_of_every_framing_reach_the_provider_whole(self):
@@ -124,9 +138,11 @@
         for headers in ({}, {"Transfer-Encoding": "chunked"}, {"Expect": "100-continue"}):
             headers |= {"Req-Id": os.urandom(4).hex(), "Req-Kind": ONCE}
             sent = iter([body[:MIB], body[MIB:]]) if "Transfer-Encoding" in headers else body
-            self.assertEqual(self.ask("POST", "/api", headers, sent)[:2], (200, b"served " + body))
+            self.assertEqual(self.send_request("POST", "/api", headers, sent)[:2], (200, b"served " + body))
         self.assertEqual([len(b) for _, b, _ in self.providers[0].seen], [len(body)] * 3)
-        self.assertEqual(self.ask("GET", "http://any.host/api?q=1", {"Req-Id": "z", "Req-Kind": "status-read"})[0], 200)
+        self.assertEqual(
+            self.send_request("GET", "http://any.host/api?q=1", {"Req-Id": "z", "Req-Kind": "status-read"})[0], 200
+        )
         self.assertTrue(self.providers[0].seen[-1][0].startswith("GET /api?q=1 "))
 
     def test_one_that_was_declined_is_sent_on_whole_a_second_time(self):
@@ -135,7 +151,7 @@
 
         def decline_once(head, body):
             first.append(body)
-            return reply(503, b"", "Srv-Declined: 1") if len(first) == 1 else ok(head, body)
+            return http_response(503, b"", "Srv-Declined: 1") if len(first) == 1 else ok(head, body)
 
         for party in self.providers:
             party.answer = decline_once
@@ -168,7 +184,7 @@
     def test_with_no_room_long_bodies_are_rejected_at_once_or_wait_and_small_ones_are_served(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        waits = held(gate)
+        waits = answer_after(gate)
         self.small(lambda head, body: (waits if len(body) > MIB else ok)(head, body[:9]), memory_mb=16)
         with ThreadPoolExecutor(8) as pool:
             first = pool.submit(self.invoke, ONCE, 20000, "/api", b"x" * 2 * MIB)
@@ -186,7 +202,7 @@
         body = os.urandom(MIB) * 12
 
         def count(head, sent):
-            return reply(200, b"%d" % len(sent) if sent != body else b"whole")
+            return http_response(200, b"%d" % len(sent) if sent != body else b"whole")
 
         self.small(count, memory_mb=40)
         with ThreadPoolExecutor(6) as pool:
@@ -226,7 +242,7 @@
             address = address_of(gone)
         self.small(ok, memory_mb=16)
         self.catalog.change(entry("gone", address))
-        self.list_is_read()
+        self.wait_until_list_read()
         for _ in range(4):
             self.assertEqual(self.invoke(ONCE, body=b"x" * 5 * MIB)[0], 200)
 
@@ -247,7 +263,7 @@
     unittest.main()
 
 
-class LittleRoomTest(Scene):
+class LittleRoomTest(SidecarTest):
     """Room for 1.4 MB of long answers at a time."""
 
     operator = '[limits]\nanswers_of_memory = "1%"\n'
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -9,8 +9,18 @@
 from hypothesis import strategies as st
 
 from loftweir.core.overload import GAIN, INTERVAL, MOST, TARGET, Overload
-from loftweir.net.loop import DUE_A_ROUND, FRESH_A_ROUND, MS, READABLE, SWEEP_AT, WOKEN, WRITABLE, Loop, Wait
-from loftweir.net.stream import waited
+from loftweir.net.loop import (
+    MS,
+    NEW_STEPS_PER_ROUND,
+    READABLE,
+    STEPS_PER_ROUND,
+    SWEEP_THRESHOLD,
+    WOKEN,
+    WRITABLE,
+    Loop,
+    Wait,
+)
+from loftweir.net.stream import unread_for
 
 
 def run(loop, *coroutines, seconds=5):
@@ -104,10 +114,10 @@
     def once():
         yield Wait(None, 0, loop.now() + 10_000 * MS)
 
-    for _ in range(20 * SWEEP_AT):
+    for _ in range(20 * SWEEP_THRESHOLD):
         loop.start(once()).cancel()
     run(loop)
-    assert len(loop.timers) < 3 * SWEEP_AT and loop.dead_timers < 3 * SWEEP_AT
+    assert len(loop.timers) < 3 * SWEEP_THRESHOLD and loop.dead_timers < 3 * SWEEP_THRESHOLD
 
 
 def test_a_descriptor_stays_registered_and_is_forgotten_at_its_close(pair):
@@ -166,16 +176,18 @@
 
 def test_what_is_under_way_goes_before_new_work():
     loop, order = Loop(), []
-    for number in range(3 * FRESH_A_ROUND):
-        loop.fresh.append(lambda n=number: (order.append("new"), loop.due.append(lambda: order.append("answer"))))
+    for number in range(3 * NEW_STEPS_PER_ROUND):
+        loop.new_work.append(
+            lambda n=number: (order.append("new"), loop.runnable.append(lambda: order.append("answer")))
+        )
 
     def nothing():
-        while len(order) < 6 * FRESH_A_ROUND:
+        while len(order) < 6 * NEW_STEPS_PER_ROUND:
             yield Wait(None, 0, loop.now() + MS)
 
     run(loop, nothing())
-    assert order[: FRESH_A_ROUND + 1] == ["new"] * FRESH_A_ROUND + ["answer"]
-    assert order.index("answer") <= FRESH_A_ROUND and order.count("answer") == 3 * FRESH_A_ROUND
+    assert order[: NEW_STEPS_PER_ROUND + 1] == ["new"] * NEW_STEPS_PER_ROUND + ["answer"]
+    assert order.index("answer") <= NEW_STEPS_PER_ROUND and order.count("answer") == 3 * NEW_STEPS_PER_ROUND
 
 
 STEP = 25 * MS  # of 1 ms of processor time, with a twenty-fifth of a core
@@ -196,7 +208,7 @@
     return step
 
 
-@pytest.mark.parametrize("lane", ["due", "fresh"])
+@pytest.mark.parametrize("lane", ["runnable", "new_work"])
 def test_what_is_urgent_is_read_though_many_slow_steps_wait(pair, slow, lane):
     """Counted in steps alone, a turn went on for 0.8 s of new work, and for 6.4 s of what is under way."""
     near, far = pair
@@ -222,16 +234,16 @@
 
     def under_way():
         steps.append(slow())
-        loop.due.append(under_way)
+        loop.runnable.append(under_way)
 
     def fresh():
         new.append(slow())
-        loop.stopped = len(new) == 3 * FRESH_A_ROUND
+        loop.stopped = len(new) == 3 * NEW_STEPS_PER_ROUND
 
-    loop.due.extend([under_way] * 8)
-    loop.fresh.extend([fresh] * 3 * FRESH_A_ROUND)
+    loop.runnable.extend([under_way] * 8)
+    loop.new_work.extend([fresh] * 3 * NEW_STEPS_PER_ROUND)
     loop.run()
-    assert len(steps) <= 3 * DUE_A_ROUND
+    assert len(steps) <= 3 * STEPS_PER_ROUND
 
 
 def test_the_age_of_what_waits_in_a_socket_is_known():
@@ -240,7 +252,7 @@
     accepted, _ = server.accept()
     client.send(b"x")
     time.sleep(0.25)
-    assert 200 * MS <= waited(accepted) <= 2000 * MS
+    assert 200 * MS <= unread_for(accepted) <= 2000 * MS
     for sock in (server, client, accepted):
         sock.close()
 
@@ -266,11 +278,11 @@
     for _ in range(300):
         now += 10 * MS
         overload.read(now, 3 * TARGET)
-    assert overload.part == MOST, "within three seconds nearly all"
+    assert overload.reject_share == MOST, "within three seconds nearly all"
     for _ in range(200):
         now += 10 * MS
         overload.read(now, 0)
-    assert overload.part == 0, "and within two none any more"
+    assert overload.reject_share == 0, "and within two none any more"
 
 
 def test_silence_ends_it_too():
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 
 from cold_scene import BEGAN, CLASSES, SAFETY
-from scene import Party, Scene, address_of, entry, listener, ok
+from scene import SidecarTest, StubServer, address_of, entry, listener, ok
 
 from loftweir import interface as api
 from loftweir.balance import Balancer
@@ -116,7 +116,7 @@
         self.assert_cheap(1, True, 1000)
 
 
-class ManyProviders(Party):
+class ManyProviders(StubServer):
     """Many addresses that one thread accepts connections at; `seen_by` names those that requests came to."""
 
     def __init__(self, count):
@@ -157,25 +157,25 @@
             sock.close()
 
 
-class ProcessTest(Scene):
+class ProcessTest(SidecarTest):
     def test_a_list_of_1024_servers_is_served_and_a_change_of_it_followed(self):
         many = ManyProviders(SERVERS)
         self.addCleanup(many.close)
         entries = [entry(f"m{number}", address) for number, address in enumerate(many.addresses)]
         self.start(known=entries)
-        self.list_is_read()
+        self.wait_until_list_read()
         self.invoke_all(256)
         self.assertGreater(len(many.seen_by()), 200, "they are spread over the servers of the list")
 
         left = {found["address"] for found in entries[:3]}
         self.catalog.change(*(found | {"status": "leaving"} for found in entries[3:]))
-        self.list_is_read()
+        self.wait_until_list_read()
         many.seen.clear()
         self.invoke_all(30)
         self.assertEqual(many.seen_by(), left)
 
         self.catalog.change(*entries[3:])
-        self.list_is_read()
+        self.wait_until_list_read()
         many.seen.clear()
         self.invoke_all(256)
         self.assertGreater(len(many.seen_by()), 200)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -11,7 +11,18 @@
 import unittest
 from pathlib import Path
 
-from scene import ROOT, SETTINGS, Catalog, Party, address_of, as_list, entry, eventually, listener, reply
+from scene import (
+    ROOT,
+    SETTINGS,
+    StubDiscovery,
+    StubServer,
+    address_of,
+    entry,
+    eventually,
+    http_response,
+    list_body,
+    listener,
+)
 
 from loftweir.state.snapshot import Entry, Snapshot, read, written
 
@@ -19,16 +30,16 @@
 
 
 def said(name):
-    return lambda head, body: reply(200, name.encode())
+    return lambda head, body: http_response(200, name.encode())
 
 
 class Fleet(unittest.TestCase):
     """Sidecars, each with a folder of its own, beside providers and discovery; all but `far` in the sidecars' zone."""
 
     def setUp(self):
-        self.catalog = Catalog()
-        self.old, self.new, self.leaving = Party(said("old")), Party(said("new")), Party(said("leaving"))
-        self.far = Party(said("far"))
+        self.catalog = StubDiscovery()
+        self.old, self.new, self.leaving = StubServer(said("old")), StubServer(said("new")), StubServer(said("leaving"))
+        self.far = StubServer(said("far"))
         for party in (self.catalog, self.old, self.new, self.leaving, self.far):
             self.addCleanup(party.close)
         self.catalog.entries = [entry("s-old", self.old.address)]
@@ -44,7 +55,7 @@
             "discovery": self.catalog.address,
             "seed": f"{number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(as_list(0, self.catalog.entries, True)),  # what the platform gives, now and after
+            "known": json.loads(list_body(0, self.catalog.entries, True)),  # what the platform gives, now and after
             "settings": SETTINGS,
         }
 
@@ -163,7 +174,7 @@
 
     def test_a_snapshot_older_than_the_given_list_is_not_sent_by(self):
         config = self.config(0)
-        config["known"] = json.loads(as_list(5, self.catalog.entries, True))
+        config["known"] = json.loads(list_body(5, self.catalog.entries, True))
         entries = [Entry("s-new", self.new.address, "a", "m", 0, "ready", 1.0, 0)]
         self.started_beside(written(Snapshot(2, 3, time.time_ns(), entries)), config)
         self.assertEqual([t["choice"] for t in self.logged(0, "state.taken")], ["stale"])
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from support import SECOND, attempts, changes, endpoint, full, make, request
 
-from loftweir.core.life import TABLE, TRAITS, Life, State, Step
+from loftweir.core.life import TABLE, TRAITS, LifecycleEvent, SidecarLifecycle, State
 from loftweir.interface import Lifecycle, MembershipUpdate, UpdateKind
 from loftweir.net.loop import Loop
 from loftweir.operations.calls import ARGUMENTS, LONGEST, Call, No, no, parse
@@ -129,24 +129,27 @@
 
 
 def test_the_life_leads_back_from_a_drain_and_never_from_its_end():
-    life, seen = Life(), []
+    life, seen = SidecarLifecycle(), []
     life.changed = seen.append
-    assert [life.step(s) for s in (Step.DRAIN, Step.DRAIN, Step.UNDRAIN, Step.UNDRAIN)] == [True, False, True, False]
+    assert [
+        life.step(s)
+        for s in (LifecycleEvent.DRAIN, LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.UNDRAIN)
+    ] == [True, False, True, False]
     assert seen == [State.SERVING, State.LEAVING] and life.state is State.SERVING
-    for path in ((), (Step.DRAIN,), (Step.DRAIN, Step.EMPTIED)):
-        life = Life()
-        for step in (*path, Step.END):
+    for path in ((), (LifecycleEvent.DRAIN,), (LifecycleEvent.DRAIN, LifecycleEvent.EMPTIED)):
+        life = SidecarLifecycle()
+        for step in (*path, LifecycleEvent.END):
             assert life.step(step)
-        for step in (Step.DRAIN, Step.UNDRAIN, Step.EMPTIED, Step.END):
+        for step in (LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.EMPTIED, LifecycleEvent.END):
             assert not life.step(step) and life.ends
-        assert life.step(Step.SHUT) and not life.traits.healthy and life.traits.last
+        assert life.step(LifecycleEvent.SHUT) and not life.traits.healthy and life.traits.last
     assert set(TRAITS) == set(State) and {s for s, _ in TABLE} | set(TABLE.values()) == set(State)
     assert [s for s in State if TRAITS[s].healthy] == [State.SERVING]
 
 
 def test_a_word_to_the_fleet_by_a_clock_that_is_ahead_leaves_no_provider_cold_for_as_long():
     loop, told = Loop(), []
-    handler = CommandHandler(loop, Life(), lambda update, addresses: told.append(update), lambda: True)
+    handler = CommandHandler(loop, SidecarLifecycle(), lambda update, addresses: told.append(update), lambda: True)
     handler.listed(full(endpoint("s0")), {"s0": "a:1"})
     for _ in range(2):
         handler.fleet_said({"s0": Said(loop.now() + 3600 * SECOND, False)}, True)
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -9,7 +9,7 @@
 
 import msgspec
 from partner_scene import Site, Toy, ask, mark, row, services
-from scene import ROOT, Party, entry, ok, reply
+from scene import ROOT, StubServer, entry, http_response, ok
 
 HOLD, GONE = 3, 1.5
 SLACK = 3  # of a loaded machine
@@ -48,7 +48,7 @@
         return toy
 
     def test_a_table_is_taken_by_one_seen_by_all_and_used_by_its_terms(self):
-        gate = Party(ok)
+        gate = StubServer(ok)
         self.addCleanup(gate.close)
         mine = row("orders@shop", [gate.address])
         bergen, trondheim = self.toy("bergen", mine, row("b@shop")), self.toy("trondheim")
@@ -136,10 +136,13 @@
         # A table with a fault anywhere is refused whole, with the place; the last good one is used on.
         for change, place in (
             (cut, "broken: "),
-            (lambda body: reply(200, body[:-9]), "truncated"),
-            (lambda body: reply(200, body.replace(b'"valid_for":6', b'"valid_for":-6')), "routes.0.valid_for: "),
-            (lambda body: reply(200, b"[" * 20_000), "at most 16384 bytes"),
-            (lambda body: reply(200, body.replace(b'"sum":"', b'"sum":"0')), "sum"),
+            (lambda body: http_response(200, body[:-9]), "truncated"),
+            (
+                lambda body: http_response(200, body.replace(b'"valid_for":6', b'"valid_for":-6')),
+                "routes.0.valid_for: ",
+            ),
+            (lambda body: http_response(200, b"[" * 20_000), "at most 16384 bytes"),
+            (lambda body: http_response(200, body.replace(b'"sum":"', b'"sum":"0')), "sum"),
         ):
             bergen.change = change
             bergen.put(*mine, row("c@shop"))
@@ -327,13 +330,13 @@
 
 
 def trickled(body):
-    for byte in reply(200, body):
+    for byte in http_response(200, body):
         yield bytes([byte])
         time.sleep(0.02)
 
 
 def cut(body):
-    yield reply(200, body)[:-9]
+    yield http_response(200, body)[:-9]
     raise OSError
 
 
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -6,25 +6,37 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from scene import KEYED, ONCE, READ, Scene, address_of, entry, eventually, held, listener, ok, reply
+from scene import (
+    KEYED,
+    ONCE,
+    READ,
+    SidecarTest,
+    address_of,
+    answer_after,
+    entry,
+    eventually,
+    http_response,
+    listener,
+    ok,
+)
 
 
 def declined(head, body):
-    return reply(503, b"", "Srv-Declined: 1")
+    return http_response(503, b"", "Srv-Declined: 1")
 
 
 def silent(head, body):
     time.sleep(5)
 
 
-class ProviderTest(Scene):
+class ProviderTest(SidecarTest):
     def refusing(self, answer=ok):
         """One provider that serves and one whose port refuses."""
         with listener() as gone:
             address = address_of(gone)
         self.start(answer)
         self.catalog.change(entry("gone", address))
-        self.list_is_read()
+        self.wait_until_list_read()
 
     def test_what_never_ran_is_sent_elsewhere_and_served(self):
         self.refusing()
@@ -40,7 +52,7 @@
                 sock.connect_ex(full.getsockname())
             self.start(ok)
             self.catalog.change(entry("full", address_of(full)))
-            self.list_is_read()
+            self.wait_until_list_read()
             began = time.monotonic()
             self.assertEqual([self.invoke(ONCE)[0] for _ in range(3)], [200] * 3)
             self.assertGreater(time.monotonic() - began, 0.2, "the call to it was waited for")
@@ -51,7 +63,7 @@
         self.assertTrue(self.providers[0].seen)
 
     def test_what_may_have_run_is_failed_not_repeated_and_never_a_rejection(self):
-        for answer in (lambda h, b: reply(503), lambda h, b: reply(500), lambda h, b: None):
+        for answer in (lambda h, b: http_response(503), lambda h, b: http_response(500), lambda h, b: None):
             with self.subTest(answer=answer):
                 self.start(answer, answer)
                 self.assertEqual(self.invoke(ONCE)[0], 502)
@@ -105,8 +117,8 @@
 
     def test_what_comes_behind_an_answer_is_not_the_next_ones(self):
         number = iter(range(100))
-        for behind in (reply(200, b"a second copy"), b"noise"):
-            self.start(lambda h, b, behind=behind: reply(200, b"own %d" % next(number)) + behind)
+        for behind in (http_response(200, b"a second copy"), b"noise"):
+            self.start(lambda h, b, behind=behind: http_response(200, b"own %d" % next(number)) + behind)
             answers = [self.invoke()[1] for _ in range(5)]
             self.assertEqual(len(set(answers)), 5)
             self.assertTrue(all(a.startswith(b"own ") for a in answers), answers)
@@ -125,14 +137,14 @@
 
     def test_answers_ahead_and_a_load_report_of_noise_harm_nothing(self):
         ahead = b"HTTP/1.1 102 X\r\n\r\n" * 3
-        self.start(lambda h, b: ahead + reply(200, b"x", "Srv-Load: ,,=\xff;inflight=many"))
+        self.start(lambda h, b: ahead + http_response(200, b"x", "Srv-Load: ,,=\xff;inflight=many"))
         self.assertEqual([self.invoke(ONCE)[:2] for _ in range(3)], [(200, b"x")] * 3)
         self.assertEqual({number for _, _, number in self.providers[0].seen}, {1})
 
     def test_a_connection_rests_a_moment_before_its_next_use_where_another_has(self):
         """Its provider may close it, or send more, right behind the answer."""
         gate = threading.Event()
-        self.start(held(gate))
+        self.start(answer_after(gate))
         clients = [self.client() for _ in range(2)]
         for number, client in enumerate(clients):
             client.request("GET", "/api", headers={"Req-Id": f"w{number}", "Req-Kind": READ})
@@ -146,7 +158,7 @@
     def test_a_moved_provider_is_called_at_its_new_address(self):
         self.start(ok, ok)
         self.catalog.change(entry("s1", self.providers[1].address, status="left"))
-        self.list_is_read()
+        self.wait_until_list_read()
         self.assertEqual(self.invoke()[0], 200)
         self.catalog.change(entry("s0", self.providers[1].address))
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200 and self.providers[1].seen))
@@ -187,7 +199,7 @@
         gate = threading.Event()
         self.start(ok)
         provider = self.providers[0]
-        provider.answer = held(gate)
+        provider.answer = answer_after(gate)
         clients = [self.client() for _ in range(2)]
         for number, client in enumerate(clients):
             client.request("GET", "/api", headers={"Req-Id": f"w{number}", "Req-Kind": READ})
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -3,18 +3,18 @@
 import threading
 import time
 
-from scene import SETTINGS, Scene, eventually, ok
+from scene import SETTINGS, SidecarTest, eventually, ok
 
 PUSHED = SETTINGS | {"discovery": "push"}
 
 
-class PushedTest(Scene):
+class PushedTest(SidecarTest):
     def test_the_agent_is_watched_from_the_start_and_a_drain_is_kept(self):
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
         self.assertTrue(eventually(lambda: self.catalog.seen, 5), "the agent is never called")
         self.catalog.change(self.entries[0] | {"status": "leaving"})
-        self.list_is_read()
+        self.wait_until_list_read()
         before = len(self.providers[0].seen)
         for _ in range(8):
             self.assertEqual(self.invoke()[0], 200)
@@ -47,14 +47,14 @@
         self.catalog.change(self.entries[0] | {"status": "leaving"})
         calls = len(self.catalog.seen)
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 6))
-        self.list_is_read()
+        self.wait_until_list_read()
         before = len(self.providers[0].seen)
         for _ in range(8):
             self.assertEqual(self.invoke()[0], 200)
         self.assertEqual(len(self.providers[0].seen), before, "news after the silence are not taken")
 
 
-class RestartedTest(Scene):
+class RestartedTest(SidecarTest):
     """A new process: the platform's list is older than what the agent has, which counts from the first moment."""
 
     def run_program(self, config, fault=""):
@@ -87,7 +87,7 @@
 
     def test_an_end_meanwhile_still_answers_who_waits(self):
         self.begins(30)
-        with self.held_still():
+        with self.paused():
             client = self.client()
             client.connect()
             self.terminate()
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -17,13 +17,13 @@
 from contextlib import suppress
 from pathlib import Path
 
-from scene import ROOT, SETTINGS, Catalog, Party, address_of, as_list, entry, listener, ok, reply
+from scene import ROOT, SETTINGS, StubDiscovery, StubServer, address_of, entry, http_response, list_body, listener, ok
 
 ALLOWED = 10.0  # the operators': nine in ten of the restarted are ready within it
 ASK_WITHIN = 10_000_000_000
 
 
-class Crowded(Catalog):
+class Crowded(StubDiscovery):
     """Discovery that is down until `comes_back`, and has room for few callers then."""
 
     def __init__(self, room=4, slow=0.2):
@@ -59,7 +59,7 @@
             self.asked += 1
             if self.inside >= self.room:
                 self.turned_away += 1
-                return reply(503)
+                return http_response(503)
             self.inside += 1
         time.sleep(self.slow)
         with self.gate:
@@ -72,7 +72,7 @@
 
     def setUp(self):
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.provider, self.discovery = Party(ok), Crowded()
+        self.provider, self.discovery = StubServer(ok), Crowded()
         for party in (self.provider, self.discovery):
             self.addCleanup(party.close)
         self.discovery.entries = [entry("s0", self.provider.address)]
@@ -89,7 +89,7 @@
             "discovery": self.discovery.address,
             "seed": f"{n + 1:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(as_list(0, known, True)),
+            "known": json.loads(list_body(0, known, True)),
             "settings": SETTINGS | {"safety": safety},
         }
         (own / "config.json").write_text(json.dumps(config), encoding="utf-8")
@@ -153,7 +153,7 @@
     number, down, room, slow, listed = (float(a) for a in sys.argv[1:6])
     case = Ready()
     case.folder = Path(tempfile.mkdtemp())
-    case.provider, case.discovery = Party(ok), Crowded(int(room), slow)
+    case.provider, case.discovery = StubServer(ok), Crowded(int(room), slow)
     case.discovery.entries = [entry("s0", case.provider.address)]
     times = case.ready_in(int(number), case.discovery.entries if listed else [], down, 20)
     median, ninth = times[len(times) // 2], times[int(number * 0.9) - 1] if len(times) >= number * 0.9 else None
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,20 @@
 import time
 import unittest
 
-from scene import KEYED, MS, ONCE, READ, SECOND, SETTINGS, Scene, eventually, held, ok, profile, reply
+from scene import (
+    KEYED,
+    MS,
+    ONCE,
+    READ,
+    SECOND,
+    SETTINGS,
+    SidecarTest,
+    answer_after,
+    eventually,
+    http_response,
+    ok,
+    profile,
+)
 from support import SECOND as S
 from support import attempts, changes, ended, endpoint, full, make, request, settings
 
@@ -65,13 +78,13 @@
 from pathlib import Path
 from loftweir import daemon
 read = daemon.read
-def held(*words):
+def read_slowly(*words):
     found = read(*words)
     Path("read").touch()
     while Path("hold").exists():
         time.sleep(0.01)
     return found
-daemon.read = held
+daemon.read = read_slowly
 """
 APART = "from loftweir import sidecar\nsidecar.RELOADS_APART = 60 * 10**9"
 # Python's own end takes a while: no handler of the program's is left in it.
@@ -85,7 +98,7 @@
 WITHOUT_END = "import os, sys, time\nend = time.time() + 20\nwhile time.time() < end: os.kill(int(sys.argv[1]), 1)"
 
 
-class Reloading(Scene):
+class Reloading(SidecarTest):
     def settings(self, *profiles, **allowed):
         changed = SETTINGS | {"profiles": list(profiles)} if profiles else SETTINGS
         return json.dumps(self.config | {"settings": changed | {"allowed": SETTINGS["allowed"] | allowed}})
@@ -93,7 +106,7 @@
 
 class ReloadTest(Reloading):
     def test_classes_appear_and_vanish_and_fewer_attempts_are_made(self):
-        self.start(lambda head, body: reply(503, b"", "Srv-Declined: 1"), ok)
+        self.start(lambda head, body: http_response(503, b"", "Srv-Declined: 1"), ok)
         self.assertEqual(self.invoke("grant-read")[0], 400)
         self.reload(self.settings(profile("grant-read", "repeatable"), profile(ONCE, "once"), maxAttempts=1))
         self.assertTrue(eventually(lambda: self.logged("reload.done")), self.log())
@@ -106,7 +119,7 @@
     def test_a_request_under_way_is_served_though_its_class_has_gone(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.start(held(gate))
+        self.start(answer_after(gate))
         client = self.client()
         client.request("GET", "/api", headers={"Req-Id": "r", "Req-Kind": READ})
         half = self.client()
--- a/tests/test_request_key.py
+++ b/tests/test_request_key.py
@@ -2,13 +2,13 @@
 
 from support import settings
 
-from loftweir.http1.message import Message, by_name
+from loftweir.http1.message import HttpRequest, by_name
 from loftweir.http1.request import to_invocation as taken
 
 
 def key_of(*more):
     pairs = [(b"Req-Id", b"r1"), (b"Req-Kind", b"read"), *more]
-    message = Message(b"GET", b"/api", pairs, by_name(pairs), [])
+    message = HttpRequest(b"GET", b"/api", pairs, by_name(pairs), [])
     return taken(message, settings(), False).event(0.0).key
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from scene import MS, SECOND, Party, Scene, address_of, entry, eventually, listener, ok, profile
+from scene import MS, SECOND, SidecarTest, StubServer, address_of, entry, eventually, listener, ok, profile
 from test_config import config, platform_faults
 
 from loftweir.config import platform
@@ -228,18 +228,18 @@
     assert settings is None and [fault.path for fault in faults] == [told]
 
 
-class ServedTest(Scene):
+class ServedTest(SidecarTest):
     """The whole program with settings that are unlike almaty's."""
 
     def start_with(self, settings, since_ms=0):
-        self.server = Party(ok)
+        self.server = StubServer(ok)
         self.addCleanup(self.server.close)
         self.start(settings=settings, known=[entry("s0", self.server.address, settings["zone"], since_ms=since_ms)])
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
 
     def send(self, name, client=None, method="POST", **more):
         headers = {"Req-Id": os.urandom(8).hex(), "Req-Kind": name} | {k.replace("_", "-"): v for k, v in more.items()}
-        return self.ask(method, "/api", headers, b"{}" if method == "POST" else None, client)[0]
+        return self.send_request(method, "/api", headers, b"{}" if method == "POST" else None, client)[0]
 
     def faults(self):
         return [record["path"] for record in self.logged("reload.fault")]
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import time
 
 import pytest
-from scene import MS, ONCE, READ, SETTINGS, Scene, eventually, reply
+from scene import MS, ONCE, READ, SETTINGS, SidecarTest, eventually, http_response
 from test_syscall_faults import Client
 
 CLIENTS, IDLE = 12, 16
@@ -23,17 +23,17 @@
 
 def play(reloaded):
     """One sidecar that ends under its clients; ids that reached an upstream, and the clients' answers."""
-    scene, forwarded, hanging = Scene(), [], threading.Event()
+    scene, forwarded, hanging = SidecarTest(), [], threading.Event()
 
     def answer(head, body):
         forwarded.append(head.partition("Req-Id: ")[2].split()[0])
-        return reply(200, b"x")
+        return http_response(200, b"x")
 
     def hangs(head, body):
         forwarded.append(head.partition("Req-Id: ")[2].split()[0])
         if hanging.is_set():
             time.sleep(HANGS_FOR)
-        return reply(200, b"x")
+        return http_response(200, b"x")
 
     try:
         profiles = [p | {"hardLimit": DEADLINE_MS * MS, "target": 150 * MS} for p in SETTINGS["profiles"]]
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -12,7 +12,7 @@
 
 import pytest
 from fault_shim import BEGAN, CONTROL, COUNT, Row, checked
-from scene import MS, ONCE, READ, SETTINGS, Scene, eventually, reply
+from scene import MS, ONCE, READ, SETTINGS, SidecarTest, eventually, http_response
 
 CLIENTS = 16
 DEADLINE_MS = 800
@@ -114,8 +114,8 @@
         ran.append(head.partition("Req-Id: ")[2].split()[0])
         answers.number = getattr(answers, "number", 0) + 1
         if answers.number == ANSWERS_A_CONNECTION:
-            return reply(200, b"x", "Connection: close")
-        return reply(200, b"x")
+            return http_response(200, b"x", "Connection: close")
+        return http_response(200, b"x")
 
     answer.ran = ran
     return answer
@@ -153,7 +153,7 @@
         return f"{self.injected} faults, meanwhile {dict(during)}: {self.log}"
 
 
-class Faulty(Scene):
+class Faulty(SidecarTest):
     """The real program before four upstreams, with the shim in it."""
 
     def play(self, row):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,13 +11,13 @@
 from contextlib import suppress
 from pathlib import Path
 
-from scene import ONCE, READ, SETTINGS, Scene, address_of, entry, eventually, held, listener, ok
+from scene import ONCE, READ, SETTINGS, SidecarTest, address_of, answer_after, entry, eventually, listener, ok
 
 from loftweir.operations.record import Record, read, written
 from loftweir.operations.store import NAME
 
 
-class OperatorsScene(Scene):
+class OperatorsScene(SidecarTest):
     """A door that the test holds, as the platform does, and an address for operators for each process."""
 
     left_behind = b""  # a record that is there before the first process
@@ -130,7 +130,7 @@
         self.assertEqual([self.call("DISABLE s0"), self.call("DISABLE s0")], ["OK", "OK"])
         self.assertEqual(self.served_by(), [False, True])
         self.catalog.change(entry("s0", self.providers[0].address, since_ms=5))  # whatever the list says
-        self.list_is_read()
+        self.wait_until_list_read()
         self.assertEqual(self.served_by(), [False, True])
         self.assertEqual(self.call("ENABLE s0"), "OK")
         self.assertTrue(eventually(lambda: self.served_by(10)[0], 5), "it is in use within 5 s")
@@ -149,7 +149,7 @@
         allowed = SETTINGS["allowed"] | {"connectTimeout": 3_000_000_000}
         self.open(ok, settings=SETTINGS | {"allowed": allowed})
         self.catalog.change(entry("late", address_of(slow)), entry("s0", self.providers[0].address, "b"))
-        self.list_is_read()
+        self.wait_until_list_read()
         client = self.client()
         client.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE, "Req-Deadline-Ms": "3000"})
         time.sleep(0.2)
@@ -183,7 +183,7 @@
     def test_a_drain_empties_it_and_its_end_fills_it_again(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.open(lambda head, body: held(gate)(head, body) if b"wait" in body else ok(head, body))
+        self.open(lambda head, body: answer_after(gate)(head, body) if b"wait" in body else ok(head, body))
         idle, used, busy, silent = (self.client() for _ in range(4))
         for client in (idle, used):
             self.assertEqual(self.invoke(client=client)[0], 200)
--- a/tests/test_usable.py
+++ b/tests/test_usable.py
@@ -5,16 +5,16 @@
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from scene import MS, ONCE, SETTINGS, Scene, entry, eventually, held, ok, reply
+from scene import MS, ONCE, SETTINGS, SidecarTest, answer_after, entry, eventually, http_response, ok
 
 
-class UsableTest(Scene):
+class UsableTest(SidecarTest):
     def two_zones(self, near, far=ok):
         """Provider 0 in the own zone, provider 1 in another."""
         self.start(near, far)
         address = self.providers[1].address
         self.catalog.change(entry("s1", address, status="left"), entry("far", address, "b"))
-        self.list_is_read()
+        self.wait_until_list_read()
         self.before = len(self.providers[1].seen)
 
     def far(self):
@@ -23,7 +23,7 @@
     def test_one_that_holds_a_call_past_its_aim_is_passed_over_though_it_is_the_zones_only_one(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.two_zones(held(gate))
+        self.two_zones(answer_after(gate))
         self.client().request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         time.sleep(0.7)  # the aim is 0.6 s
@@ -33,7 +33,7 @@
     def test_a_call_that_hangs_while_later_ones_are_answered_does_not_speak_for_its_provider(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.two_zones(lambda head, body: ok(head, body) if body != b"slow" else held(gate)(head, body))
+        self.two_zones(lambda head, body: ok(head, body) if body != b"slow" else answer_after(gate)(head, body))
         self.client().request("POST", "/api", b"slow", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         self.assertEqual(self.invoke(ONCE)[0], 200)
@@ -51,7 +51,7 @@
     def test_one_failure_of_a_good_provider_does_not_set_it_aside(self):
         self.start(ok, ok)
         self.assertEqual([self.invoke(ONCE)[0] for _ in range(20)], [200] * 20)
-        self.providers[0].answer = lambda head, body: reply(500)
+        self.providers[0].answer = lambda head, body: http_response(500)
         self.assertTrue(eventually(lambda: self.invoke(ONCE)[0] == 502))
         self.providers[0].answer = ok
         before = len(self.providers[0].seen)
@@ -59,7 +59,7 @@
         self.assertGreater(len(self.providers[0].seen) - before, 2)
 
     def test_one_that_fails_a_single_class_is_passed_over_for_that_class_alone(self):
-        faulty = lambda head, body: reply(500) if "apply" in head else ok(head, body)  # noqa: E731
+        faulty = lambda head, body: http_response(500) if "apply" in head else ok(head, body)  # noqa: E731
         self.start(faulty, ok)
         self.assertEqual([self.invoke()[0] for _ in range(40)], [200] * 40)
         for _ in range(16):
@@ -71,7 +71,7 @@
 
     def test_a_crowd_of_which_nothing_is_heard_any_more_is_forgotten(self):
         profiles = [p | {"target": 60 * MS} for p in SETTINGS["profiles"]]
-        full = reply(503, b"", "Srv-Declined: 1")
+        full = http_response(503, b"", "Srv-Declined: 1")
         self.start(lambda head, body: full, settings=SETTINGS | {"profiles": profiles})
         self.assertTrue(eventually(lambda: self.health() == 200))
         for _ in range(100):
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -10,12 +10,24 @@
 
 import pytest
 from discovery_scene import Calls, Clock, Counted, Unheard
-from scene import SETTINGS, Catalog, Party, Scene, address_of, as_list, entry, eventually, listener, ok, reply
+from scene import (
+    SETTINGS,
+    SidecarTest,
+    StubDiscovery,
+    StubServer,
+    address_of,
+    entry,
+    eventually,
+    http_response,
+    list_body,
+    listener,
+    ok,
+)
 from support import MS, SECOND
 
 from loftweir import listclock
 from loftweir.config.model import Options
-from loftweir.http1.discovery import Answer, Refused, Silent
+from loftweir.http1.discovery import ListResponse, Refused, Silent
 from loftweir.interface import MembershipUpdate, UpdateKind
 from loftweir.net.loop import Wait
 
@@ -68,7 +80,7 @@
     def _call(self, sock, target, until):
         now, held = self.loop.now(), int(target.partition("wait_ms=")[2] or 0) * MS
         self.asked_at.append(now)
-        answer = Answer(MembershipUpdate(UpdateKind.CHANGES, (), 1), {}, True, now)
+        answer = ListResponse(MembershipUpdate(UpdateKind.CHANGES, (), 1), {}, True, now)
         if now < 10 * SECOND or not self.rows:
             yield Wait(None, 0, now + held)
             return answer._replace(heard_at=self.loop.now())
@@ -122,7 +134,7 @@
     assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST + REFUSED_LATE_AFTER + MS
 
 
-class CrowdedCatalog(Catalog):
+class CrowdedCatalog(StubDiscovery):
     """Discovery that sets up one watch after another, refuses a call that would wait too long, and answers no call that
     waits while it is `silent`."""
 
@@ -141,7 +153,7 @@
         if now - getattr(self.watches, "answered_at", 0.0) > 0.2:
             with self.turns:
                 if self.free_at > now + self.patience:
-                    return reply(503)
+                    return http_response(503)
                 self.free_at = max(now, self.free_at) + self.new_watch
                 due = self.free_at
             time.sleep(due - now)
@@ -150,7 +162,7 @@
         return answer
 
 
-class SilentWatchesTest(Scene):
+class SilentWatchesTest(SidecarTest):
     """Four processes of the program before one crowded discovery."""
 
     SIDECARS = 4
@@ -166,7 +178,7 @@
         self.assertTrue(eventually(self.all_watch, 20), self.log())
 
     def start_parties(self):
-        self.providers = [Party(ok), Party(ok)]
+        self.providers = [StubServer(ok), StubServer(ok)]
         self.entries = [entry(f"s{n}", party.address) for n, party in enumerate(self.providers)]
         self.catalog.entries = self.entries
         for party in (self.catalog, *self.providers):
@@ -182,7 +194,7 @@
             "discovery": self.catalog.address,
             "seed": f"{SEEDS + me:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(as_list(0, self.entries, True)),
+            "known": json.loads(list_body(0, self.entries, True)),
             "settings": SETTINGS | {"balancers": self.SIDECARS, "me": me},
         }
         path.write_text(json.dumps(config), encoding="utf-8")
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from scene import KEYED, MS, SECOND, SETTINGS, Scene, entry, eventually, reply
+from scene import KEYED, MS, SECOND, SETTINGS, SidecarTest, entry, eventually, http_response
 from support import attempts, ended, endpoint, full, make, request
 
 from loftweir.interface import Fail, Outcome
@@ -54,14 +54,14 @@
         with suppress(OSError):
             while data := sock.recv(65536):
                 self.seen.append((time.monotonic(), data))
-                sock.sendall(reply(200, b"late"))
+                sock.sendall(http_response(200, b"late"))
 
     def close(self):
         for sock in (self.listener, *self.fillers):
             sock.close()
 
 
-class WindowTest(Scene):
+class WindowTest(SidecarTest):
     operator = '[log]\nlevel = "debug"\n'
 
     def repeat(self, window):
@@ -71,7 +71,7 @@
 
         def first(head, _):
             gate.wait(10)
-            return reply(500)
+            return http_response(500)
 
         classes = [p | {"window": window} for p in SETTINGS["profiles"]]
         allowed = SETTINGS["allowed"] | {"connectTimeout": 2500 * MS}
