--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -18,13 +18,13 @@
 from loftweir import listclock
 from loftweir.config.lists import read_list
 from loftweir.config.model import Options
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.core.host import Host
 from loftweir.core.invocation import ProviderAttempt
 from loftweir.http1.discovery import Discovery
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.net.loop import READABLE, Coroutine, Loop, Wait
-from loftweir.replication.follower import Follower
+from loftweir.replication.follower import Observer
 from loftweir.settings import Nested, settings_and_faults
 from loftweir.telemetry import log
 
@@ -96,8 +96,8 @@
         self.index, self.version, self.failures = 0, 0, 0
         self.ask_within = settings.safety.ask_within
         replication = plan.options.replication
-        self.follower = Follower(
-            loop, name, secrets.token_hex(8), replication, seats(replication.members), self._applied
+        self.follower = Observer(
+            loop, name, secrets.token_hex(8), replication, parse_members(replication.members), self._applied
         )
         self.discovery = Discovery(loop, plan.discovery, plan.options, self._listed)
         self.host: Host | None = None
--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -16,7 +16,7 @@
 from loftweir.core.overload import Overload
 from loftweir.net.loop import Loop
 from loftweir.telemetry.catalogue import DECISION_BROKEN, DECISION_NOTE
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.log import emit, traceback_location
 
 
 class Backend(Protocol):
@@ -70,7 +70,7 @@
             api.Watch: lambda action: lists.watch(action.on),
             api.FetchList: lambda action: lists.fetch(),
             api.CloseIdle: lambda action: back.close_idle(action.provider),
-            api.Log: lambda action: say(DECISION_NOTE, text=action.text),
+            api.Log: lambda action: emit(DECISION_NOTE, text=action.text),
         }
 
     @property
@@ -108,7 +108,7 @@
 
     def _broken(self, thing: api.Event | api.Action, error: Exception) -> None:
         """Handle an exception from a decision or an action: the request concerned is answered, the rest goes on."""
-        say(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=where(error))
+        emit(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=traceback_location(error))
         invocation = self.invocations.get(getattr(thing, "request_id", getattr(thing, "id", "")))
         if invocation is not None and invocation.open:
             invocation.close(BROKEN)
--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -12,7 +12,7 @@
 from loftweir.config import operator, platform
 from loftweir.config.faults import Fault, Faulty
 from loftweir.config.model import Log, Options, keys
-from loftweir.config.units import written
+from loftweir.config.units import format_quantity
 from loftweir.interface import Settings
 from loftweir.net.loop import Loop
 from loftweir.sidecar import Sidecar
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
-    from loftweir.partners.file import Sites
+    from loftweir.partners.file import PartnersConfig
 
 UNUSABLE = 2  # the exit code where the configuration or the start failed
 
@@ -31,7 +31,7 @@
 
     platform: platform.Platform
     operator: operator.Loaded
-    sites: Sites | None = None
+    sites: PartnersConfig | None = None
     services: Services | None = None
 
 
@@ -94,7 +94,7 @@
 
 def say_faults(event: Event, error: Faulty) -> None:
     for fault in error.faults:
-        log.say(event, **fault._asdict())
+        log.emit(event, **fault._asdict())
 
 
 def changes(old: Options, new: Options) -> dict[str, tuple[Any, Any, bool]]:
@@ -103,7 +103,7 @@
     for key in keys():
         values = [getattr(getattr(options, key.section), key.name) for options in (old, new)]
         if values[0] != values[1]:
-            before, after = (written(key.spec.unit, value) for value in values)
+            before, after = (format_quantity(key.spec.unit, value) for value in values)
             found[key.path] = before, after, key.spec.live
     return found
 
@@ -132,7 +132,7 @@
         self.loop = Loop()
         self.sidecar = Sidecar(self.loop, of_platform, loaded.options, sites, services)
         self.sidecar.start(self.reload)
-        log.say(
+        log.emit(
             START_LISTENING,
             version=__version__,
             pid=os.getpid(),
@@ -152,14 +152,14 @@
             say_faults(RELOAD_FAULT, error)
             return
         except Exception as error:  # a fault of the program's own must not end it either
-            log.say(RELOAD_FAULT, file="", path="", value=repr(error), expected="to be read at all")
+            log.emit(RELOAD_FAULT, file="", path="", value=repr(error), expected="to be read at all")
             return
         changed = changes(self.configuration.operator.options, new.operator.options)
         self.configuration = new
         use_log(new.operator.options)
         settings = changed_settings(self.sidecar.host.settings, new.platform.settings)
         self.sidecar.use(new.operator.options, new.platform.discovery, new.platform.settings, new.sites, new.services)
-        log.say(
+        log.emit(
             RELOAD_DONE,
             discovery=new.platform.discovery,
             changed=[path for path, (_, _, live) in changed.items() if live],
@@ -182,7 +182,7 @@
         say_faults(START_FAULT, error)
         return UNUSABLE
     except OSError as error:
-        log.say(START_FAILED, why=error)
+        log.emit(START_FAILED, why=error)
         return UNUSABLE
     finally:
         if "daemon" not in locals():
--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -26,8 +26,8 @@
 from socket import socket
 from typing import Any, NamedTuple, Protocol, TypeVar
 
-from loftweir.telemetry.catalogue import COROUTINE_BROKEN, WATCH_FAILED
-from loftweir.telemetry.log import say, where
+from loftweir.telemetry.catalogue import COROUTINE_BROKEN, LOOP_WATCH_FAILED
+from loftweir.telemetry.log import emit, traceback_location
 
 T = TypeVar("T")
 MS = 1_000_000  # nanoseconds
@@ -194,7 +194,7 @@
             self.end()
             self.coroutine.close()
             name = getattr(self.coroutine, "__qualname__", "")
-            say(COROUTINE_BROKEN, coroutine=name, error=repr(error), at=where(error))
+            emit(COROUTINE_BROKEN, coroutine=name, error=repr(error), at=traceback_location(error))
             if self.on_crash is not None:
                 self.on_crash(error)
 
@@ -281,7 +281,7 @@
 
     def _retry_later(self, fd: int, error: OSError) -> None:
         """Log that a descriptor could not be registered, and register it again after `RETRY_WATCH`."""
-        say(WATCH_FAILED, why=error.strerror)
+        emit(LOOP_WATCH_FAILED, why=error.strerror)
         if not self.unregistered:
             self.after(RETRY_WATCH, self._register_again)
         self.unregistered.add(fd)
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -24,10 +24,10 @@
 from loftweir.operations.command_handler import CommandHandler
 from loftweir.state.disk import Disk
 from loftweir.state.sealed import Damaged
-from loftweir.state.snapshot import Choice, Holding, Snapshot, choose
+from loftweir.state.snapshot import ListSource, ListTracker, Snapshot, choose_list
 from loftweir.telemetry import log
 from loftweir.telemetry.catalogue import (
-    DISCOVERY_LIST_IS,
+    DISCOVERY_LIST,
     LIFE_CHANGED,
     STATE_DAMAGED,
     STATE_FAILED,
@@ -35,14 +35,14 @@
     STOP_BEGUN,
     STOP_DONE,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
 if TYPE_CHECKING:
     from loftweir.catalog.file import Services
     from loftweir.catalog.hosts import Hosts
-    from loftweir.partners.file import Sites
+    from loftweir.partners.file import PartnersConfig
     from loftweir.partners.part import Partners
-    from loftweir.replication.part import Part
+    from loftweir.replication.part import ReplicationAgent
 
 OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 TICK = SECOND  # how often the log is asked for what it owes
@@ -65,7 +65,7 @@
         loop: Loop,
         platform: Platform,
         options: Options,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """`sites` and `services`: of the files that the operator's names for the partners and the catalog, if any."""
@@ -77,18 +77,18 @@
         self.life.changed = self._changed
         self.left_at = 0  # when the latest drain began
         self.commands = CommandHandler(loop, self.life, self.listed, self._takes_clients)
-        self.discovery = Discovery(loop, platform.discovery, options, self.commands.listed, platform.seed)
+        self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
         shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
-        self.fleet: Part | None = None
+        self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Here: a sidecar whose operator names no members has no use for it, and does not pay for it.
             from loftweir.replication import part
 
-            self.fleet = self.commands.fleet = part.Part(
-                loop, platform.name, options.replication, self.commands.fleet_said
+            self.fleet = self.commands.fleet = part.ReplicationAgent(
+                loop, platform.name, options.replication, self.commands.apply_fleet
             )
-            others += part.descriptors(platform.name, options.replication)
+            others += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
@@ -112,10 +112,10 @@
             from loftweir.http1 import named
 
             self.catalog = self.partners.catalog = hosts.Hosts(loop, services, self.host, self.back, platform.seed)
-            self.catalog.duties = self.partners.duties
+            self.catalog.leased_tasks = self.partners.leased_tasks
             self.front.kind, self.front.also = named.kind(self.catalog), self.catalog.serves
         self.disk: Disk | None = None  # where the snapshot is kept, with `state.keep`
-        self.holding: Holding | None = None
+        self.list_tracker: ListTracker | None = None
         self.written_at = 0  # when the last snapshot was written, by the loop's clock
         self.writes = False  # a write of the snapshot is due
 
@@ -130,19 +130,19 @@
         if self.partners is None:
             self.host.update_list(update, addresses)
         else:
-            self.host.update_list(*self.partners.through(update, addresses))
+            self.host.update_list(*self.partners.with_partner_providers(update, addresses))
         if self.catalog is not None:
-            self.catalog.listed(update, addresses)
+            self.catalog.update_membership(update, addresses)
         if update.kind in (UpdateKind.FULL, UpdateKind.CHANGES):
             self.front.open()
-        if self.holding is not None and update.kind is not UpdateKind.FAILED:
-            self.holding.told(update, addresses)
+        if self.list_tracker is not None and update.kind is not UpdateKind.FAILED:
+            self.list_tracker.apply(update, addresses)
             if not self.writes:
                 self.writes = True
                 apart = self.options.state.write_apart
                 self.loop.after(max(0, self.written_at + apart - self.loop.now()), self._write)
-        say(
-            DISCOVERY_LIST_IS,
+        emit(
+            DISCOVERY_LIST,
             kind=update.kind.value,
             index=update.version,
             providers=len(self.back.pool.addresses),
@@ -154,7 +154,7 @@
         options: Options,
         discovery: str,
         settings: Settings,
-        sites: Sites | None = None,
+        sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
         """Other options and settings, whole, from now on; what was spent at the start waits for the next one."""
@@ -198,7 +198,7 @@
             self.commands.begin(os.environ.get("TMPDIR"))
         if self.fleet is not None:
             self.fleet.recall()
-        self.commands.listed(known, addresses)
+        self.commands.update_list(known, addresses)
         if platform.settings.discovery_pushes:
             # What the agent has counts as told from this process's first moment, and the platform's list is older.
             self.front.opens_at = self.loop.now() + LEAST
@@ -207,10 +207,10 @@
         else:
             self.front.inherit(platform.listen_fd)
         if platform.operator:
-            Address(self.loop, self.commands.do).listen(platform.operator)
+            Address(self.loop, self.commands.execute).listen(platform.operator)
         if self.commands.store is not None:
-            self.commands.store.serve()
-        if self.commands.follows:
+            self.commands.store.announce_serving()
+        if self.commands.found_other_process:
             # News bind soon after this process says that it is ready, and there is one of it: no crowd to spread.
             self.discovery.watch(True)
         self.discovery.apply_settings(platform.settings.discovery_pushes, platform.settings.balancers)
@@ -233,27 +233,27 @@
         try:
             snapshot = self.disk.load()
         except Damaged as damaged:
-            say(STATE_DAMAGED, file=str(self.disk.path), at=damaged.at, why=damaged.why)
+            emit(STATE_DAMAGED, file=str(self.disk.path), at=damaged.at, why=damaged.why)
         except OSError as error:
-            say(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
+            emit(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
         now = time.time_ns()
-        chosen = choose(given, snapshot, now, self.options.state.trust_for)
-        self.holding = Holding(snapshot.epoch if snapshot else 0)
-        if snapshot is not None and chosen is Choice.SNAPSHOT:
+        chosen = choose_list(given, snapshot, now, self.options.state.trust_for)
+        self.list_tracker = ListTracker(snapshot.epoch if snapshot else 0)
+        if snapshot is not None and chosen is ListSource.SNAPSHOT:
             given, addresses = snapshot.update()
         age = (now - snapshot.taken_at) // MS if snapshot else 0
         epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, given.version)
-        say(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
+        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
         return given, addresses
 
     def _write(self) -> None:
         self.writes, self.written_at = False, self.loop.now()
-        if self.disk is None or self.holding is None:
+        if self.disk is None or self.list_tracker is None:
             return
         try:
-            self.disk.save(self.holding.snapshot(time.time_ns()))
+            self.disk.save(self.list_tracker.snapshot(time.time_ns()))
         except OSError as error:
-            say(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
+            emit(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
 
     def _obey(
         self, woken: socket.socket, wakes: socket.socket, came: set[int], reload: Callable[[], None]
@@ -271,7 +271,7 @@
             for number in came - {signal.SIGHUP}:
                 came.discard(number)
                 if self.life.step(LifecycleEvent.END):
-                    say(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
+                    emit(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
                     self.loop.spawn(self._stop(wakes))
             if hears_from is not None and self.loop.now() >= hears_from:
                 hears_from = None
@@ -303,7 +303,7 @@
         return self.front.takes_clients()
 
     def _changed(self, before: State) -> None:
-        say(LIFE_CHANGED, state=self.life.state.value, before=before.value, open=len(self.host.invocations))
+        emit(LIFE_CHANGED, state=self.life.state.value, before=before.value, open=len(self.host.invocations))
         if self.life.state is State.LEAVING:
             self.loop.spawn(self._empty())
 
@@ -333,7 +333,7 @@
         last = now + min(longest, LONGEST_COUNTED) + SECOND
         latest = now + longest + SECOND  # SIGKILL may come far later: what was taken with more time still has it
         front.ends_at = last - ENDS_BEFORE
-        if self.commands.store is not None and not self.commands.store.alone():
+        if self.commands.store is not None and not self.commands.store.is_alone():
             front.stop_accepting()
         yield Wait(None, 0, now + limits.accept_after_term)
         while not front.stop_accepting() and self.loop.now() < front.ends_at:
@@ -344,7 +344,7 @@
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         for number in OBEYED:  # Python's own end takes its handlers away: one that comes then would be the exit code
             signal.signal(number, signal.SIG_IGN)
-        say(STOP_DONE, left=front.close())
+        emit(STOP_DONE, left=front.close())
         if self.partners is not None:
             self.partners.close()
         if self.fleet is not None:
