--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -31,13 +31,13 @@
 from loftweir.core.host import Host
 from loftweir.core.invocation import Invocation
 from loftweir.errors import LoftweirError
-from loftweir.http1.back import Back, Connection, Pool
-from loftweir.http1.request import Malformed
-from loftweir.http1.response import COME_BACK
+from loftweir.http1.back import Backend, Pool, ProviderConnection
+from loftweir.http1.request import BadRequest
+from loftweir.http1.response import BODY_RETRY_AFTER
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
 from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.partners.merge import MergeResult
 from loftweir.replication.machine import Ok
 from loftweir.telemetry.catalogue import CATALOG_CLAIMED, CATALOG_COLLISION, CATALOG_MOVED
@@ -69,20 +69,20 @@
 
     def __init__(self, whole: Pool, shared: SharedLimit, key: str) -> None:
         self.whole, self.shared, self.key = whole, shared, key
-        self.loop, self.most, self.resting = whole.loop, whole.most, whole.resting
+        self.loop, self.max_connections, self.idle = whole.loop, whole.max_connections, whole.idle
         self.addresses: dict[str, str] = {}
-        self.names: dict[str, str] = {}  # the inverse, as in `Pool`
-        self.heard: dict[str, int] = {}
-        self.idle: dict[str, dict[Connection, None]] = {}
+        self.names_by_address: dict[str, str] = {}  # the inverse, as in `Pool`
+        self.last_response_at: dict[str, int] = {}
+        self.idle_by_provider: dict[str, dict[ProviderConnection, None]] = {}
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """The number of connections of the sidecar."""
-        return self.whole.open
+        return self.whole.open_count
 
-    @open.setter
-    def open(self, count: int) -> None:
-        self.whole.open = count
+    @open_count.setter
+    def open_count(self, count: int) -> None:
+        self.whole.open_count = count
 
     @property
     def settings(self) -> Settings:  # type: ignore[override]
@@ -92,13 +92,15 @@
     def options(self) -> Any:  # type: ignore[override]
         return self.whole.options
 
-    def connect(self, name: str, until: int) -> Coroutine[Connection]:
+    def connect(self, name: str, until: int) -> Coroutine[ProviderConnection]:
         """Opens a connection, and closes the service's longest idle ones while the sidecar has no room for another."""
         while not self.shared.acquire(self.key):
-            oldest = min((c for idle in self.idle.values() for c in idle), key=lambda c: c.rested_at, default=None)
+            oldest = min(
+                (c for idle in self.idle_by_provider.values() for c in idle), key=lambda c: c.idle_since, default=None
+            )
             if oldest is None:
-                raise NotUp(Outcome.NOT_SENT)
-            self.take_out(oldest)
+                raise ConnectError(Outcome.NOT_SENT)
+            self.remove_idle(oldest)
             self.close(oldest)
         try:
             return (yield from super().connect(name, until))
@@ -106,7 +108,7 @@
             self.shared.release(self.key)
             raise
 
-    def close(self, connection: Connection) -> None:
+    def close(self, connection: ProviderConnection) -> None:
         """Closes a connection and releases its unit."""
         super().close(connection)
         self.shared.release(self.key)
@@ -141,7 +143,7 @@
     id under two names never makes two requests.
     """
 
-    def __init__(self, loop: Loop, services: Services, main_host: Host, back: Back, seed: int) -> None:
+    def __init__(self, loop: Loop, services: Services, main_host: Host, back: Backend, seed: int) -> None:
         self.loop, self.services = loop, services
         self.main_host, self.back, self.seed = main_host, back, seed
         self.known: dict[str, Endpoint] = {}
@@ -154,7 +156,7 @@
         self.observed: dict[str, tuple[str, ObservedService]] = {}
         self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
         self.unsettled: set[str] = set()  # names whose claim may differ from what was observed
-        self.shared = SharedLimit(back.pool.most)
+        self.shared = SharedLimit(back.pool.max_connections)
         self.service_balancers: dict[str, ServiceBalancer] = {}  # by service key
         self.catalog = self._build_catalog()
         loop.spawn(self._sweep())
@@ -169,7 +171,7 @@
 
     def admit(self, name: str, invocation: Invocation) -> Host:
         """The host of the service that a request names; the request gets that service's version of its class. Raises
-        `Malformed`."""
+        `BadRequest`."""
         found = self.catalog.find(name)
         if isinstance(found, UnknownService):
             raise self._rejection(found.text, STATUS_CODES[found.reason])
@@ -184,14 +186,14 @@
             raise self._rejection(f"{found.key}: nobody who is there for it now takes {cls.name}; come back", 503)
         self._enforce_terms(balancer)
         invocation.cls = cls
-        invocation.patience = min(invocation.patience, cls.deadline)
+        invocation.time_left = min(invocation.time_left, cls.deadline)
         return balancer.host
 
-    def _rejection(self, text: str, status: int) -> Malformed:
-        after = min(COME_BACK, self.settings.max_retry_after)
+    def _rejection(self, text: str, status: int) -> BadRequest:
+        after = min(BODY_RETRY_AFTER, self.settings.max_retry_after)
         if status == 503 and self.settings.retry_after and after >= MS:
-            return Malformed(text, status, ("retry-after", f"{after / SECOND:.3f}"))
-        return Malformed(text, status)
+            return BadRequest(text, status, ("retry-after", f"{after / SECOND:.3f}"))
+        return BadRequest(text, status)
 
     def _enforce_terms(self, balancer: ServiceBalancer) -> None:
         """Keeps requests within the partners' terms: the `fraction` of the service's requests, and the lowest of the
@@ -236,7 +238,7 @@
             self.loop, self._settings_for(service), self.seed ^ crc32(service.key.encode()), side, NoDiscovery()
         )
         host.invocations, host.overload = self.main_host.invocations, self.main_host.overload
-        side.ended = host.ended
+        side.on_attempt_ended = host.attempt_ended
         balancer = self.service_balancers[service.key] = ServiceBalancer(host, ProviderFeed(self._grace()), service)
         self._update_balancer(service.key, balancer)
         return balancer
@@ -249,7 +251,7 @@
         balancer.feed.grace = self._grace()
         step = balancer.feed.step(self.loop.now(), balancer.set)
         if step is not None:
-            balancer.host.listed(step.update, step.addresses)
+            balancer.host.update_list(step.update, step.addresses)
         due_at = balancer.feed.next_at
         if due_at is not None and not 0 < balancer.wakes_at <= due_at:  # else the timer that is set looks again
             balancer.wakes_at = due_at
@@ -272,7 +274,7 @@
             return NO_PROVIDERS
         if found != balancer.service:
             balancer.service = found
-            balancer.host.use(self._settings_for(found))
+            balancer.host.apply_settings(self._settings_for(found))
         return self.catalog.providers(found)
 
     def _sweep(self) -> Coroutine[None]:
@@ -313,7 +315,7 @@
             if before.collisions.get(event.short) != event:
                 emit(CATALOG_COLLISION, text=event.text)
         for key, balancer in list(self.service_balancers.items()):
-            balancer.host.use(self._settings_for(balancer.service))
+            balancer.host.apply_settings(self._settings_for(balancer.service))
             self._update_balancer(key, balancer)
 
     def _apply_changes(self, changed: CatalogChanges) -> None:
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -18,7 +18,7 @@
 from loftweir.config.model import Replication
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import StrictStruct
 from loftweir.replication.line import CONNECTION_ERRORS, FrameConnection, dial
 from loftweir.replication.machine import AnyResult, Command, Operation, UnknownSession, decode_result, encode
@@ -209,7 +209,7 @@
             try:
                 connection = yield from self._connect(min(until, now + SECOND))
                 self.tokens += 1
-            except (NotUp, TurnedAway) as error:
+            except (ConnectError, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
                     why = f"{self.target}: {error}"
                 self._switch()
--- a/loftweir/replication/joining.py
+++ b/loftweir/replication/joining.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import Member
 from loftweir.replication.line import CONNECTION_ERRORS, dial
 from loftweir.replication.member import Removed, Voter
@@ -172,7 +172,7 @@
         except TurnedAway as error:
             emit(REPLICATION_TURNED_AWAY, name=name, why=error)
             return None
-        except NotUp:
+        except ConnectError:
             return None
         try:
             if peer.name != name:
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -11,7 +11,7 @@
 
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, SECOND, WOKEN, WRITABLE, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import READ_SIZE, NotUp, TookTooLong, connect
+from loftweir.net.stream import READ_SIZE, ConnectError, TimedOut, connect
 from loftweir.replication.wire import BadFrame, ConnectionRejected, Frame, FrameReader, Hello, TurnedAway, encode_frame
 
 GREETING_TIMEOUT = SECOND  # from the connection's start until both sides have sent a `Hello`
@@ -19,7 +19,7 @@
 MAX_FRAMES_PER_WRITE = 64  # frames passed to one `sendmsg`
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # buffered for a peer that does not read
 
-CONNECTION_ERRORS = (TookTooLong, OSError, BadFrame)  # exceptions that end a connection
+CONNECTION_ERRORS = (TimedOut, OSError, BadFrame)  # exceptions that end a connection
 
 
 class FrameConnection:
@@ -126,7 +126,7 @@
             events = yield Wait(self.sock, READABLE | WRITABLE if self.unsent else READABLE, until)
             self.waiting_writable = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             if events == WOKEN or self.closed:
                 continue
             if self.unsent:
@@ -148,7 +148,7 @@
             events = yield Wait(self.sock, WRITABLE, until)
             self.waiting_writable = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             self._flush()
 
     def read_hello(self, until: int) -> Coroutine[Hello]:
@@ -162,7 +162,7 @@
 
 
 def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[FrameConnection, Hello]]:
-    """Connects to an address and exchanges `Hello`. Raises `NotUp` if nobody answers in time, and `TurnedAway`."""
+    """Connects and exchanges `Hello`. Raises `ConnectError` if nobody answers in time, and `TurnedAway`."""
     sock = yield from connect(loop, address, GREETING_TIMEOUT, until)
     connection = FrameConnection(loop, sock)
     try:
@@ -171,7 +171,7 @@
         peer = yield from connection.read_hello(min(until, loop.now() + GREETING_TIMEOUT))
     except CONNECTION_ERRORS:
         connection.close()
-        raise NotUp(Outcome.CONNECT_FAILED) from None
+        raise ConnectError(Outcome.CONNECT_FAILED) from None
     except BaseException:
         connection.close()
         raise
--- a/loftweir/replication/links.py
+++ b/loftweir/replication/links.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.replication.api import AnyMessage, AppendEntries, InstallSnapshot
 from loftweir.replication.line import CONNECTION_ERRORS, FrameConnection, dial
 from loftweir.replication.wire import ConnectionRejected, Hello, RejectReason, TurnedAway
@@ -72,7 +72,7 @@
                 connection, peer = yield from dial(
                     self.loop, self.address(), self.hello, self.loop.now() + CONNECT_TIMEOUT
                 )
-            except (NotUp, TurnedAway) as error:
+            except (ConnectError, TurnedAway) as error:
                 if isinstance(error, TurnedAway):
                     self.on_rejected(self.id, str(error))
             else:
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -242,7 +242,7 @@
             self._respond(token, OutcomeCode.LOST, 0, None)
         for task in (self.ticker, self.disk_task):
             task.cancel()
-        self.loop.forget(self.disk.fileno())
+        self.loop.unregister(self.disk.fileno())
         self.disk.close(within)
 
     def _persist(self, action: PersistBatch) -> None:
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -17,7 +17,7 @@
 
 from loftweir.config.units import split_host_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, prepare
+from loftweir.net.stream import TimedOut, prepare
 from loftweir.replication.api import Message, MessageReceived
 from loftweir.replication.line import CONNECTION_ERRORS, GREETING_TIMEOUT, FrameConnection
 from loftweir.replication.machine import AnyResult, validate
@@ -149,7 +149,7 @@
                 prepare(sock)
                 connection = FrameConnection(self.loop, sock)
                 self.ungreeted[connection] = self.loop.now()
-                self._start(connection, self._greet(connection), self.loop.due)
+                self._start(connection, self._greet(connection), self.loop.runnable)
 
     def _start(self, connection: FrameConnection, coroutine: Coroutine[None], queue: deque[Callable[[], None]]) -> None:
         """Runs a connection's coroutine at once up to its first wait; after that, whatever ends it also closes the
@@ -217,7 +217,7 @@
                     MAX_CONNECTIONS_PER_LISTED_NAME,
                 )
             self.clients[connection] = hello
-            self._start(connection, self._serve_client(connection), self.loop.due)
+            self._start(connection, self._serve_client(connection), self.loop.runnable)
 
     def _slot_of(self, name: str) -> str:
         """The slot of a name, if it is listed or a member's; else empty."""
@@ -264,7 +264,7 @@
                 waiting = self.waiting_observers.get(connection)
                 try:
                     frame = yield from connection.next(waiting[1] if waiting else unused_at)
-                except TookTooLong:
+                except TimedOut:
                     if connection in self.waiting_observers:
                         self._send_follow_response(connection, self.waiting_observers[connection][0])
                         unused_at = self.loop.now() + IDLE_TIMEOUT
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from support import SECOND, attempts, changes, endpoint, full, make, request
 
-from loftweir.core.life import TABLE, TRAITS, Life, State, Step
+from loftweir.core.life import TABLE, TRAITS, LifecycleEvent, SidecarLifecycle, State
 from loftweir.interface import Lifecycle, MembershipUpdate, UpdateKind
 from loftweir.net.loop import Loop
 from loftweir.operations.calls import ARGUMENTS, MAX_LINE_BYTES, No, OperatorCommand, Verb, error_answer, parse_command
@@ -130,24 +130,27 @@
 
 
 def test_a_drain_can_be_undone_and_the_end_can_not():
-    life, seen = Life(), []
+    life, seen = SidecarLifecycle(), []
     life.changed = seen.append
-    assert [life.step(s) for s in (Step.DRAIN, Step.DRAIN, Step.UNDRAIN, Step.UNDRAIN)] == [True, False, True, False]
+    assert [
+        life.step(s)
+        for s in (LifecycleEvent.DRAIN, LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.UNDRAIN)
+    ] == [True, False, True, False]
     assert seen == [State.SERVING, State.LEAVING] and life.state is State.SERVING
-    for path in ((), (Step.DRAIN,), (Step.DRAIN, Step.EMPTIED)):
-        life = Life()
-        for step in (*path, Step.END):
+    for path in ((), (LifecycleEvent.DRAIN,), (LifecycleEvent.DRAIN, LifecycleEvent.EMPTIED)):
+        life = SidecarLifecycle()
+        for step in (*path, LifecycleEvent.END):
             assert life.step(step)
-        for step in (Step.DRAIN, Step.UNDRAIN, Step.EMPTIED, Step.END):
+        for step in (LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.EMPTIED, LifecycleEvent.END):
             assert not life.step(step) and life.ends
-        assert life.step(Step.SHUT) and not life.traits.healthy and life.traits.last
+        assert life.step(LifecycleEvent.SHUT) and not life.traits.healthy and life.traits.last
     assert set(TRAITS) == set(State) and {s for s, _ in TABLE} | set(TABLE.values()) == set(State)
     assert [s for s in State if TRAITS[s].healthy] == [State.SERVING]
 
 
 def test_an_override_of_the_fleet_by_a_clock_that_is_ahead_does_not_keep_a_provider_cold():
     loop, updates = Loop(), []
-    handler = CommandHandler(loop, Life(), lambda update, addresses: updates.append(update), lambda: True)
+    handler = CommandHandler(loop, SidecarLifecycle(), lambda update, addresses: updates.append(update), lambda: True)
     handler.update_list(full(endpoint("s0")), {"s0": "a:1"})
     for _ in range(2):
         handler.apply_fleet({"s0": Override(loop.now() + 3600 * SECOND, False)}, True)
