--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -491,7 +491,7 @@
 )
 def test_a_whole_that_does_not_fit_together_or_is_behind_is_not_taken(voters, wrong, why, monkeypatch):
     said, entries = [], history(5)
-    monkeypatch.setattr(follower_module, "say", lambda event, **more: said.append(str(more.get("why"))))
+    monkeypatch.setattr(follower_module, "emit", lambda event, **more: said.append(str(more.get("why"))))
     old, right = follows(entries[:2]), follows(entries)
 
     def answer(frame):
