--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -12,7 +12,7 @@
 
 from loftweir.config.units import split_host_port
 from loftweir.net.loop import MS, READABLE, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, send
+from loftweir.net.stream import TimedOut, send
 from loftweir.operations.calls import MAX_LINE_BYTES, No, OperatorCommand, error_answer, ok_answer, parse_command
 from loftweir.telemetry.catalogue import OPERATOR_CALL
 from loftweir.telemetry.log import emit
@@ -75,7 +75,7 @@
                 until = self.loop.now() + LINGER
                 while (yield Wait(sock, READABLE, until)) and sock.recv(4096):
                     pass
-        except (TookTooLong, OSError):
+        except (TimedOut, OSError):
             pass
         finally:
             del self.connections[sock]
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from loftweir.core.life import Life, Step
+from loftweir.core.life import LifecycleEvent, SidecarLifecycle
 from loftweir.interface import MembershipUpdate
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
 from loftweir.operations.calls import No, OperatorCommand, Verb
@@ -45,7 +45,9 @@
 class CommandHandler:
     """Invariant: the balancer was told what `overlay.record` overrides, and `life` drains as the record says."""
 
-    def __init__(self, loop: Loop, life: Life, tell: TellBalancer, takes_clients: Callable[[], bool]) -> None:
+    def __init__(
+        self, loop: Loop, life: SidecarLifecycle, tell: TellBalancer, takes_clients: Callable[[], bool]
+    ) -> None:
         self.loop = loop
         self.life = life
         self.tell = tell
@@ -161,7 +163,7 @@
         if update is not None:
             self.tell(*update)
         if record.drain.active != before.drain.active:
-            self.life.step(Step.DRAIN if record.drain.active else Step.UNDRAIN)
+            self.life.step(LifecycleEvent.DRAIN if record.drain.active else LifecycleEvent.UNDRAIN)
         disabled = sorted(name for name, override in record.overrides.items() if override.active)
         emit(OPERATOR_RECORD, out=disabled, drain=record.drain.active)
 
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -11,7 +11,7 @@
 
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, SECOND, WOKEN, WRITABLE, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import READ_SIZE, NotUp, TookTooLong, connect
+from loftweir.net.stream import READ_SIZE, ConnectError, TimedOut, connect
 from loftweir.replication.wire import BadFrame, ConnectionRejected, Frame, FrameReader, Hello, TurnedAway, encode_frame
 
 GREETING_TIMEOUT = SECOND  # from a connection's opening until both have said who they are
@@ -19,7 +19,7 @@
 MAX_FRAMES_PER_WRITE = 64  # frames in one write
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes held for one that does not read
 
-CONNECTION_ERRORS = (TookTooLong, OSError, BadFrame)  # what ends a line
+CONNECTION_ERRORS = (TimedOut, OSError, BadFrame)  # what ends a line
 
 
 class FrameConnection:
@@ -122,7 +122,7 @@
             events = yield Wait(self.sock, READABLE | WRITABLE if self.out else READABLE, until)
             self.told_to_write = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             if events == WOKEN or self.over:
                 continue
             if self.out:
@@ -142,7 +142,7 @@
             events = yield Wait(self.sock, WRITABLE, until)
             self.told_to_write = False
             if events == 0:
-                raise TookTooLong
+                raise TimedOut
             self._flush()
 
     def greeting(self, until: int) -> Coroutine[Hello]:
@@ -156,7 +156,7 @@
 
 
 def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[FrameConnection, Hello]]:
-    """A line to an address, greeted. Raises `NotUp` where nobody answers there in time, and `TurnedAway`."""
+    """A line to an address, greeted. Raises `ConnectError` where nobody answers there in time, and `TurnedAway`."""
     sock = yield from connect(loop, address, GREETING_TIMEOUT, until)
     line = FrameConnection(loop, sock)
     try:
@@ -165,7 +165,7 @@
         there = yield from line.greeting(min(until, loop.now() + GREETING_TIMEOUT))
     except CONNECTION_ERRORS:
         line.close()
-        raise NotUp(Outcome.CONNECT_FAILED) from None
+        raise ConnectError(Outcome.CONNECT_FAILED) from None
     except BaseException:
         line.close()
         raise
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -17,7 +17,7 @@
 
 from loftweir.config.units import split_host_port
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import TookTooLong, prepare
+from loftweir.net.stream import TimedOut, prepare
 from loftweir.replication.api import Message, MessageReceived
 from loftweir.replication.line import CONNECTION_ERRORS, GREETING_TIMEOUT, FrameConnection
 from loftweir.replication.machine import AnyResult, validate
@@ -146,7 +146,7 @@
                 prepare(sock)
                 line = FrameConnection(self.loop, sock)
                 self.ungreeted[line] = self.loop.now()
-                self._run(line, self._greet(line), self.loop.due)
+                self._run(line, self._greet(line), self.loop.runnable)
 
     def _run(self, line: FrameConnection, coroutine: Coroutine[None], lane: deque[Callable[[], None]]) -> None:
         """Runs a line's coroutine, at once to its first wait: from then on, what ends it closes the line."""
@@ -208,7 +208,7 @@
                     MAX_CONNECTIONS_PER_LISTED_NAME,
                 )
             self.others[line] = hello
-            self._run(line, self._answer(line), self.loop.due)
+            self._run(line, self._answer(line), self.loop.runnable)
 
     def _seat(self, name: str) -> str:
         """One of those that there are; empty for all others."""
@@ -254,7 +254,7 @@
                 parked = self.parked.get(line)
                 try:
                     frame = yield from line.next(parked[1] if parked else unused_at)
-                except TookTooLong:
+                except TimedOut:
                     if line in self.parked:
                         self._news(line, self.parked[line][0])
                         unused_at = self.loop.now() + IDLE_TIMEOUT
--- a/tests/test_installed.py
+++ b/tests/test_installed.py
@@ -10,7 +10,7 @@
 import zipfile
 from pathlib import Path
 
-from scene import ROOT, Scene, eventually, ok
+from scene import ROOT, SidecarTest, eventually, ok
 
 # The packages that need an extra. The base installation has to import all others, including new ones.
 PACKAGES_OF_EXTRAS = {"tools": ("loftweir.cli",), "emulator": ("loftweir.emulator", "loftweir.cli.emulate")}
@@ -32,7 +32,7 @@
     return any(f"{name}.".startswith(f"{package}.") for package in packages)
 
 
-class InstalledTest(Scene):
+class InstalledTest(SidecarTest):
     def run_there(self, *command, text=""):
         """Runs a command outside the tree, with no environment variable that refers to the tree."""
         env = {k: v for k, v in os.environ.items() if k != "PYTHONPATH"}
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -9,7 +9,7 @@
 
 import msgspec
 from partner_scene import FakePartner, PartnerSite, make_route, position, request_routes, service_names
-from scene import ROOT, Party, entry, ok, reply
+from scene import ROOT, StubServer, entry, http_response, ok
 
 HOLD = 3  # seconds, as in FAST_OPTIONS
 GONE = 1.5  # seconds, as in FAST_OPTIONS
@@ -50,7 +50,7 @@
         return partner
 
     def test_one_sidecar_requests_a_table_and_all_use_it_by_its_terms(self):
-        provider = Party(ok)
+        provider = StubServer(ok)
         self.addCleanup(provider.close)
         routes = make_route("orders@shop", [provider.address])
         bergen, trondheim = self.fake_partner("bergen", routes, make_route("b@shop")), self.fake_partner("trondheim")
@@ -146,10 +146,13 @@
         # A table with any fault is rejected as a whole, with the place of the fault; the last valid one stays in use.
         for change, place in (
             (truncated, "broken: "),
-            (lambda body: reply(200, body[:-9]), "truncated"),
-            (lambda body: reply(200, body.replace(b'"valid_for":6', b'"valid_for":-6')), "routes.0.valid_for: "),
-            (lambda body: reply(200, b"[" * 20_000), "at most 16384 bytes"),
-            (lambda body: reply(200, body.replace(b'"sum":"', b'"sum":"0')), "sum"),
+            (lambda body: http_response(200, body[:-9]), "truncated"),
+            (
+                lambda body: http_response(200, body.replace(b'"valid_for":6', b'"valid_for":-6')),
+                "routes.0.valid_for: ",
+            ),
+            (lambda body: http_response(200, b"[" * 20_000), "at most 16384 bytes"),
+            (lambda body: http_response(200, body.replace(b'"sum":"', b'"sum":"0')), "sum"),
         ):
             bergen.make_reply = change
             bergen.replace_routes(*routes, make_route("c@shop"))
@@ -348,13 +351,13 @@
 
 
 def sent_slowly(body):
-    for byte in reply(200, body):
+    for byte in http_response(200, body):
         yield bytes([byte])
         time.sleep(0.02)
 
 
 def truncated(body):
-    yield reply(200, body)[:-9]
+    yield http_response(200, body)[:-9]
     raise OSError
 
 
