--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -20,10 +20,10 @@
 from loftweir.config.model import REPLICATION_MARGIN
 from loftweir.config.model import Partners as Options
 from loftweir.errors import LoftweirError
-from loftweir.http1.strict import Strict
+from loftweir.http1.strict import H11Reader
 from loftweir.lease.duty import LeasedTask
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Task, Wait
-from loftweir.net.stream import NotUp, TookTooLong, connect, send
+from loftweir.net.stream import ConnectError, TimedOut, connect, send
 from loftweir.partners.file import Neighbour
 from loftweir.partners.keeping import TableWriter, Target
 from loftweir.partners.replicated_table import HEAD, Chunker, Head, TableReader, encode_head
@@ -264,7 +264,7 @@
             if sock is None:
                 sock = yield from connect(self.loop, address, CONNECT_TIMEOUT, until)
             yield from send(self.loop, sock, [head.encode()], until)
-            wire = Strict(sock, h11.CLIENT)
+            wire = H11Reader(sock, h11.CLIENT)
             response = yield from wire.next_event(until)
             if not isinstance(response, h11.Response):
                 raise NotAnswered("no response", address)
@@ -276,9 +276,9 @@
                 raise NotAnswered(f"answered {response.status_code}: {' '.join(text.split())}", address)
             reusable = wire.whole() and not wire.rest()
             return body
-        except NotUp:
+        except ConnectError:
             raise NotAnswered("not up", address) from None
-        except TookTooLong:
+        except TimedOut:
             raise NotAnswered("no response in time", address) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise NotAnswered(f"broken: {error}", address) from None
@@ -288,7 +288,7 @@
             elif sock is not None:
                 self.loop.close(sock)
 
-    def _body(self, wire: Strict, until: int, max_size: int) -> Coroutine[bytes]:
+    def _body(self, wire: H11Reader, until: int, max_size: int) -> Coroutine[bytes]:
         """Reads a whole body. One that exceeds `max_size` is read a little further, so that the parser of tables
         reports it."""
         chunks, size = [], 0
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -8,7 +8,7 @@
 import unittest
 
 from partner_scene import CLASSES, FakePartner, PartnerSite, make_route
-from scene import KEYED, ONCE, READ, Party, address_of, entry, ok, reply
+from scene import KEYED, ONCE, READ, StubServer, address_of, entry, http_response, ok
 from support import SECOND, settings
 
 from loftweir.catalog.build import Catalog, CatalogState, LocalSite, OwnService
@@ -20,7 +20,7 @@
 from loftweir.http1.back import Pool
 from loftweir.interface import Effect, Outcome
 from loftweir.net.loop import Loop
-from loftweir.net.stream import NotUp
+from loftweir.net.stream import ConnectError
 from loftweir.partners.merge import UsedRoute
 from loftweir.partners.table import parse_route
 
@@ -39,7 +39,7 @@
     return int(head.split(" ", 2)[1]) if head else 0, body, head.lower()
 
 
-class LosesResponses(Party):
+class LosesResponses(StubServer):
     """Executes each request and loses its response."""
 
     def __init__(self):
@@ -81,7 +81,7 @@
         return partner
 
     def provider(self, answer=ok):
-        provider = Party(answer)
+        provider = StubServer(answer)
         self.addCleanup(provider.close)
         return provider
 
@@ -129,7 +129,7 @@
             self.assertEqual(send_request(f0, "lost.shop", kind)[0], 502)
             self.assertEqual(len(lost.seen), 1, kind)
         # A class of the own service that may be repeated gets a retry.
-        a.answer = b.answer = lambda head, body: None if len(a.seen) + len(b.seen) == 1 else reply(200, b"x")
+        a.answer = b.answer = lambda head, body: None if len(a.seen) + len(b.seen) == 1 else http_response(200, b"x")
         a.seen.clear()
         b.seen.clear()
         self.assertEqual(send_request(f0, "both")[0], 200)
@@ -266,7 +266,7 @@
 def test_connections_of_one_service_leave_room_for_others_and_are_counted_once():
     loop = Loop()
     whole = Pool(loop, settings(), Options(), 9)
-    shared = SharedLimit(whole.most)
+    shared = SharedLimit(whole.max_connections)
     pools = [ServicePool(whole, shared, key) for key in "ab"]
     peer = socket.create_server(("127.0.0.1", 0), backlog=64)
     made, rejected = {"a": [], "b": []}, []
@@ -276,7 +276,7 @@
         try:
             while True:
                 made[pool.key].append((yield from pool.connect("p", loop.time + 5 * SECOND)))
-        except NotUp as error:
+        except ConnectError as error:
             rejected.append((pool.key, error.outcome))
 
     def run(coroutine):
@@ -291,17 +291,17 @@
     run(fill(pools[0]))
     run(fill(pools[1]))
     assert rejected == [("a", Outcome.NOT_SENT), ("b", Outcome.NOT_SENT)]
-    assert (len(made["a"]), whole.open) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
+    assert (len(made["a"]), whole.open_count) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
     # An idle connection makes room for the next one of its own service, and a connection closed by the sidecar's pool
     # releases its unit.
     pools[1].rest(made["b"].pop())
     run(fill(pools[1]))
-    assert not whole.resting
+    assert not whole.idle
     for connection in [*made["a"], *made["b"]]:
-        connection.pool.rest(connection)
-    while whole.spare():
+        connection.pool.release(connection)
+    while whole.evict_idle():
         pass
-    assert (whole.open, shared.free, shared.in_use) == (0, 9, {})
+    assert (whole.open_count, shared.free, shared.in_use) == (0, 9, {})
     peer.close()
 
 
