--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -294,7 +294,7 @@
     assert (len(made["a"]), whole.open_count) == (6, 6 + len(made["b"])) and made["b"] and shared.free >= 1
     # An idle connection makes room for the next one of its own service, and a connection closed by the sidecar's pool
     # releases its unit.
-    pools[1].rest(made["b"].pop())
+    pools[1].release(made["b"].pop())
     run(fill(pools[1]))
     assert not whole.idle
     for connection in [*made["a"], *made["b"]]:
