--- a/loftweir/balance.py
+++ b/loftweir/balance.py
@@ -38,7 +38,7 @@
     UpdateKind,
     Watch,
 )
-from loftweir.listclock import backoff, first_ask
+from loftweir.listclock import backoff, first_call_delay
 from loftweir.start_times import start
 
 BLAMED = (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)
@@ -251,7 +251,7 @@
             return
         if update.kind is UpdateKind.REMEMBERED:
             # Many balancers start together and discovery answers in turn: spread the first asks.
-            self._ask_in(*first_ask(ask, self.settings.balancers, self.settings.me))
+            self._ask_in(*first_call_delay(ask, self.settings.balancers, self.settings.me))
         else:
             self.failures_to_ask = 0
         if update.kind is not UpdateKind.CHANGES:
--- a/loftweir/config/model.py
+++ b/loftweir/config/model.py
@@ -16,7 +16,7 @@
 
 from loftweir import listclock
 from loftweir.config.units import Unit, label, own_address, plain, seats, service, written
-from loftweir.listclock import ANEW, LEAST
+from loftweir.listclock import FRESH_CALLS, SHORTEST_FRESH_TIMEOUT
 
 MS, SECOND, MINUTE, HOUR = 1_000_000, 1_000_000_000, 60_000_000_000, 3_600_000_000_000
 KIB, MIB, GIB = 1024, 1024**2, 1024**3
@@ -457,7 +457,7 @@
         yield "partners.site", "empty, or replication.members named: what partners tell is kept in the copies"
     if not partners.file:
         yield "partners.file", "a file, since partners.site names a site"
-    least = partners.wait + partners.silent_after + ANEW * LEAST + THROUGH_COPIES
+    least = partners.wait + partners.silent_after + FRESH_CALLS * SHORTEST_FRESH_TIMEOUT + THROUGH_COPIES
     if partners.hold < least:
         yield (
             "partners.hold",
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -201,24 +201,24 @@
         """Whether discovery may not have got yet to a call that was given up. To a watch that fell silent it has."""
         return any(not call.asked.wait for call in self.late)
 
-    def _clock(self) -> listclock.Clock:
+    def _clock(self) -> listclock.WatchTimeouts:
         options = self.options.discovery
         if self.pushed:
-            return listclock.clock(
+            return listclock.watch_timeouts(
                 options.agent_wait,
                 options.agent_silent_after,
-                listclock.LONGEST,
+                listclock.LONGEST_FRESH_TIMEOUT,
                 options.connect_within,
                 options.calls_apart,
                 pushed=True,
             )
-        return listclock.clock(
+        return listclock.watch_timeouts(
             options.wait, options.silent_after, options.answer_within, options.connect_within, options.calls_apart
         )
 
-    def _held(self, clock: listclock.Clock) -> int:
+    def _held(self, clock: listclock.WatchTimeouts) -> int:
         """An agent is this sidecar's alone: its calls need no spread."""
-        return clock.wait if self.pushed else listclock.held(clock.wait, self.random.random(), self.callers)
+        return clock.wait if self.pushed else listclock.watch_wait(clock.wait, self.random.random(), self.callers)
 
     # ---- which list is newer --------------------------------------------------------------------
 
@@ -252,7 +252,7 @@
             return False
         self.owed_since = max(self.owed_since, answer.heard_at)
         if asked.wait:
-            self.lateness = listclock.lateness(self.lateness, answer.heard_at - asked.at - asked.wait)
+            self.lateness = listclock.recent_lateness(self.lateness, answer.heard_at - asked.at - asked.wait)
         news = bool(update.endpoints) or update.version != asked.version
         if asked.place == self.place:
             self.held, self.version = asked.place, update.version
@@ -265,10 +265,10 @@
 
     def _fetch(self) -> Coroutine[None]:
         clock = self._clock()
-        for left in range(listclock.ANEW, -1, -1):
+        for left in range(listclock.FRESH_CALLS, -1, -1):
             asked = self._asked(self.place, None)._replace(version=None)
             address = self.address
-            until = self.loop.now() + (clock.first if left == listclock.ANEW else clock.fresh)
+            until = self.loop.now() + (clock.first if left == listclock.FRESH_CALLS else clock.fresh)
             try:
                 sock = yield from self._connect(address, until)
                 kept = False
@@ -283,7 +283,7 @@
             except CallFailed as error:
                 self._say_failed(asked, str(error))
                 say(DISCOVERY_LIST, why=error, address=address)
-                if not left or (left == listclock.ANEW and not isinstance(error, Silent)):
+                if not left or (left == listclock.FRESH_CALLS and not isinstance(error, Silent)):
                     self._fail()
                     return
                 yield Wait(None, 0, until)
@@ -294,16 +294,16 @@
 
     def _follow(self, place: int, address: str, version: int | None, late: LateAnswer | None = None) -> Coroutine[None]:
         """Watches until a call fails. One that fell silent or was refused is set up anew while what it missed does not
-        count as told yet (`listclock.Recovery`); the balancer's own asking comes after that. Of many sidecars that is
+        count as told yet (`listclock.WatchRecovery`); the balancer's own asking comes after that. Of many sidecars that is
         so only of a watch that stood. Where lists are pushed, it watches anew after each failure, and a run of them is
         logged once."""
         quiet = False
-        recovery: listclock.Recovery | None = None
+        recovery: listclock.WatchRecovery | None = None
         while place == self.place:
             now, clock = self.loop.now(), self._clock()
             until = now + (clock.fresh if self.pushed else clock.first)
             if recovery is not None:
-                until = recovery.answered_by(now)
+                until = recovery.give_up_at(now)
             end = yield from self._watch(place, address, version, quiet, until, late)
             version, late = self.version, None
             if place != self.place:
@@ -324,17 +324,17 @@
             yield Wait(None, 0, again_at)
             self._say_new_watch("anew")
 
-    def _recovery(self, end: End, clock: listclock.Clock) -> listclock.Recovery | None:
+    def _recovery(self, end: End, clock: listclock.WatchTimeouts) -> listclock.WatchRecovery | None:
         """Of a watch that ended so; None: it is left to the balancer to ask again."""
         if not end.silent and (end.answered or not end.refused):
             return None
         at_once = end.answered or self.callers <= listclock.SMALL_FLEET
         if end.silent and not at_once:
             return None
-        counts_at, anew = self.owed_since + listclock.WITHIN, listclock.ANEW if at_once else 0
+        counts_at, anew = self.owed_since + listclock.READ_WITHIN, listclock.FRESH_CALLS if at_once else 0
         if end.silent:
             counts_at = max(counts_at, self.loop.now() + anew * clock.fresh)
-        return listclock.Recovery(counts_at, self.callers, anew, clock.first, self.random)
+        return listclock.WatchRecovery(counts_at, self.callers, anew, clock.first, self.random)
 
     def _asked(self, place: int, version: int | None) -> Asked:
         """Of a call now; `version` is where the watch of a place left has got to."""
@@ -380,7 +380,7 @@
                         except Refused as error:
                             # A watch that is lost so is dear to set up anew, just where discovery is full.
                             again_at = self.loop.now() + self.options.discovery.calls_apart
-                            if not error.reusable or again_at > heard_at + listclock.GOES_ON:
+                            if not error.reusable or again_at > heard_at + listclock.NEXT_CALL_WITHIN:
                                 raise
                             self._say_failed(asked, str(error))
                             yield Wait(None, 0, again_at)
@@ -432,7 +432,7 @@
 
         Where discovery is busy it waits its turn, and the next one stands behind it. Given up for good, each would be
         worked off for nobody: a fleet with more calls than discovery can answer in time would hear of nothing."""
-        if silent.rest is None or len(self.late) >= listclock.LATE_CALLS:
+        if silent.rest is None or len(self.late) >= listclock.MAX_LATE_CALLS:
             return False
         call = LateCall(sock, place, address, asked, silent.rest)
         self.late.append(call)
@@ -448,7 +448,7 @@
         kept = False
         try:
             try:
-                answer = yield from call.rest(self.loop.now() + listclock.LATE)
+                answer = yield from call.rest(self.loop.now() + listclock.LATE_RESPONSE_WITHIN)
             finally:
                 self.late.remove(call)
             self._say_answered(call.asked, "answered late")
--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -5,7 +5,7 @@
     each of these --suppress--> DAMPED --reuse--> ASKING             each --stop--> DOWN
 
 A call waits at the partner as a watch of the platform's list does, and its silence is found out by the same clock
-(`loftweir/listclock.py`): past its wait and `silent_after` it is given up and asked anew at once without a wait, `ANEW`
+(`loftweir/listclock.py`): past its wait and `silent_after` it is given up and asked anew at once without a wait, `FRESH_CALLS`
 times, before the calls come apart.
 
 Invariants:
@@ -107,14 +107,14 @@
     @property
     def anew(self) -> int:
         """For the answer to each fresh call after a silent one."""
-        return min(listclock.LONGEST, (self.hold - self.wait - self.silent_after) // listclock.ANEW)
+        return min(listclock.LONGEST_FRESH_TIMEOUT, (self.hold - self.wait - self.silent_after) // listclock.FRESH_CALLS)
 
     @property
     def ceiling(self) -> float:
         return float(self.reuse * 2.0 ** (self.damped_most / self.half))
 
     def __post_init__(self) -> None:
-        least = self.wait + self.silent_after + listclock.ANEW * listclock.LEAST
+        least = self.wait + self.silent_after + listclock.FRESH_CALLS * listclock.SHORTEST_FRESH_TIMEOUT
         faults = [
             SettingFault(f"partners.{name}", str(getattr(self, name)), "above 0")
             for name in ("wait", "silent_after", "hold", "gone", "apart", "again", "ramp_within", "half", "damped_most")
@@ -281,7 +281,7 @@
         silent = self.asked
         actions.append(Failed(f"silent for {(now - self.until + silent.within) // MS} ms"))
         if silent.wait or self.fresh_calls:
-            self.fresh_calls = listclock.ANEW - 1 if silent.wait else self.fresh_calls - 1
+            self.fresh_calls = listclock.FRESH_CALLS - 1 if silent.wait else self.fresh_calls - 1
             return actions + self._ask(now, 0)
         self._later(now)
         return actions
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -18,7 +18,7 @@
 from loftweir.http1.discovery import Discovery
 from loftweir.http1.front import Front
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
-from loftweir.listclock import LEAST
+from loftweir.listclock import SHORTEST_FRESH_TIMEOUT
 from loftweir.net.loop import MS, READABLE, SECOND, WRITABLE, Coroutine, Loop, Task, Wait
 from loftweir.operations.address import DESCRIPTORS, Address
 from loftweir.operations.command_handler import CommandHandler
@@ -201,7 +201,7 @@
         self.commands.listed(known, addresses)
         if platform.settings.discovery_pushes:
             # What the agent has counts as told from this process's first moment, and the platform's list is older.
-            self.front.opens_at = self.loop.now() + LEAST
+            self.front.opens_at = self.loop.now() + SHORTEST_FRESH_TIMEOUT
         if platform.listen_fd is None:
             self.front.listen(platform.listen)
         else:
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -113,7 +113,7 @@
     rng = random.Random(",".join(row))
     for _ in range(300):
         script = Script(rng, row, down)
-        assert script.late() <= listclock.TOLD, (script.calls.options.discovery, script.changes, script.calls.asked_at)
+        assert script.late() <= listclock.NOTIFIED_AFTER, (script.calls.options.discovery, script.changes, script.calls.asked_at)
 
 
 @pytest.mark.parametrize("row", [*AFTER, [AT_ONCE, SILENT], [AT_ONCE, AT_ONCE], [LATE, LATE]], ids=", ".join)
@@ -121,7 +121,7 @@
     rng = random.Random(",".join(row))
     for _ in range(300):
         script = Script(rng, row, rng.random() < 0.5, pushed=True)
-        assert script.late() <= listclock.TOLD, (script.calls.options.discovery, script.changes, script.calls.asked_at)
+        assert script.late() <= listclock.NOTIFIED_AFTER, (script.calls.options.discovery, script.changes, script.calls.asked_at)
 
 
 @pytest.mark.parametrize("way", ["silent", "fails"])
@@ -129,17 +129,17 @@
     for method in ("fetch", "watch"):
         calls = Calls(Options(), lambda now, until, held: (way, MS), changes=0)
         calls.fetch() if method == "fetch" else calls.watch(True)
-        calls.loop.run(listclock.WITHIN - listclock.AGAIN)
+        calls.loop.run(listclock.READ_WITHIN - listclock.LONGEST_BACKOFF)
         assert len(calls.failed_at) >= 1 and calls.read_at is None
         before = [at for at in calls.asked_at if at < calls.failed_at[0]]
-        assert len(before) == (1 + listclock.ANEW if way == "silent" else 1)
+        assert len(before) == (1 + listclock.FRESH_CALLS if way == "silent" else 1)
 
 
 def test_the_news_of_a_silent_poll_come_before_they_count():
-    ways = iter([("silent", 0), ("silent", 0), ("good", listclock.LEAST)])
+    ways = iter([("silent", 0), ("silent", 0), ("good", listclock.SHORTEST_FRESH_TIMEOUT)])
     calls = Calls(Options(), lambda now, until, held: next(ways), changes=0)
     calls.fetch()
-    calls.loop.run(listclock.TOLD - listclock.AGAIN)
+    calls.loop.run(listclock.NOTIFIED_AFTER - listclock.LONGEST_BACKOFF)
     assert calls.read_at is not None and not calls.failed_at
 
 
@@ -162,11 +162,11 @@
     rng = random.Random(3)
     for _ in range(500):
         d = figures(rng).discovery
-        clock = listclock.clock(d.wait, d.silent_after, d.answer_within, d.connect_within, d.calls_apart)
-        assert listclock.LEAST <= clock.fresh <= listclock.LONGEST
-        assert clock.silent + listclock.ANEW * clock.fresh <= listclock.WITHIN
-        for backoff in (listclock.AGAIN, listclock.FIRST):
-            assert backoff + clock.first + listclock.ANEW * clock.fresh <= listclock.WITHIN
+        clock = listclock.watch_timeouts(d.wait, d.silent_after, d.answer_within, d.connect_within, d.calls_apart)
+        assert listclock.SHORTEST_FRESH_TIMEOUT <= clock.fresh <= listclock.LONGEST_FRESH_TIMEOUT
+        assert clock.silent + listclock.FRESH_CALLS * clock.fresh <= listclock.READ_WITHIN
+        for backoff in (listclock.LONGEST_BACKOFF, listclock.FIRST_CALL_WITHIN):
+            assert backoff + clock.first + listclock.FRESH_CALLS * clock.fresh <= listclock.READ_WITHIN
 
 
 @pytest.mark.parametrize("ask_within", [2 * SECOND, 10 * SECOND, 60 * SECOND])
@@ -179,7 +179,7 @@
         calls.loop.run(20 * SECOND)
         asked += calls.asked_at[1:]
     tenths = Counter(at // (100 * MS) for at in asked)
-    assert max(tenths.values()) <= 2 * 200 * 100 * MS // (min(ask_within, listclock.AGAIN) // 2)
+    assert max(tenths.values()) <= 2 * 200 * 100 * MS // (min(ask_within, listclock.LONGEST_BACKOFF) // 2)
     settled = [n for tenth, n in tenths.items() if 6 * SECOND <= tenth * 100 * MS < 19 * SECOND]
     assert max(settled) <= 2.5 * sum(settled) / len(settled)
 
@@ -191,7 +191,7 @@
     silent.watch(True)
     silent.loop.run(10 * SECOND)
     apart = silent.asked_at[1] - silent.asked_at[0]
-    least, most = (0, 0) if small else (listclock.AGAIN // 2, listclock.AGAIN)
+    least, most = (0, 0) if small else (listclock.LONGEST_BACKOFF // 2, listclock.LONGEST_BACKOFF)
     assert least <= apart - options.discovery.answer_within <= most
 
     stands = Calls(options, lambda now, until, held: ("silent" if held else "good", MS), callers=callers)
@@ -203,8 +203,8 @@
 
 
 def test_a_first_failure_is_made_good_soon_only_in_a_small_fleet_whose_list_is_old():
-    soon, later = (listclock.AGAIN // 2, 0), (listclock.AGAIN, listclock.AGAIN // 2)
-    old, large = listclock.WITHIN - listclock.AGAIN, listclock.SMALL_FLEET + 1
+    soon, later = (listclock.LONGEST_BACKOFF // 2, 0), (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF // 2)
+    old, large = listclock.READ_WITHIN - listclock.LONGEST_BACKOFF, listclock.SMALL_FLEET + 1
     for failures, age, callers, expected in (
         (1, None, 1, soon),
         (1, old, 1, soon),
@@ -258,7 +258,7 @@
         return any("wait_ms=" in head and "wait_ms=0" not in head for head, *_ in seen)
 
     def is_read_in_time(self, changed_at):
-        time.sleep(max(0.0, changed_at + listclock.TOLD / SECOND - time.monotonic()))
+        time.sleep(max(0.0, changed_at + listclock.NOTIFIED_AFTER / SECOND - time.monotonic()))
         before = len(self.providers[0].seen)
         answers = {self.invoke()[1] for _ in range(8)}
         self.assertEqual(len(self.providers[0].seen), before, self.log())
@@ -352,7 +352,7 @@
         self.assertTrue(eventually(lambda: any("after=10" in target for target in calls), 8), calls)
         went_on = next(target for target in calls if "after=10" in target)
         self.assertNotIn("wait_ms=0", went_on, "the next call of a watch that stands is held")
-        self.is_read_in_time(time.monotonic() - listclock.TOLD / SECOND + 0.5)
+        self.is_read_in_time(time.monotonic() - listclock.NOTIFIED_AFTER / SECOND + 0.5)
 
     def test_a_watch_whose_next_call_is_refused_goes_on(self):
         """Discovery had too many calls for a moment. A watch that was lost by that was set up anew after a second or
--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -18,7 +18,7 @@
 from loftweir.http1.back import Back, Pool
 from loftweir.http1.discovery import Answer, Discovery
 from loftweir.interface import Endpoint, Lifecycle, MembershipUpdate, UpdateKind
-from loftweir.listclock import TOLD
+from loftweir.listclock import NOTIFIED_AFTER
 from loftweir.net.loop import MS, READABLE, TURN_LASTS, Loop, Wait
 
 
@@ -167,7 +167,7 @@
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         self.catalog.index, self.catalog.entries = 3, [leaving(self.entries[0]), self.entries[1]]
         self.catalog.come_back()
-        self.assertTrue(eventually(lambda: self.told("full"), TOLD / SECOND), self.log())
+        self.assertTrue(eventually(lambda: self.told("full"), NOTIFIED_AFTER / SECOND), self.log())
         self.nothing_goes_to_the_first()
 
 
--- a/tests/test_list_crowd.py
+++ b/tests/test_list_crowd.py
@@ -23,7 +23,7 @@
     """They came again in one moment, waited over 600 ms for their turn, were given up, and were made anew in step: of
     1,150 readings of changes 436 never came."""
     late = lags(8 * MS)
-    assert len(late) == 230 * 5 and max(late) <= listclock.TOLD
+    assert len(late) == 230 * 5 and max(late) <= listclock.NOTIFIED_AFTER
 
 
 def test_a_fleet_with_more_calls_than_discovery_answers_in_time_hears_of_every_change():
@@ -41,7 +41,7 @@
         fleet = [Queued(clock, busy, 1000 * play + seed, callers) for seed in range(sidecars)]
         clock.run(60 * SECOND)
         late += sum(
-            sidecar.read.get(version, 1 << 62) - busy.changes[version - 2] > listclock.TOLD
+            sidecar.read.get(version, 1 << 62) - busy.changes[version - 2] > listclock.NOTIFIED_AFTER
             for sidecar in fleet
             for version in range(2, 7)
         )
@@ -63,7 +63,7 @@
 def told_at(sidecar, change):
     """When a change counts as told to a sidecar that was started at 0: 6 s after it was made where a call has failed or
     was given up by then; for as long as none has, when the settings have it ask at the latest."""
-    by = change + listclock.TOLD
+    by = change + listclock.NOTIFIED_AFTER
     failed = any(at <= by for at in sidecar.failed_at)
     return by if failed else max(by, sidecar.balancer.settings.safety.ask_within)
 
@@ -99,15 +99,15 @@
 
 @pytest.mark.parametrize("callers", [17, 32, 200, 580])
 def test_many_sidecars_have_a_turn_each_at_their_first_calls(callers):
-    turns = [listclock.first_ask(10 * SECOND, callers, me) for me in range(callers)]
+    turns = [listclock.first_call_delay(10 * SECOND, callers, me) for me in range(callers)]
     assert all(before == least for (before, _), (_, least) in itertools.pairwise(turns))
-    assert turns[0][1] == 0 and turns[-1][0] <= listclock.FIRST_IN_LARGE_FLEET
+    assert turns[0][1] == 0 and turns[-1][0] <= listclock.FIRST_CALL_WITHIN_LARGE_FLEET
 
 
 def test_the_next_call_waits_for_the_whole_backoff_while_a_late_answer_may_come():
     """Made sooner, it takes as long again of a busy discovery's time, for nothing where that answer comes."""
     for failures, callers in ((1, 1), (1, 32), (3, 32)):
-        assert listclock.backoff(60 * SECOND, failures, None, callers, heard=True) == (listclock.AGAIN, listclock.AGAIN)
+        assert listclock.backoff(60 * SECOND, failures, None, callers, response_pending=True) == (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF)
 
 
 def test_a_failure_says_whether_a_late_answer_may_still_come():
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -46,7 +46,7 @@
 def test_watches_that_fall_silent_together_are_set_up_anew_before_the_missed_drain_counts(sidecars, new_watch_ms):
     for patience in PATIENCES:
         lags = lags_of_missed_change(sidecars, new_watch_ms * MS, patience)
-        late = [lag // MS for lag in lags if lag > listclock.TOLD]
+        late = [lag // MS for lag in lags if lag > listclock.NOTIFIED_AFTER]
         assert not late, (patience // MS, len(late), len(lags), late)
 
 
@@ -109,7 +109,7 @@
 def test_a_refused_call_is_made_again_until_what_was_missed_counts():
     sidecar = Ends(SILENT, *[REFUSED] * 40)
     watched_at, *refused_at = sidecar.made_at
-    due = watched_at - sidecar.options.discovery.calls_apart + listclock.WITHIN
+    due = watched_at - sidecar.options.discovery.calls_apart + listclock.READ_WITHIN
     within = [at for at in refused_at if at <= due]
     assert len(within) >= 4 and due - within[-1] <= 500 * MS, (watched_at, refused_at)
 
@@ -119,7 +119,7 @@
     (failure,) = sidecar.failures
     assert failure.response_pending
     next_call_at = next(at for at in sidecar.asked_at if at > sidecar.made_at[-1])
-    assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST + REFUSED_LATE_AFTER + MS
+    assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST_FRESH_TIMEOUT + REFUSED_LATE_AFTER + MS
 
 
 class CrowdedCatalog(Catalog):
@@ -205,7 +205,7 @@
         self.catalog.change(drained)
         changed_at = time.monotonic()
         self.catalog.silent = False
-        time.sleep(changed_at + listclock.TOLD / SECOND - time.monotonic())
+        time.sleep(changed_at + listclock.NOTIFIED_AFTER / SECOND - time.monotonic())
         before = len(self.providers[0].seen)
         for listen in self.listens:
             self.listen = listen
