--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -294,9 +294,9 @@
 
     def _follow(self, place: int, address: str, version: int | None, late: LateAnswer | None = None) -> Coroutine[None]:
         """Watches until a call fails. One that fell silent or was refused is set up anew while what it missed does not
-        count as told yet (`listclock.WatchRecovery`); the balancer's own asking comes after that. Of many sidecars that is
-        so only of a watch that stood. Where lists are pushed, it watches anew after each failure, and a run of them is
-        logged once."""
+        count as told yet (`listclock.WatchRecovery`); the balancer's own asking comes after that. Of many sidecars that
+        is so only of a watch that stood. Where lists are pushed, it watches anew after each failure, and a run of them
+        is logged once."""
         quiet = False
         recovery: listclock.WatchRecovery | None = None
         while place == self.place:
--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -5,8 +5,8 @@
     each of these --suppress--> DAMPED --reuse--> ASKING             each --stop--> DOWN
 
 A call waits at the partner as a watch of the platform's list does, and its silence is found out by the same clock
-(`loftweir/listclock.py`): past its wait and `silent_after` it is given up and asked anew at once without a wait, `FRESH_CALLS`
-times, before the calls come apart.
+(`loftweir/listclock.py`): past its wait and `silent_after` it is given up and asked anew at once without a wait,
+`FRESH_CALLS` times, before the calls come apart.
 
 Invariants:
  1. Only a good answer to a call of this life confirms: a fault, a silence or an old table confirms nothing, so that a
@@ -107,7 +107,8 @@
     @property
     def anew(self) -> int:
         """For the answer to each fresh call after a silent one."""
-        return min(listclock.LONGEST_FRESH_TIMEOUT, (self.hold - self.wait - self.silent_after) // listclock.FRESH_CALLS)
+        left = self.hold - self.wait - self.silent_after
+        return min(listclock.LONGEST_FRESH_TIMEOUT, left // listclock.FRESH_CALLS)
 
     @property
     def ceiling(self) -> float:
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -113,7 +113,8 @@
     rng = random.Random(",".join(row))
     for _ in range(300):
         script = Script(rng, row, down)
-        assert script.late() <= listclock.NOTIFIED_AFTER, (script.calls.options.discovery, script.changes, script.calls.asked_at)
+        late, calls = script.late(), script.calls
+        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.asked_at)
 
 
 @pytest.mark.parametrize("row", [*AFTER, [AT_ONCE, SILENT], [AT_ONCE, AT_ONCE], [LATE, LATE]], ids=", ".join)
@@ -121,7 +122,8 @@
     rng = random.Random(",".join(row))
     for _ in range(300):
         script = Script(rng, row, rng.random() < 0.5, pushed=True)
-        assert script.late() <= listclock.NOTIFIED_AFTER, (script.calls.options.discovery, script.changes, script.calls.asked_at)
+        late, calls = script.late(), script.calls
+        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.asked_at)
 
 
 @pytest.mark.parametrize("way", ["silent", "fails"])
--- a/tests/test_list_crowd.py
+++ b/tests/test_list_crowd.py
@@ -107,7 +107,8 @@
 def test_the_next_call_waits_for_the_whole_backoff_while_a_late_answer_may_come():
     """Made sooner, it takes as long again of a busy discovery's time, for nothing where that answer comes."""
     for failures, callers in ((1, 1), (1, 32), (3, 32)):
-        assert listclock.backoff(60 * SECOND, failures, None, callers, response_pending=True) == (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF)
+        delays = listclock.backoff(60 * SECOND, failures, None, callers, response_pending=True)
+        assert delays == (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF)
 
 
 def test_a_failure_says_whether_a_late_answer_may_still_come():
