--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -25,7 +25,7 @@
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
 from loftweir.net.loop import READABLE, Coroutine, Loop, Wait
 from loftweir.replication.follower import Follower
-from loftweir.settings import Nested, settings_and_faults
+from loftweir.settings import JsonValues, settings_and_faults
 from loftweir.telemetry import log
 
 WORD, LIST = "word", "list"  # kinds of changes
@@ -138,7 +138,7 @@
     """A process of its own: runs until it is killed. Any message over the pipe is answered by how all stand."""
     log.LOGGER.setLevel(logging.CRITICAL)
     loop = Loop()
-    settings, faults = settings_and_faults(Nested(plan.settings))
+    settings, faults = settings_and_faults(JsonValues(plan.settings))
     assert settings is not None, faults
     words, lists = (Arrivals(kind, len(plan.names), pipe) for kind in (WORD, LIST))
     hollows = {name: Hollow(loop, name, plan, settings, words, lists) for name in plan.names}
--- a/benchmarks/scale/stages.py
+++ b/benchmarks/scale/stages.py
@@ -23,7 +23,7 @@
 from loftweir.interface import Settings
 from loftweir.net.loop import Loop
 from loftweir.operations.overlay import Overlay
-from loftweir.settings import Nested, settings_and_faults
+from loftweir.settings import JsonValues, settings_and_faults
 
 ROOM = 1 << 24
 CONNECTIONS = 256
@@ -64,7 +64,7 @@
     parser.add_argument("--entries", default="50,100,200,400,580,1160")
     parser.add_argument("--rounds", type=int, default=5)
     wanted = parser.parse_args()
-    settings, faults = settings_and_faults(Nested(PLATFORM_SETTINGS))
+    settings, faults = settings_and_faults(JsonValues(PLATFORM_SETTINGS))
     assert settings is not None, faults
     for entries in map(int, wanted.entries.split(",")):
         taken = stages(settings, entries, wanted.rounds)
--- a/loftweir/config/platform.py
+++ b/loftweir/config/platform.py
@@ -14,7 +14,7 @@
 from loftweir.config.model import Options
 from loftweir.config.units import host_and_port, seats
 from loftweir.interface import MembershipUpdate, Settings, UpdateKind
-from loftweir.settings import Nested, settings_and_faults
+from loftweir.settings import JsonValues, settings_and_faults
 
 FILE_VARIABLE = "RELAY_CONFIG"
 LISTEN_FD = "RELAY_LISTEN_FD"
@@ -121,7 +121,7 @@
         if not isinstance(value, dict):
             self.fault("settings", "an object, the instance's settings", value)
             return None
-        settings, faults = settings_and_faults(Nested(value))
+        settings, faults = settings_and_faults(JsonValues(value))
         for path, got, expected in faults:
             self.fault(f"settings.{path}" if path else "settings", expected, MISSING if got is None else got)
         return settings
--- a/loftweir/settings.py
+++ b/loftweir/settings.py
@@ -49,7 +49,7 @@
         raise WireError(f"field {field}: {text!r} is none of {', '.join(known)}") from None
 
 
-class Wrong(NamedTuple):
+class ValueFault(NamedTuple):
     """One fault of the settings: where, what stood there (None: nothing) and what was expected."""
 
     path: str
@@ -67,7 +67,7 @@
     """
 
     def __init__(self) -> None:
-        self.wrong: list[Wrong] = []
+        self.wrong: list[ValueFault] = []
 
     @abstractmethod
     def get(self, path: str) -> Any:
@@ -94,7 +94,7 @@
 
     def fault(self, path: str, value: Any, expected: str) -> None:
         if len(self.wrong) < MOST_FAULTS:
-            self.wrong.append(Wrong(path, None if value is None else str(value), expected))
+            self.wrong.append(ValueFault(path, None if value is None else str(value), expected))
 
     def read(self, path: str, default: T | None, read: Callable[[str, Any], T], instead: T, expected: str) -> T:
         value = self.get(path)
@@ -130,7 +130,7 @@
         return self.read(path, default, read, next(iter(known.values())), f"one of {', '.join(known)}")
 
 
-class Pairs(Values):
+class PathValues(Values):
     """The path=value pairs of a LAUNCH line; `-` is an absent one."""
 
     def __init__(self, parts: Iterable[str]) -> None:
@@ -176,7 +176,7 @@
         return "null"
 
 
-class Nested(Values):
+class JsonValues(Values):
     """The same as an object of JSON, each value of its own kind: no number from the same digits as text. A null is no
     default: where a key is said, its value is due."""
 
@@ -245,7 +245,7 @@
 
 def read_settings(parts: Iterable[str]) -> api.Settings:
     """The settings; a WireError names the first fault."""
-    settings, wrong = settings_and_faults(Pairs(parts))
+    settings, wrong = settings_and_faults(PathValues(parts))
     if settings is None:
         path, value, expected = wrong[0]
         what = f"required key {path} is missing" if value is None else f"{path}: {value!r} is not {expected}"
@@ -253,7 +253,7 @@
     return settings
 
 
-def settings_and_faults(p: Values) -> tuple[api.Settings | None, list[Wrong]]:
+def settings_and_faults(p: Values) -> tuple[api.Settings | None, list[ValueFault]]:
     """The settings, or None and all that is wrong with them."""
     classes, tenants = read_classes(p), read_tenants(p)
     pushed = p.member("discovery", {"push": True, "ask": False})
@@ -296,7 +296,7 @@
             return None, p.wrong
         places = {f"classes.{name}": f"profiles.{i}" for i, name in enumerate(classes)}
         places |= {f"tenants.{name}": f"accounts.{i}" for i, name in enumerate(tenants)}
-        return None, [Wrong(path_of(name, places), value, expected) for name, value, expected in error.faults]
+        return None, [ValueFault(path_of(name, places), value, expected) for name, value, expected in error.faults]
     return (None, p.wrong) if p.wrong else (settings, [])
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from loftweir.config.faults import MISSING
 from loftweir.config.model import Options
 from loftweir.interface import Effect, Scope
-from loftweir.settings import Pairs, settings_and_faults
+from loftweir.settings import PathValues, settings_and_faults
 
 GONE = object()  # the field is not there
 LONGEST = 2**63 - 1
@@ -197,7 +197,7 @@
 
 
 def of_the_wire(settings):
-    return settings_and_faults(Pairs(platform.flatten(settings)))
+    return settings_and_faults(PathValues(platform.flatten(settings)))
 
 
 # Names are any text there, and a list of objects is its count.
