--- a/loftweir/balance.py
+++ b/loftweir/balance.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class ProviderState:
     """A server of the list, and what this balancer has seen of it."""
 
     address: str
@@ -77,13 +77,13 @@
     cell: int = 0
     weight: float = 1.0
     ready: bool = False
-    suspicion: float = 0.0  # failures seen of late, each success takes some back
+    penalty: float = 0.0  # failures seen of late, each success takes some back
     out_until: int = 0  # set aside until then; 0: not set aside
     strikes: int = 0  # how often in a row it was set aside
     doubt: float = 0.0  # failures of late, of any class; an answer takes half of it back
     failed_at: int = 0  # the latest of them
     trust: float = 0.0  # the part of good answers of late
-    records: dict[str, Record] = field(default_factory=dict)  # by class: one may fail where the others are served
+    failure_rates: dict[str, Record] = field(default_factory=dict)  # by class: one may fail where the others are served
     out: dict[Try, None] = field(default_factory=dict)  # this balancer's calls that it holds, the oldest first
     sent_at: int = 0  # the latest of them
     lately: deque[float] = field(default_factory=lambda: deque([-inf] * LATELY, LATELY))  # when the last were sent
@@ -92,18 +92,18 @@
     wait: float = 0.0  # what an answer takes, of late
     pace: float = 0.0  # what one more call out adds to the time of an answer; 0: not known yet
     full_until: int = 0  # it turned a call away, or took no connection: passed over until then
-    called_back: bool = False  # its operators say that it may serve again
+    reenabled: bool = False  # its operators say that it may serve again
 
     def update(self, endpoint: Endpoint, now: int, heard_at: int | None) -> None:
         """`heard_at`: when the list before this one was heard."""
         if endpoint.started_at != self.listed_start:
             self.started_at = start(endpoint.started_at, now, heard_at)
-            self.suspicion, self.out_until, self.strikes = 0.0, 0, 0  # a new process: its past is not its own
+            self.penalty, self.out_until, self.strikes = 0.0, 0, 0  # a new process: its past is not its own
             self.trust, self.wait, self.pace, self.full_until, self.doubt = 0.0, 0.0, 0.0, 0, 0.0
-            self.records, self.told_at = {}, now
+            self.failure_rates, self.told_at = {}, now
         self.cell = endpoint.cell
         self.weight = endpoint.weight
-        self.called_back = endpoint.reenabled
+        self.reenabled = endpoint.reenabled
         self.listed_start = endpoint.started_at
         self.ready = endpoint.lifecycle is Lifecycle.READY
 
@@ -125,7 +125,7 @@
 
     __slots__ = ("server", "group", "cls", "sent_at", "place", "out", "never_ran", "late", "counted")
 
-    def __init__(self, server: Server, cls: RequestClass, sent_at: int) -> None:
+    def __init__(self, server: ProviderState, cls: RequestClass, sent_at: int) -> None:
         self.server = server
         self.group = server.group(cls.scope)  # as it was then: a list may put its server into another one
         self.cls = cls
@@ -164,8 +164,8 @@
 class Pool:
     """Servers to spread over, in rounds: each has its turns in a round, by its share."""
 
-    servers: list[Server] = field(default_factory=list)
-    turns: list[Server] = field(default_factory=list)
+    providers: list[ProviderState] = field(default_factory=list)
+    turns: list[ProviderState] = field(default_factory=list)
     round_began_at: int = 0
     warmth: float = 1.0  # what the servers can do now, as a part of what they can do warm
     all_frail: bool = False  # so all of them have only just started
@@ -188,17 +188,17 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self.random, self.phases = Random(seed), Random(f"phases {seed}")
         self.now = 0
-        self.servers: dict[str, Server] = {}  # all that the list names as ready or draining
+        self.providers: dict[str, ProviderState] = {}  # all that the list names as ready or draining
         self.calls: dict[str, Call] = {}
         self.tries: dict[tuple[str, int], Try] = {}  # all that are out, also of requests that are over
         self.held: dict[str, Call] = {}  # calls with no attempt out, waiting for a server
         self.heard_at: int | None = None  # the latest list of discovery
         self.near, self.far = Pool(), Pool()  # the ready servers of the own zone, and of the others
         self.retry_budget = RETRY_BURST
-        self.mix: dict[str, float] = {}  # the part of each class of late
+        self.class_shares: dict[str, float] = {}  # the part of each class of late
         self.usual: dict[str, UsualTime] = {}  # by class
         self.gap = self.asked = 0.0  # the mean time from one request to the next, and of how many
-        self.began = self.asked_at = 0  # when the first and the latest came
+        self.began = self.last_request_at = 0  # when the first and the latest came
         self.asking, self.failures_to_ask = False, 0
         self.actions: list[Action] = []
         self._use(settings)
@@ -228,17 +228,17 @@
     def _use(self, settings: Settings) -> None:
         """These settings from now on; calls keep their class, what was learnt of classes now gone is dropped."""
         self.settings, classes = settings, settings.classes
-        parts = {name: self.mix.get(name, 1 / len(classes)) for name in classes}
-        self.mix = {name: part / sum(parts.values()) for name, part in parts.items()}
+        parts = {name: self.class_shares.get(name, 1 / len(classes)) for name in classes}
+        self.class_shares = {name: part / sum(parts.values()) for name, part in parts.items()}
         self.usual = {name: self.usual.get(name, UsualTime()) for name in classes}
         self._take_step()
-        for server in self.servers.values():
-            server.records = {name: record for name, record in server.records.items() if name in classes}
+        for server in self.providers.values():
+            server.failure_rates = {name: record for name, record in server.failure_rates.items() if name in classes}
         self._rebuild()
 
     def _take_step(self) -> None:
         classes = self.settings.classes
-        self.step = step_length(sum(part * classes[name].aim for name, part in self.mix.items()), self.gap)
+        self.step = step_length(sum(part * classes[name].aim for name, part in self.class_shares.items()), self.gap)
 
     # ---- membership and discovery ---------------------------------------------------------------
 
@@ -256,14 +256,14 @@
             self.failures_to_ask = 0
         if update.kind is not UpdateKind.CHANGES:
             listed = {e.address for e in update.endpoints}
-            self.servers = {address: server for address, server in self.servers.items() if address in listed}
+            self.providers = {address: server for address, server in self.providers.items() if address in listed}
         for endpoint in update.endpoints:
             if endpoint.lifecycle is Lifecycle.GONE:
-                self.servers.pop(endpoint.address, None)
+                self.providers.pop(endpoint.address, None)
                 continue
-            server = Server(endpoint.address, endpoint.zone, endpoint.started_at, self.now, self.phases.random())
+            server = ProviderState(endpoint.address, endpoint.zone, endpoint.started_at, self.now, self.phases.random())
             server.started_at = start(endpoint.started_at, self.now, None)
-            self.servers.setdefault(endpoint.address, server).update(endpoint, self.now, self.heard_at)
+            self.providers.setdefault(endpoint.address, server).update(endpoint, self.now, self.heard_at)
         if update.kind is not UpdateKind.REMEMBERED:
             self.heard_at = self.now
         self._rebuild()
@@ -278,33 +278,33 @@
 
     # ---- health -----------------------------------------------------------------------------------
 
-    def _pool(self, server: Server) -> Pool:
+    def _pool(self, server: ProviderState) -> Pool:
         return self.near if server.zone == self.settings.zone else self.far
 
-    def _suspect(self, server: Server, blame: float) -> None:
+    def _suspect(self, server: ProviderState, blame: float) -> None:
         """Passive outlier ejection, on this balancer's own evidence; refusals as full are not ill health."""
-        server.suspicion += blame
-        if server.suspicion < 1 or self.now < server.out_until:
+        server.penalty += blame
+        if server.penalty < 1 or self.now < server.out_until:
             return
         # Panic threshold: where most are ill by this view, the view is wrong or the rest would be drowned.
         pool = self._pool(server)
-        out = sum(s.out_until > self.now for s in pool.servers)
-        if 2 * (out + 1) > len(pool.servers):
+        out = sum(s.out_until > self.now for s in pool.providers)
+        if 2 * (out + 1) > len(pool.providers):
             return
         safety = self.settings.safety
         rest = min(safety.warm_within, safety.fall_after * 2**server.strikes)
         server.strikes += 1
         server.out_until = self.now + rest + self.random.randrange(rest // 4 + 1)
-        server.suspicion = 0.5
+        server.penalty = 0.5
         pool.turns = [s for s in pool.turns if s is not server]
 
-    def _blame(self, server: Server, cls: RequestClass, crowd: bool) -> None:
+    def _blame(self, server: ProviderState, cls: RequestClass, crowd: bool) -> None:
         """A failure of one that answers well otherwise is that answer's, of one that serves other classes
         that class's; of any other the server's. No connection (`crowd`) is always the server's."""
         if not crowd:
             server.doubt = min(LONGEST_ROW, server.doubt + (1 if server.trust < KNOWN else 0.5))
             server.failed_at = self.now
-        if not crowd and any(self._fails(server, c) < AILING for c in server.records if c != cls.name):
+        if not crowd and any(self._fails(server, c) < AILING for c in server.failure_rates if c != cls.name):
             return
         blame = 1 - TRUSTED * server.trust
         server.trust *= 1 - 1 / TRUST_MEMORY
@@ -320,11 +320,11 @@
         server = attempt.server
         server.trust += (1 - server.trust) / TRUST_MEMORY
         if elapsed <= attempt.cls.aim and not self._frail(server):
-            server.suspicion /= 2
-            if server.suspicion < 0.1:
+            server.penalty /= 2
+            if server.penalty < 0.1:
                 server.strikes = 0
 
-    def _overrun(self, server: Server, cls: RequestClass) -> None:
+    def _overrun(self, server: ProviderState, cls: RequestClass) -> None:
         """A call takes far too long. Late answers are the crowd's; silence blames the server, the less the more of a
         crowd there is. One that is cold is slow for that."""
         if self._frail(server):
@@ -342,12 +342,12 @@
         for pool in (self.near, self.far):
             self._settle(pool)
             pool.turns = []
-        ready = [s for s in self.servers.values() if s.ready]
-        self.near.servers = [s for s in ready if s.zone == self.settings.zone]
-        self.far.servers = [s for s in ready if s.zone != self.settings.zone]
-        self.back = [s for s in self.far.servers if s.called_back or self.settings.balancers < len(self.settings.zones)]
+        ready = [s for s in self.providers.values() if s.ready]
+        self.near.providers = [s for s in ready if s.zone == self.settings.zone]
+        self.far.providers = [s for s in ready if s.zone != self.settings.zone]
+        self.back = [s for s in self.far.providers if s.reenabled or self.settings.balancers < len(self.settings.zones)]
 
-    def _able(self, server: Server) -> float:
+    def _able(self, server: ProviderState) -> float:
         """The least part of its capacity that a server can do now: from `cold_from` evenly to all in `warm_within`."""
         safety = self.settings.safety
         age = self.now - server.started_at
@@ -355,11 +355,11 @@
             return 1.0
         return safety.cold_from + (1 - safety.cold_from) * max(0, age) / safety.warm_within
 
-    def _frail(self, server: Server) -> bool:
+    def _frail(self, server: ProviderState) -> bool:
         """So cold that the traffic of a crowd, twice what its size could carry warm, would push it over."""
         return self._able(server) * self.settings.safety.fall_multiple < 2
 
-    def _harmless(self, server: Server) -> int:
+    def _harmless(self, server: ProviderState) -> int:
         """How many calls in `fall_after` this balancer may send a frail server, whatever others send: its part of the
         chance beside the budget, 2 x root of it + 2, where all are asked for no more; else none."""
         settings = self.settings
@@ -373,13 +373,13 @@
         part = int((2 * sqrt(budget) + 2) / settings.balancers)
         return part if asked <= part * settings.balancers * pool.size else 0
 
-    def _size(self, server: Server) -> float:
+    def _size(self, server: ProviderState) -> float:
         return server.weight if self.settings.capacity_known else 1.0
 
     def _settle(self, pool: Pool) -> float:
-        return pool.settle(self.now, self.settings.safety.warm_within // 2, sum(map(self._size, pool.servers)))
+        return pool.settle(self.now, self.settings.safety.warm_within // 2, sum(map(self._size, pool.providers)))
 
-    def _share(self, server: Server) -> float:
+    def _share(self, server: ProviderState) -> float:
         """A server's part of the spread: its size, less what it cannot do while it is cold, and less again in a crowd,
         whose repeats multiply what arrives. So the balancers together send it no more than it can do."""
         size, able = self._size(server), self._able(server)
@@ -393,45 +393,45 @@
 
     def _begin_round(self, pool: Pool) -> None:
         """A new round: one turn a server on average, each by its share, at random only in the rest."""
-        servers = [s for s in pool.servers if s.out_until <= self.now]
-        if 2 * len(servers) < len(pool.servers):
-            servers = pool.servers[:]  # the panic threshold again: servers may have left since
-        if pool is self.far and self.near.servers:
+        providers = [s for s in pool.providers if s.out_until <= self.now]
+        if 2 * len(providers) < len(pool.providers):
+            providers = pool.providers[:]  # the panic threshold again: servers may have left since
+        if pool is self.far and self.near.providers:
             # What overflows is a crowd's, of no known size: only a cold server's own zone may feed it.
-            servers = [s for s in servers if not self._frail(s)]
-        if not servers:
+            providers = [s for s in providers if not self._frail(s)]
+        if not providers:
             return
         pool.turns = []
         pool.round_began_at = self.now
-        self.random.shuffle(servers)
-        shares = [self._share(s) for s in servers]
+        self.random.shuffle(providers)
+        shares = [self._share(s) for s in providers]
         total = sum(shares)
         # Servers set aside, or gone of late, count in the whole while some are cold: these must not get their part.
-        whole = sum(self._size(s) for s in servers)
-        if any(self._frail(s) for s in servers):
+        whole = sum(self._size(s) for s in providers)
+        if any(self._frail(s) for s in providers):
             whole = max(whole, self._settle(pool))
-        pool.warmth, pool.all_frail = total / whole, all(map(self._frail, servers))
-        scale, point = len(servers) / total, self.random.random()
-        for server, share in zip(servers, shares, strict=True):
+        pool.warmth, pool.all_frail = total / whole, all(map(self._frail, providers))
+        scale, point = len(providers) / total, self.random.random()
+        for server, share in zip(providers, shares, strict=True):
             point -= share * scale
             while point < 0:
                 pool.turns.append(server)
                 point += 1
         self.random.shuffle(pool.turns)
 
-    def _next(self, cls: RequestClass) -> Server | None:
+    def _next(self, cls: RequestClass) -> ProviderState | None:
         """Blind to load: the next turn of the own zone, or of the other zones where that has no server. A zone whose
         servers are cold keeps what they can do and lets the rest overflow, which would push them over."""
-        pool = self.near if any(s.out_until <= self.now for s in self.near.servers) else self.far
-        pool = pool if pool.servers else self.near
-        if not pool.servers:
+        pool = self.near if any(s.out_until <= self.now for s in self.near.providers) else self.far
+        pool = pool if pool.providers else self.near
+        if not pool.providers:
             return None
         for server in self.back if pool is self.near else ():
             if self._is_due(server, cls):
                 return server
         self._refresh(pool)
         away = shed = 1 - pool.warmth * (1 - pool.crowding.pressure)
-        if pool is self.near and self.far.servers:
+        if pool is self.near and self.far.providers:
             self._refresh(self.far)
             if self.far.turns:
                 far = self.far.crowding
@@ -443,9 +443,9 @@
         drawn = self._draw(pool, cls) or (self._draw(self.far, cls) if pool is self.near else None)
         if drawn is not None:
             return drawn
-        servers = self.far.servers if self.near.all_frail else self.near.servers + self.far.servers
-        up = [s for s in servers if s.out_until <= self.now and not self._frail(s)]
-        mean = sum(part * self.settings.classes[name].worth for name, part in self.mix.items())
+        providers = self.far.providers if self.near.all_frail else self.near.providers + self.far.providers
+        up = [s for s in providers if s.out_until <= self.now and not self._frail(s)]
+        mean = sum(part * self.settings.classes[name].worth for name, part in self.class_shares.items())
         # What is worth most is sent as long as it may be in time at all: the rest left it that room.
         if cls.worth >= mean * (1 - 1e-9) and (able := [s for s in up if self._may_do(s, cls)]):
             return min(able, key=lambda s: s.pace * (len(s.out) + 1))
@@ -453,7 +453,7 @@
         able = [s for s in up if self._has_room(s, cls)]
         return min(able, key=lambda s: self._fails(s, cls.name), default=None)
 
-    def _is_due(self, server: Server, cls: RequestClass) -> bool:
+    def _is_due(self, server: ProviderState, cls: RequestClass) -> bool:
         """Whether a cold one of another zone is to be fed its even share, of what may be repeated: nobody else may send
         to it. With as much again from its own zone's balancers it stays under fall_multiple."""
         if cls.effect is not Effect.REPEATABLE or not self._frail(server) or server.out_until > self.now:
@@ -468,24 +468,24 @@
         if part <= 0:
             return False
         classes = self.settings.classes
-        less = sum(p for name, p in self.mix.items() if classes[name].worth < cls.worth)
-        same = sum(p for name, p in self.mix.items() if classes[name].worth == cls.worth)
+        less = sum(p for name, p in self.class_shares.items() if classes[name].worth < cls.worth)
+        same = sum(p for name, p in self.class_shares.items() if classes[name].worth == cls.worth)
         return self.random.random() * same < part - less
 
-    def _may_do(self, server: Server, cls: RequestClass) -> bool:
+    def _may_do(self, server: ProviderState, cls: RequestClass) -> bool:
         sound = server.full_until <= self.now and self._sound(server, cls)
         return sound and server.pace * (len(self._held_by(server, cls)) + 1) <= cls.aim * ALONE
 
-    def _fails(self, server: Server, name: str) -> float:
+    def _fails(self, server: ProviderState, name: str) -> float:
         """The part of its answers to this class that fail. It is forgotten with time, the more slowly the
         longer nothing else came, so that a server is tried again, but not at the cost of many requests."""
-        record = server.records.get(name)
+        record = server.failure_rates.get(name)
         if record is None or not record.part:
             return 0.0
         half = max(1, self.settings.safety.fall_after) * 2**record.row
         return float(record.part * 0.5 ** ((self.now - record.at) / half))
 
-    def _sound(self, server: Server, cls: RequestClass) -> bool:
+    def _sound(self, server: ProviderState, cls: RequestClass) -> bool:
         """Whether it is to be sent this class. A balancer that meets a server seldom learns of its fault from one
         failure: until it has answered again, only what may be repeated tries it."""
         if self._fails(server, cls.name) >= AILING:
@@ -494,17 +494,17 @@
         doubted = server.doubt >= 1 and since < self.settings.safety.fall_after * 2**server.doubt
         return not doubted or cls.effect is Effect.REPEATABLE
 
-    def _record(self, server: Server, cls: RequestClass, failed: bool) -> None:
-        record = server.records.setdefault(cls.name, Record())
+    def _record(self, server: ProviderState, cls: RequestClass, failed: bool) -> None:
+        record = server.failure_rates.setdefault(cls.name, Record())
         part = self._fails(server, cls.name)
         record.part = part + (failed - part) / FAILS_MEMORY
         record.row = min(LONGEST_ROW, record.row + 1) if failed else 0
         record.at = self.now
 
-    def _draw(self, pool: Pool, cls: RequestClass) -> Server | None:
+    def _draw(self, pool: Pool, cls: RequestClass) -> ProviderState | None:
         """The next turn of a server that can take a call; where none is left, one more round. One that holds many
         more calls than its peers is slower: its turn goes to them (bounded loads, Mirrokni et al., 2018)."""
-        most = 1 + MOST_HELD * len(self.tries) / max(1, len(pool.servers))
+        most = 1 + MOST_HELD * len(self.tries) / max(1, len(pool.providers))
         for _ in range(2):
             for _ in range(min(MOST_TURNS, len(pool.turns))):
                 server = pool.turns.pop()
@@ -513,12 +513,12 @@
                     return server
                 if self._frail(server):
                     pool.turns.insert(0, server)  # its turn comes when its distance is kept
-            if pool.turns or not any(self._has_room(s, cls) for s in pool.servers):
+            if pool.turns or not any(self._has_room(s, cls) for s in pool.providers):
                 return None
             self._begin_round(pool)
         return None
 
-    def _has_room(self, server: Server, cls: RequestClass) -> bool:
+    def _has_room(self, server: ProviderState, cls: RequestClass) -> bool:
         """Whether it can still answer in time, by this balancer's own calls there. One that holds as many as that is
         not usable now. A call out for long says that it is jammed; one back from being set aside gets one."""
         if server.full_until > self.now:
@@ -541,28 +541,28 @@
         part = ROOM["near" if server.zone == self.settings.zone else "far"]
         return server.pace * (len(held) + 1) <= cls.aim * part
 
-    def _slow(self, server: Server, cls: RequestClass) -> bool:
+    def _slow(self, server: ProviderState, cls: RequestClass) -> bool:
         """Whether answers of late took too long there, though none of ours waits: met seldom, its queue is made of
         others' calls. Forgotten with time, so that it is tried again; and no reason to turn a request away."""
         return self.now - server.sent_at > cls.aim and self._wait(server) > self._late_after(cls) * ALONE
 
-    def _wait(self, server: Server) -> float:
+    def _wait(self, server: ProviderState) -> float:
         half = max(1, WAIT_FADES * self.settings.safety.fall_after)
         return float(server.wait * 0.5 ** ((self.now - server.heard_at) / half))
 
-    def _held_by(self, server: Server, cls: RequestClass) -> list[Try]:
+    def _held_by(self, server: ProviderState, cls: RequestClass) -> list[Try]:
         """The calls it holds. One past its aim while later ones were answered is lost, on a connection that
         fell silent or with an answer that stopped short: it is no load, and says nothing of the rest."""
         since = self.now - self._late_after(cls)
         return [t for t in server.out if t.sent_at > server.answered or t.sent_at >= since]
 
-    def _another(self, call: Call) -> Server | None:
+    def _another(self, call: Call) -> ProviderState | None:
         """A server for a further attempt: not tried before, and of the group its repeats must keep to. The zone comes
         first here too; unlike a first attempt, a further one leaves it when it must."""
         tried = [t.server for t in call.tries]
         ran = call.may_have_run()
-        for servers in (self.near.servers, self.far.servers):
-            fit = [s for s in servers if s not in tried and s.out_until <= self.now]
+        for providers in (self.near.providers, self.far.providers):
+            fit = [s for s in providers if s not in tried and s.out_until <= self.now]
             if ran is not None and call.cls.effect is Effect.BY_KEY:
                 fit = [s for s in fit if s.group(call.cls.scope) == ran.group]
             # The repeats of a crowd would push cold ones over.
@@ -576,16 +576,16 @@
 
     def _request(self, request: Request) -> None:
         cls = request.request_class or self.settings.classes[request.class_name]
-        warmth, fall_after = (self.near if self.near.servers else self.far).warmth, self.settings.safety.fall_after
+        warmth, fall_after = (self.near if self.near.providers else self.far).warmth, self.settings.safety.fall_after
         self.began = self.began or self.now
         # Beside cold servers what is turned away comes again: the traffic that is spread is that of before.
-        if self.asked_at and (warmth >= 1 or self.now - self.began < GAP_FROM * fall_after):
-            since = min(self.now - self.asked_at, fall_after)
+        if self.last_request_at and (warmth >= 1 or self.now - self.began < GAP_FROM * fall_after):
+            since = min(self.now - self.last_request_at, fall_after)
             self.asked = 1 + self.asked * 0.5 ** (since / max(1, self.settings.safety.warm_within // 2))
             self.gap += (since * min(COME_AGAIN, 1 / warmth) - self.gap) / self.asked
-        self.asked_at = self.now
-        for name, part in self.mix.items():
-            self.mix[name] = part + ((name == cls.name) - part) / MIX_MEMORY
+        self.last_request_at = self.now
+        for name, part in self.class_shares.items():
+            self.class_shares[name] = part + ((name == cls.name) - part) / MIX_MEMORY
         self._take_step()
         self.retry_budget = min(RETRY_BURST, self.retry_budget + RETRY_PART)
         # Too old when it was read, or more than this process can carry: no server has seen it, all may come again.
@@ -597,7 +597,7 @@
 
     def _serve(self, call: Call) -> None:
         server = self._next(call.cls)
-        if server is None and self.servers:
+        if server is None and self.providers:
             self._end(call)  # shed: nothing that could serve it in time
         elif server is None or not self._attempt(call, server):
             self._hold(call)
@@ -607,7 +607,7 @@
             self.held[call.id] = call
             self.actions.append(Timer(max(0, call.deadline - self.now), REQUEST_TAG + call.id, call.id))
 
-    def _attempt(self, call: Call, server: Server) -> bool:
+    def _attempt(self, call: Call, server: ProviderState) -> bool:
         """The only gate for attempts. False: the rules or the limits forbid this one.
 
         One final answer: nothing is sent for a call that has ended. No effect twice: see below. Drains:
@@ -730,7 +730,7 @@
         aim: a new try has a chance of its own soon, and one that comes too late only adds to the next crowd."""
         if not self.settings.retry_after:
             return 0
-        pool = self.near if self.near.servers else self.far
+        pool = self.near if self.near.providers else self.far
         away = 1 - pool.warmth * (1 - pool.crowding.pressure)
         return min(self.settings.max_retry_after, int(cls.aim * COME_BACK * max(away, LEAST_AWAY)))
 
--- a/loftweir/emulator/baselines.py
+++ b/loftweir/emulator/baselines.py
@@ -106,11 +106,11 @@
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
         for event in events:
-            if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.RESET and self.servers:
+            if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.RESET and self.providers:
                 fails = [a for a in actions if isinstance(a, api.Fail) and a.request_id == event.request_id]
                 for fail in fails:
                     actions.remove(fail)
-                    ready = [s.address for s in self.servers.values() if s.ready and s.address != event.provider]
+                    ready = [s.address for s in self.providers.values() if s.ready and s.address != event.provider]
                     if ready:
                         actions.append(api.Attempt(event.request_id, self.random.choice(ready), now + 10**9))
         return actions
@@ -151,7 +151,7 @@
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
-        ready = [s for s in self.servers.values() if s.ready]
+        ready = [s for s in self.providers.values() if s.ready]
         newest = max(ready, key=lambda s: s.started_at, default=None)
         for action in actions:
             if isinstance(action, api.Attempt) and newest is not None:
--- a/loftweir/explain.py
+++ b/loftweir/explain.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from loftweir import interface as api
-from loftweir.balance import AILING, Balancer, Server
+from loftweir.balance import AILING, Balancer, ProviderState
 
 MS, SECOND = 1_000_000, 1_000_000_000
 CALM = 10 * SECOND  # from the list to the first request
@@ -60,10 +60,10 @@
         }
 
 
-def why_not(balancer: Balancer, server: Server, cls: api.RequestClass) -> list[str]:
+def why_not(balancer: Balancer, server: ProviderState, cls: api.RequestClass) -> list[str]:
     """Why a first attempt of this class would not go there now; empty: it may. What the decisions are made of, asked
     of the balancer's own parts; it decides nothing."""
-    now, near = balancer.now, balancer.near.servers
+    now, near = balancer.now, balancer.near.providers
     far = server.zone != balancer.settings.zone
     reasons = {
         "drains": not server.ready,
@@ -132,7 +132,7 @@
     def decide(self, now: int, request_id: str, what: str, provider: str, cls: api.RequestClass) -> None:
         others = {
             name: why_not(self.balancer, server, cls)
-            for name, server in self.balancer.servers.items()
+            for name, server in self.balancer.providers.items()
             if name != provider
         }
         at_ms = (now - self.began - CALM) / MS
--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -61,7 +61,7 @@
     def takes_clients(self) -> bool:
         """Whether new connections are accepted and there is somebody to serve them."""
         accepts = self.accepting is not None and not self.accepting.over
-        return accepts and (bool(self.host.balancer.servers) or self.also())
+        return accepts and (bool(self.host.balancer.providers) or self.also())
 
     def use(self, options: Options) -> None:
         """Takes the options of a reload."""
--- a/tests/discovery_scene.py
+++ b/tests/discovery_scene.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from functools import partial
 
-from support import MS, SECOND, make, of, settings
+from support import MS, SECOND, make_balancer, of_type, settings
 
 from loftweir.config.model import Options
 from loftweir.http1.discovery import Answer, CallFailed, Discovery, Refused, Silent
@@ -63,7 +63,7 @@
         self.loop, self.ends, self.changes = Clock(), ends, changes
         self.read_at, self.first_told, self.failed_at, self.asked_at = None, None, [], []
         safety = replace(settings().safety, ask_within=ask_within)
-        self.balancer = make(seed, discovery_pushes=False, safety=safety, balancers=callers, me=me)
+        self.balancer = make_balancer(seed, discovery_pushes=False, safety=safety, balancers=callers, me=me)
         super().__init__(self.loop, "here", options, self._told)
         self.use(False, callers)
         self.version = 1
@@ -77,12 +77,12 @@
         self._obey(self.balancer.handle(now, [update]))
 
     def _obey(self, actions):
-        for timer in of(Timer, actions):
+        for timer in of_type(Timer, actions):
             self.loop.spawn(self._later(timer))
 
     def _later(self, timer):
         yield Wait(None, 0, self.loop.now() + timer.delay)
-        for action in of(Watch, self.balancer.handle(self.loop.now(), [TimerFired(timer.tag)])):
+        for action in of_type(Watch, self.balancer.handle(self.loop.now(), [TimerFired(timer.tag)])):
             self.watch(action.on)
 
     def _connect(self, address, until):
--- a/tests/support.py
+++ b/tests/support.py
@@ -49,7 +49,7 @@
     return Settings(**(values | changes))
 
 
-def make(seed=1, **changes):
+def make_balancer(seed=1, **changes):
     return Balancer(settings(**changes), seed)
 
 
@@ -57,27 +57,27 @@
     return Endpoint(address, zone, "std", cell, lifecycle, weight, started_at)
 
 
-def full(*endpoints):
+def full_list(*endpoints):
     return MembershipUpdate(UpdateKind.FULL, endpoints, 1)
 
 
-def changes(*endpoints):
+def list_changes(*endpoints):
     return MembershipUpdate(UpdateKind.CHANGES, endpoints, 2)
 
 
-def request(request_id, class_name="read", patience=1000 * MS, **more):
-    return Request(request_id, class_name, patience, **more)
+def request(request_id, class_name="read", time_left=1000 * MS, **more):
+    return Request(request_id, class_name, time_left, **more)
 
 
-def ended(attempt, outcome, number=0, over=False, elapsed=10 * MS):
+def attempt_ended(attempt, outcome, number=0, over=False, elapsed=10 * MS):
     """The outcome of an Attempt action."""
     over = over or outcome is Outcome.OK
     return AttemptEnded(attempt.request_id, number, attempt.provider, outcome, elapsed, over)
 
 
-def of(kind, actions):
+def of_type(kind, actions):
     return [a for a in actions if isinstance(a, kind)]
 
 
 def attempts(actions):
-    return of(Attempt, actions)
+    return of_type(Attempt, actions)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 from scene import ROOT, Party, Scene, as_list, entry, eventually, ok, reply
-from support import MS, SECOND, endpoint, full, settings
+from support import MS, SECOND, endpoint, full_list, settings
 
 from loftweir.cli.root import COMMANDS, loftweir
 from loftweir.config.faults import Faulty
@@ -104,7 +104,7 @@
 
 
 def test_explain_keeps_to_the_zone_evenly_and_says_why_not_elsewhere():
-    found = explain(settings(), full(*SERVERS), Traffic("read", 40))
+    found = explain(settings(), full_list(*SERVERS), Traffic("read", 40))
     assert found.attempts == {"a1": 20, "a2": 20, "b1": 0} and found.outcomes == {"served": 40}
     assert reasons(found, "b1") == {"other zone"} and reasons(found, "a1") == set()
 
@@ -114,7 +114,7 @@
     [("silent", "no room"), ("resets", "set aside"), ("refuses", "turned a call away"), ("full", "turned a call away")],
 )
 def test_explain_says_what_a_provider_that_misbehaves_is_passed_over_for(how, reason):
-    found = explain(settings(), full(*SERVERS, endpoint("a3")), Traffic("read", 60, 20 * MS), behaves={"a1": how})
+    found = explain(settings(), full_list(*SERVERS, endpoint("a3")), Traffic("read", 60, 20 * MS), behaves={"a1": how})
     assert reason in reasons(found, "a1")
     assert found.attempts["a1"] < found.attempts["a2"]
 
@@ -122,19 +122,21 @@
 def test_explain_says_that_one_drains_that_one_is_cold_and_that_one_fails_the_class():
     now = 100 * SECOND
     drains, cold = endpoint("a2", lifecycle=Lifecycle.DRAINING), endpoint("b1", "b", started_at=now)
-    found = explain(settings(balancers=3), full(SERVERS[0], drains, cold), Traffic("read", 5), began=now)
+    found = explain(settings(balancers=3), full_list(SERVERS[0], drains, cold), Traffic("read", 5), began=now)
     assert reasons(found, "a2") == {"drains"} and reasons(found, "b1") == {"cold", "other zone"}
-    found = explain(settings(), full(*SERVERS[:2]), Traffic("read", 40, 20 * MS), behaves={"a1": "errs", "a2": "errs"})
+    found = explain(
+        settings(), full_list(*SERVERS[:2]), Traffic("read", 40, 20 * MS), behaves={"a1": "errs", "a2": "errs"}
+    )
     assert "fails the class" in reasons(found, "a1") | reasons(found, "a2")
 
 
 def test_explain_is_the_same_for_the_same_seed_and_ends_with_every_request_told():
     one, again, other = (
-        explain(settings(), full(*SERVERS), Traffic("push", 100, 10 * MS, 300 * MS), seed) for seed in (1, 1, 2)
+        explain(settings(), full_list(*SERVERS), Traffic("push", 100, 10 * MS, 300 * MS), seed) for seed in (1, 1, 2)
     )
     assert one == again != other
     assert sum(one.outcomes.values()) == 100 and one.outcomes.get("served", 0) < 100
-    assert explain(settings(), full(), Traffic("read", 3)).outcomes == {"rejected": 3}
+    assert explain(settings(), full_list(), Traffic("read", 3)).outcomes == {"rejected": 3}
 
 
 def test_the_explain_command_takes_the_list_of_a_file_or_of_a_live_discovery(tmp_path):
--- a/tests/test_crowding.py
+++ b/tests/test_crowding.py
@@ -1,7 +1,7 @@
 """Crowding measured by Little's law, and what the balancer makes of it. Pure, in virtual time."""
 
 import pytest
-from support import MS, SECOND, attempts, ended, endpoint, full, make, of, request
+from support import MS, SECOND, attempt_ended, attempts, endpoint, full_list, make_balancer, of_type, request
 
 from loftweir.crowding import (
     FALL,
@@ -212,8 +212,8 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_server_that_holds_more_calls_than_its_peers_gets_none_until_they_hold_as_many(seed):
-    balancer = make(seed=seed)
-    balancer.handle(SECOND, [full(*(endpoint(f"a{n}") for n in range(PEERS)))])
+    balancer = make_balancer(seed=seed)
+    balancer.handle(SECOND, [full_list(*(endpoint(f"a{n}") for n in range(PEERS)))])
     now, held = SECOND, []
     for n in range(40):  # a0 answers none, within a time in which that is no fault; all others at once
         now += MS
@@ -221,7 +221,7 @@
         if attempt.provider == "a0":
             held.append(attempt)
         else:
-            balancer.handle(now + MS // 2, [ended(attempt, Outcome.OK, elapsed=MS // 2)])
+            balancer.handle(now + MS // 2, [attempt_ended(attempt, Outcome.OK, elapsed=MS // 2)])
     assert len(held) == 2  # 1 and `MOST_HELD` times the mean of these two over four servers
     for n in range(12):  # nobody answers any more: it takes its part
         now += MS
@@ -239,13 +239,13 @@
 
 def learnt(servers=6, late_worth=0.5):
     """A balancer that knows its servers' usual time."""
-    balancer = make(classes=classes(late_worth))
-    balancer.handle(SECOND, [full(*(endpoint(f"a{n}") for n in range(servers)))])
+    balancer = make_balancer(classes=classes(late_worth))
+    balancer.handle(SECOND, [full_list(*(endpoint(f"a{n}") for n in range(servers)))])
     now = SECOND
     for n in range(60):
         now += 20 * MS
-        (attempt,) = attempts(balancer.handle(now, [request(f"l{n}", patience=3 * AIM)]))
-        balancer.handle(now + USUAL, [ended(attempt, Outcome.OK, elapsed=USUAL)])
+        (attempt,) = attempts(balancer.handle(now, [request(f"l{n}", time_left=3 * AIM)]))
+        balancer.handle(now + USUAL, [attempt_ended(attempt, Outcome.OK, elapsed=USUAL)])
         now += USUAL
     return balancer, now
 
@@ -257,9 +257,9 @@
         now += 25 * MS
         for end, began, attempt in sorted(out, key=lambda call: call[0]):
             if end <= now:
-                balancer.handle(now, [ended(attempt, Outcome.OK, elapsed=end - began)])
+                balancer.handle(now, [attempt_ended(attempt, Outcome.OK, elapsed=end - began)])
         out = [call for call in out if call[0] > now]
-        for attempt in attempts(balancer.handle(now, [request(f"r{n}", patience=3 * AIM)])):
+        for attempt in attempts(balancer.handle(now, [request(f"r{n}", time_left=3 * AIM)])):
             sent.append(attempt.provider)
             out.append((now + (8 * USUAL if attempt.provider == "a0" else USUAL), now, attempt))
     assert sent.count("a0") < 20, "an even share were 67"
@@ -273,9 +273,9 @@
         now += 20 * MS
         while out and out[0][0] + 8 * USUAL <= now:
             began, attempt = out.pop(0)
-            balancer.handle(now, [ended(attempt, Outcome.OK, elapsed=now - began)])
-        actions = balancer.handle(now, [request(f"r{n}", patience=3 * AIM)])
-        refused += len(of(Reject, actions))
+            balancer.handle(now, [attempt_ended(attempt, Outcome.OK, elapsed=now - began)])
+        actions = balancer.handle(now, [request(f"r{n}", time_left=3 * AIM)])
+        refused += len(of_type(Reject, actions))
         out += [(now, attempt) for attempt in attempts(actions)]
     assert refused > 100
 
@@ -283,13 +283,13 @@
 def test_a_call_is_given_up_at_its_aim_only_where_a_late_answer_is_worth_nothing():
     for late_worth, length in ((0.0, AIM), (0.5, 3 * AIM)):
         balancer, now = learnt(late_worth=late_worth)
-        (attempt,) = attempts(balancer.handle(now, [request("r", "push", patience=3 * AIM)]))
+        (attempt,) = attempts(balancer.handle(now, [request("r", "push", time_left=3 * AIM)]))
         assert attempt.give_up_at == now + length
 
 
 def test_an_effect_that_may_have_run_when_its_aim_has_passed_is_a_failure_and_no_refusal():
     balancer, now = learnt(late_worth=0.0)
-    (attempt,) = attempts(balancer.handle(now, [request("r", "push", patience=3 * AIM)]))
+    (attempt,) = attempts(balancer.handle(now, [request("r", "push", time_left=3 * AIM)]))
     now += AIM
     balancer.handle(now, [TimerFired("late:0:r")])
-    assert balancer.handle(now, [ended(attempt, Outcome.TIMED_OUT, elapsed=AIM)]) == [Fail("r")]
+    assert balancer.handle(now, [attempt_ended(attempt, Outcome.TIMED_OUT, elapsed=AIM)]) == [Fail("r")]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,6 +1,6 @@
 """The departures from the plain mechanism: each acts under its condition and lets go of it."""
 
-from support import MS, SECOND, attempts, ended, endpoint, full, make, of, request
+from support import MS, SECOND, attempt_ended, attempts, endpoint, full_list, make_balancer, of_type, request
 
 from loftweir.interface import Effect, Outcome, Reject, RequestClass, Timer, TimerFired
 
@@ -12,12 +12,12 @@
     """Sends requests one after another and ends each attempt as `fate` says."""
 
     def __init__(self, fate, seed=1, servers=NEAR + FAR, **more):
-        self.balancer = make(seed, **more)
+        self.balancer = make_balancer(seed, **more)
         self.fate = fate
         self.now = 100 * SECOND
         self.count = 0
         self.refused = 0
-        self.balancer.handle(self.now, [full(*servers)])
+        self.balancer.handle(self.now, [full_list(*servers)])
 
     def run(self, requests, gap=50 * MS, class_name="read"):
         """Returns the servers of the first attempts."""
@@ -26,19 +26,19 @@
             self.now += gap
             self.count += 1
             actions = self.balancer.handle(self.now, [request(f"r{self.count}", class_name)])
-            self.refused += len(of(Reject, actions))
+            self.refused += len(of_type(Reject, actions))
             sent += [a.provider for a in attempts(actions)]
             number = 0
             while attempts(actions):
                 (attempt,) = attempts(actions)
-                timers = of(Timer, actions)
+                timers = of_type(Timer, actions)
                 outcome = self.fate(attempt.provider)
                 if outcome is Outcome.TIMED_OUT:
                     for timer in timers:  # of a call that is out: the clock goes on to each
                         self.now += timer.delay
                         self.balancer.handle(self.now, [TimerFired(timer.tag)])
                     self.now += 10 * MS
-                actions = self.balancer.handle(self.now, [ended(attempt, outcome, number)])
+                actions = self.balancer.handle(self.now, [attempt_ended(attempt, outcome, number)])
                 number += 1
         return sent
 
@@ -72,8 +72,8 @@
     play = Play(lambda server: Outcome.ERROR)
     for _ in range(100):
         play.run(1)
-        assert sum(s.out_until > play.now for s in play.balancer.near.servers) <= len(NEAR) / 2
-    assert any(s.out_until > play.now for s in play.balancer.near.servers)
+        assert sum(s.out_until > play.now for s in play.balancer.near.providers) <= len(NEAR) / 2
+    assert any(s.out_until > play.now for s in play.balancer.near.providers)
 
 
 def test_a_crowded_zone_overflows_and_lets_go():
@@ -145,14 +145,14 @@
     told = []  # the pressure at a refusal, and the wait that it named
 
     def take(actions):
-        told.extend((play.balancer.near.crowding.pressure, refusal.retry_after) for refusal in of(Reject, actions))
+        told.extend((play.balancer.near.crowding.pressure, refusal.retry_after) for refusal in of_type(Reject, actions))
 
     for number in range(400):
         actions = play.balancer.handle(play.now, [request(f"r{number}")])
         take(actions)
         play.now += 20 * MS
         for attempt in attempts(actions):
-            take(play.balancer.handle(play.now, [ended(attempt, Outcome.FULL)]))
+            take(play.balancer.handle(play.now, [attempt_ended(attempt, Outcome.FULL)]))
     waits = [wait for _, wait in told]
     assert len(waits) == 400
     assert [wait for _, wait in sorted(told)] == sorted(waits)
@@ -161,10 +161,10 @@
 
 
 def test_where_clients_are_told_nothing_no_wait_is_named():
-    balancer = make(max_attempts=1)
-    balancer.handle(0, [full(endpoint("a1"))])
+    balancer = make_balancer(max_attempts=1)
+    balancer.handle(0, [full_list(endpoint("a1"))])
     (first,) = attempts(balancer.handle(SECOND, [request("r")]))
-    assert of(Reject, balancer.handle(SECOND + MS, [ended(first, Outcome.FULL)])) == [Reject("r", 0)]
+    assert of_type(Reject, balancer.handle(SECOND + MS, [attempt_ended(first, Outcome.FULL)])) == [Reject("r", 0)]
 
 
 def test_what_is_worth_most_is_not_queued_past_where_it_would_be_late():
@@ -174,11 +174,11 @@
         "cheap": RequestClass("cheap", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=1.0),
         "dear": RequestClass("dear", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=10.0),
     }
-    balancer = make(zones=("a",), classes=classes)
+    balancer = make_balancer(zones=("a",), classes=classes)
     now = SECOND
-    balancer.handle(now, [full(endpoint("a1"))])
+    balancer.handle(now, [full_list(endpoint("a1"))])
     (first,) = attempts(balancer.handle(now, [request("r0", "dear")]))
-    balancer.handle(now + 40 * MS, [ended(first, Outcome.OK, elapsed=40 * MS)])  # one more out adds 40 ms
+    balancer.handle(now + 40 * MS, [attempt_ended(first, Outcome.OK, elapsed=40 * MS)])  # one more out adds 40 ms
     sent = []
     for number in range(1, 9):
         sent += attempts(balancer.handle(now + (40 + number) * MS, [request(f"r{number}", "dear")]))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,7 +4,18 @@
 from dataclasses import replace
 from itertools import pairwise
 
-from support import MS, SECOND, attempts, changes, ended, endpoint, full, make, of, request
+from support import (
+    MS,
+    SECOND,
+    attempt_ended,
+    attempts,
+    endpoint,
+    full_list,
+    list_changes,
+    make_balancer,
+    of_type,
+    request,
+)
 
 from loftweir.explain import why_not
 from loftweir.interface import Effect, Lifecycle, Outcome, Reject, RequestClass
@@ -28,7 +39,7 @@
         for n, attempt in enumerate(attempts(actions)):
             sent.append(attempt.provider)
             outcome, elapsed = fate(attempt.provider)
-            balancer.handle(now, [ended(attempt, outcome, n, over=True, elapsed=elapsed)])
+            balancer.handle(now, [attempt_ended(attempt, outcome, n, over=True, elapsed=elapsed)])
     return sent
 
 
@@ -42,8 +53,8 @@
 
 def test_after_one_failure_only_what_may_be_repeated_tries_a_server_met_seldom():
     """Forty balancers each lost several calls that may not be repeated at each upstream that failed (180 each)."""
-    balancer = make(max_attempts=1)
-    balancer.handle(START, [full(*NEAR)])
+    balancer = make_balancer(max_attempts=1)
+    balancer.handle(START, [full_list(*NEAR)])
     play(balancer, START, fine, 20, 100 * MS)
     now = START + 5 * SECOND
     while "a0" not in play(balancer, now, lambda s: (Outcome.ERROR, MS) if s == "a0" else fine(s), 1, MS, "push"):
@@ -56,12 +67,12 @@
 def test_a_few_cold_servers_are_not_fed_the_traffic_of_those_that_left():
     """A release leaves a zone its new servers alone: told by these, the zone was whole (a cold one fell over)."""
     for seed in range(10):
-        balancer = make(seed)
-        balancer.handle(START, [full(*NEAR, *FAR)])
+        balancer = make_balancer(seed)
+        balancer.handle(START, [full_list(*NEAR, *FAR)])
         play(balancer, START, fine, 100, 10 * MS)
         now = START + 10 * SECOND
         leaving = [endpoint(f"a{i}", lifecycle=Lifecycle.DRAINING) for i in range(10)]
-        balancer.handle(now, [changes(*leaving, *(endpoint(f"c{i}", started_at=now) for i in range(2)))])
+        balancer.handle(now, [list_changes(*leaving, *(endpoint(f"c{i}", started_at=now) for i in range(2)))])
         sent = Counter(play(balancer, now, fine, 400, 10 * MS))
         # Even, a warm server took 40 of these; a cold one does a fifth of that, and half as much again in 4 s.
         assert max(sent["c0"], sent["c1"]) < 40 * 0.4
@@ -69,9 +80,9 @@
 
 def test_a_cold_zone_is_dealt_anew_as_it_warms():
     """A deck that is hardly drawn from kept for ten seconds what its servers could do at first."""
-    balancer = make()
+    balancer = make_balancer()
     cold = [endpoint(f"a{i}", started_at=START) for i in range(10)]
-    balancer.handle(START, [full(*cold, *FAR)])
+    balancer.handle(START, [full_list(*cold, *FAR)])
     play(balancer, START, fine, 20, 10 * MS)
     late = play(balancer, START + 16 * SECOND, fine, 100, 30 * MS)
     assert sum(s.startswith("a") for s in late) > 60
@@ -82,9 +93,9 @@
     for balancers, closer in ((3, 2), (40, 4)):
         cold = served = 0
         for seed in range(20):
-            balancer = make(seed, balancers=balancers)
+            balancer = make_balancer(seed, balancers=balancers)
             warm = [endpoint(f"a{i}") for i in range(4)]
-            balancer.handle(START, [full(*warm, endpoint("cold", started_at=START))])
+            balancer.handle(START, [full_list(*warm, endpoint("cold", started_at=START))])
             sent = play(balancer, START, lambda s: (Outcome.OK, (10 if s == "cold" else 900) * MS), 60, 100 * MS)
             # 12 each were even; a cold one can do a fifth of that, and in 6 s two fifths.
             assert sent.count("cold") <= 12 * closer * 0.44 + 1
@@ -94,15 +105,15 @@
 
 
 def test_a_cold_server_of_no_size_breaks_nothing():
-    balancer = make()
-    balancer.handle(START, [full(endpoint("a1"), endpoint("a2", weight=0.0, started_at=START))])
+    balancer = make_balancer()
+    balancer.handle(START, [full_list(endpoint("a1"), endpoint("a2", weight=0.0, started_at=START))])
     assert set(play(balancer, START, fine, 20, 10 * MS)) == {"a1"}
-    assert why_not(balancer, balancer.servers["a2"], balancer.settings.classes["read"]) == ["no room"]
+    assert why_not(balancer, balancer.providers["a2"], balancer.settings.classes["read"]) == ["no room"]
 
 
 def test_a_server_whose_answers_come_late_is_passed_over_though_none_of_ours_waits_there():
-    balancer = make()
-    balancer.handle(START, [full(*NEAR)])
+    balancer = make_balancer()
+    balancer.handle(START, [full_list(*NEAR)])
     sent = play(balancer, START, lambda s: (Outcome.OK, (150 if s == "a0" else 10) * MS), 200, 50 * MS)
     assert 0 < sent.count("a0") < 10
     assert play(balancer, START + 60 * SECOND, fine, 100, 50 * MS).count("a0") >= 8, "and tried again"
@@ -110,23 +121,23 @@
 
 def test_slow_answers_are_no_reason_to_turn_a_request_away():
     """Where all were slow, a fifth of the reads was refused on a day with no trouble (reload, on real sockets)."""
-    balancer = make(classes=WORTHS)
-    balancer.handle(START, [full(*NEAR)])
+    balancer = make_balancer(classes=WORTHS)
+    balancer.handle(START, [full_list(*NEAR)])
     sent = [play(balancer, START + i * 250 * MS, slow, 1, MS, "cheap" if i % 2 else "dear") for i in range(100)]
     assert all(sent)
 
 
 def test_no_more_is_shed_than_the_part_to_shed():
     """A tenth to shed turned away half of what is worth least: a quarter of all traffic."""
-    balancer = make(classes=WORTHS)
-    balancer.handle(START, [full(*NEAR)])
+    balancer = make_balancer(classes=WORTHS)
+    balancer.handle(START, [full_list(*NEAR)])
     refused = Counter()
     for i in range(2000):
         name = "cheap" if i % 2 else "dear"
         actions = balancer.handle(START + i * MS, [request(f"r{i}", name, reject_share=0.1)])
-        refused[name] += len(of(Reject, actions))
+        refused[name] += len(of_type(Reject, actions))
         for attempt in attempts(actions):
-            balancer.handle(START + i * MS, [ended(attempt, Outcome.OK)])
+            balancer.handle(START + i * MS, [attempt_ended(attempt, Outcome.OK)])
     assert refused["dear"] == 0
     assert 140 < refused["cheap"] < 260
 
@@ -134,17 +145,17 @@
 def test_a_cold_server_of_another_zone_is_fed_only_once_operators_have_called_it_back():
     """Its even share, at even intervals, of what may be repeated; never what runs once."""
     for called_back in (False, True):
-        balancer = make(balancers=3)
+        balancer = make_balancer(balancers=3)
         near = [endpoint(f"a{n}") for n in range(3)]
         cold = replace(endpoint("b0", "b", started_at=SECOND), reenabled=called_back)
-        balancer.handle(SECOND, [full(*near, cold)])
+        balancer.handle(SECOND, [full_list(*near, cold)])
         sent = []
         for n in range(400):  # 50 a second
             now = SECOND + n * 20 * MS
             for kind in ("read", "push"):
                 (attempt,) = attempts(balancer.handle(now, [request(f"{kind}{n}", kind)]))
                 sent.append((n, kind, attempt.provider))
-                balancer.handle(now + MS, [ended(attempt, Outcome.OK, elapsed=MS)])
+                balancer.handle(now + MS, [attempt_ended(attempt, Outcome.OK, elapsed=MS)])
         fed = [(n, kind) for n, kind, server in sent if server == "b0"]
         assert {kind for _, kind in fed} == ({"read"} if called_back else set())
         if called_back:
@@ -156,15 +167,15 @@
 def test_where_balancers_are_fewer_than_zones_cold_servers_of_other_zones_are_fed():
     near, cold = [endpoint(f"a{n}") for n in range(3)], endpoint("b0", "b", started_at=SECOND)
     for balancers, fed in ((2, True), (3, False)):
-        balancer = make(balancers=balancers)
-        balancer.handle(SECOND, [full(*near, cold)])
+        balancer = make_balancer(balancers=balancers)
+        balancer.handle(SECOND, [full_list(*near, cold)])
         sent = play(balancer, SECOND, lambda server: (Outcome.OK, MS), 200, 10 * MS)
         assert ("b0" in sent) is fed
 
 
 def test_a_cold_server_that_is_slow_is_no_sign_of_a_crowd():
-    balancer = make()
-    balancer.handle(SECOND, [full(endpoint("a0", started_at=SECOND))])
+    balancer = make_balancer()
+    balancer.handle(SECOND, [full_list(endpoint("a0", started_at=SECOND))])
     play(balancer, SECOND, lambda server: (Outcome.OK, 500 * MS), 40, 50 * MS)
     crowding = balancer.near.crowding
-    assert (crowding.pressure, crowding.stretch) == (0, 1) and balancer.servers["a0"].suspicion == 0
+    assert (crowding.pressure, crowding.stretch) == (0, 1) and balancer.providers["a0"].penalty == 0
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -290,7 +290,7 @@
             invocation = Invocation("r", settings().classes["push"], 1000 * MS, None)
             invocation.left = lambda left=left: left
             host.take(invocation)
-            self.assertEqual((invocation.open, bool(host.balancer.asked_at)), (not left, not left))
+            self.assertEqual((invocation.open, bool(host.balancer.last_request_at)), (not left, not left))
             host.leave(invocation)
             self.assertEqual(host.invocations, {})
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -2,14 +2,14 @@
 
 from collections import Counter
 
-from support import SECOND, attempts, endpoint, full, make, request
+from support import SECOND, attempts, endpoint, full_list, make_balancer, request
 
 from loftweir.interface import Lifecycle
 
 
 def test_sends_stay_in_the_zone_and_are_even():
-    balancer = make()
-    balancer.handle(0, [full(endpoint("a1"), endpoint("a2"), endpoint("b1", zone="b"))])
+    balancer = make_balancer()
+    balancer.handle(0, [full_list(endpoint("a1"), endpoint("a2"), endpoint("b1", zone="b"))])
     seen = Counter()
     for i in range(20):
         seen.update(a.provider for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
@@ -17,9 +17,9 @@
 
 
 def test_a_zone_with_no_ready_server_opens_the_whole_fleet():
-    balancer = make()
+    balancer = make_balancer()
     draining = endpoint("a1", lifecycle=Lifecycle.DRAINING)
-    balancer.handle(0, [full(draining, endpoint("b1", zone="b"), endpoint("c1", zone="c"))])
+    balancer.handle(0, [full_list(draining, endpoint("b1", zone="b"), endpoint("c1", zone="c"))])
     seen = Counter()
     for i in range(20):
         seen.update(a.provider for a in attempts(balancer.handle(SECOND + i, [request(f"r{i}")])))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from support import SECOND, attempts, changes, endpoint, full, make, request
+from support import SECOND, attempts, endpoint, full_list, list_changes, make_balancer, request
 
 from loftweir.core.life import TABLE, TRAITS, Life, State, Step
 from loftweir.interface import Lifecycle, MembershipUpdate, UpdateKind
@@ -95,31 +95,31 @@
 
 def test_who_is_out_drains_whatever_the_list_says_and_comes_back_cold():
     overlay, record = Overlay(), Record().ban("s-1", True, 50)
-    assert told(overlay, full(endpoint("s-1"), endpoint("s-2")))["s-1"].lifecycle is Lifecycle.READY
+    assert told(overlay, full_list(endpoint("s-1"), endpoint("s-2")))["s-1"].lifecycle is Lifecycle.READY
     update, where = overlay.hold(record)
     assert [e.lifecycle for e in update.endpoints] == [Lifecycle.DRAINING] and where == {"s-1": "at-s-1"}
-    assert told(overlay, changes(endpoint("s-1", started_at=60)))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert told(overlay, list_changes(endpoint("s-1", started_at=60)))["s-1"].lifecycle is Lifecycle.DRAINING
     gone = endpoint("s-1", lifecycle=Lifecycle.GONE)
-    assert told(overlay, changes(gone))["s-1"].lifecycle is Lifecycle.GONE
+    assert told(overlay, list_changes(gone))["s-1"].lifecycle is Lifecycle.GONE
     assert overlay.knows("s-1") and not overlay.knows("s-9")
-    assert told(overlay, changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert told(overlay, list_changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.hold(record.ban("s-1", False, 99))
     (back,) = update.endpoints
     assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 99, True)
-    assert told(overlay, full(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
+    assert told(overlay, full_list(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
 
 
 def test_a_word_on_one_that_is_not_listed_tells_the_balancer_nothing_until_it_is():
     overlay = Overlay()
     assert overlay.hold(Record().ban("s-1", True, 50)) is None
-    assert told(overlay, full(endpoint("s-1")))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert told(overlay, full_list(endpoint("s-1")))["s-1"].lifecycle is Lifecycle.DRAINING
     failed, _ = overlay.update(MembershipUpdate(UpdateKind.FAILED), {})
     assert failed.kind is UpdateKind.FAILED and overlay.listed
 
 
 def test_the_balancer_sends_nothing_to_one_that_is_out_first_or_again():
-    overlay, balancer = Overlay(), make()
-    balancer.handle(SECOND, [overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
+    overlay, balancer = Overlay(), make_balancer()
+    balancer.handle(SECOND, [overlay.update(full_list(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
     record = Record().ban("s-1", True, SECOND)
     balancer.handle(SECOND, [overlay.hold(record)[0]])
     servers = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].provider for n in range(20)]
@@ -147,7 +147,7 @@
 def test_a_word_to_the_fleet_by_a_clock_that_is_ahead_leaves_no_provider_cold_for_as_long():
     loop, told = Loop(), []
     handler = CommandHandler(loop, Life(), lambda update, addresses: told.append(update), lambda: True)
-    handler.listed(full(endpoint("s0")), {"s0": "a:1"})
+    handler.listed(full_list(endpoint("s0")), {"s0": "a:1"})
     for _ in range(2):
         handler.fleet_said({"s0": Said(loop.now() + 3600 * SECOND, False)}, True)
     assert len(told) == 2 and 0 < told[1].endpoints[0].started_at <= loop.now()
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from support import CLASSES, MS, SECOND, endpoint, make
+from support import CLASSES, MS, SECOND, endpoint, make_balancer
 
 from loftweir.interface import (
     Attempt,
@@ -35,7 +35,7 @@
 
 
 def build(seed, second_copies):
-    return make(seed, second_copies=second_copies, max_attempts=MAX_ATTEMPTS)
+    return make_balancer(seed, second_copies=second_copies, max_attempts=MAX_ATTEMPTS)
 
 
 class Oracle:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,7 +11,7 @@
 
 from scene import KEYED, MS, ONCE, READ, SECOND, SETTINGS, Scene, eventually, held, ok, profile, reply
 from support import SECOND as S
-from support import attempts, changes, ended, endpoint, full, make, request, settings
+from support import attempt_ended, attempts, endpoint, full_list, list_changes, make_balancer, request, settings
 
 from loftweir.interface import Effect, Fail, Outcome, Reject, RequestClass, SettingsChanged
 
@@ -21,42 +21,42 @@
 
 
 def test_a_keyed_request_under_way_keeps_its_class_while_it_becomes_once():
-    balancer = make()
-    balancer.handle(S, [full(endpoint("a1"), endpoint("a2"))])
+    balancer = make_balancer()
+    balancer.handle(S, [full_list(endpoint("a1"), endpoint("a2"))])
     (first,) = attempts(balancer.handle(S, [request("r", "log-all")]))
     once = RequestClass("log-all", Effect.ONCE, 200 * MS, S)
     balancer.handle(S, [SettingsChanged(with_classes(once))])
-    (again,) = attempts(balancer.handle(S, [ended(first, Outcome.RESET)]))
+    (again,) = attempts(balancer.handle(S, [attempt_ended(first, Outcome.RESET)]))
     assert again.provider != first.provider
     (new,) = attempts(balancer.handle(S, [request("new", "log-all")]))
-    (answer,) = [a for a in balancer.handle(S, [ended(new, Outcome.RESET)]) if isinstance(a, Fail | Reject)]
+    (answer,) = [a for a in balancer.handle(S, [attempt_ended(new, Outcome.RESET)]) if isinstance(a, Fail | Reject)]
     assert isinstance(answer, Fail), "the new one is once"
 
 
 def test_a_request_whose_class_vanished_ends_well_and_fewer_attempts_bind_at_once():
-    balancer = make()
-    balancer.handle(S, [full(*(endpoint(f"a{n}") for n in range(4)))])
+    balancer = make_balancer()
+    balancer.handle(S, [full_list(*(endpoint(f"a{n}") for n in range(4)))])
     (first,) = attempts(balancer.handle(S, [request("r")]))
     gone = balancer.settings.classes["read"]
     other = RequestClass("other", Effect.REPEATABLE, 200 * MS, S)
     balancer.handle(S, [SettingsChanged(with_classes(other, max_attempts=1))])
-    assert not attempts(balancer.handle(S, [ended(first, Outcome.ERROR)]))
+    assert not attempts(balancer.handle(S, [attempt_ended(first, Outcome.ERROR)]))
     # Its head came before, its last byte after.
     (late,) = attempts(balancer.handle(S, [request("late", "read", request_class=gone)]))
-    balancer.handle(S, [ended(late, Outcome.OK)])
-    assert set(balancer.mix) == {"other"} and balancer.mix["other"] > 0.9
-    assert len(attempts(balancer.handle(S, [request("n", "other"), changes(endpoint("a9"))]))) == 1
+    balancer.handle(S, [attempt_ended(late, Outcome.OK)])
+    assert set(balancer.class_shares) == {"other"} and balancer.class_shares["other"] > 0.9
+    assert len(attempts(balancer.handle(S, [request("n", "other"), list_changes(endpoint("a9"))]))) == 1
 
 
 def test_what_was_learnt_of_a_class_that_vanished_is_dropped_and_of_others_is_kept():
-    balancer = make()
-    balancer.handle(S, [full(endpoint("a1"))])
+    balancer = make_balancer()
+    balancer.handle(S, [full_list(endpoint("a1"))])
     for n, kind in enumerate(("read", "push")):
         (first,) = attempts(balancer.handle(S, [request(str(n), kind)]))
-        balancer.handle(S, [ended(first, Outcome.ERROR, over=True)])
+        balancer.handle(S, [attempt_ended(first, Outcome.ERROR, over=True)])
     read = balancer.settings.classes["read"]
     balancer.handle(S, [SettingsChanged(with_classes(read))])
-    assert set(balancer.servers["a1"].records) == {"read"} and balancer.servers["a1"].suspicion > 0
+    assert set(balancer.providers["a1"].failure_rates) == {"read"} and balancer.providers["a1"].penalty > 0
 
 
 # A reload that has read its files holds on while there is a file `hold`.
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from scene import address_of, listener
-from support import changes, endpoint, full
+from support import endpoint, full_list, list_changes
 
 from loftweir.config.model import Replication
 from loftweir.interface import Lifecycle
@@ -171,7 +171,7 @@
 
 def test_who_is_out_by_either_word_is_out_and_comes_back_as_of_the_later():
     overlay = Overlay()
-    overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
+    overlay.update(full_list(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
     update, where = overlay.lay({"s-1": Said(50, True), "s-9": Said(1, True)}, False)
     assert [e.lifecycle for e in update.endpoints] == [Lifecycle.DRAINING] and where == {"s-1": "a"}
     overlay.hold(Record().ban("s-1", True, 60))
@@ -180,12 +180,12 @@
     update, _ = overlay.hold(Record().ban("s-1", True, 60).ban("s-1", False, 65))
     back = update.endpoints[0]
     assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 70, True)
-    later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
+    later, _ = overlay.update(list_changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
     assert (back.started_at, back.reenabled) == (80 + HOUR, False), "a start that nobody called it back from"
-    overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
+    overlay.update(list_changes(endpoint("s-1")), {"s-1": "a"})
     assert overlay.knows("s-9") and overlay.lay({"s-1": Said(70, False)}, False) is None
-    listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
+    listed, _ = overlay.update(list_changes(endpoint("s-9")), {"s-9": "c"})
     assert listed.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.lay({}, True)
     assert {(e.address, e.lifecycle, e.reenabled) for e in update.endpoints} == {
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,7 +1,7 @@
 """Slow start where the wall clock was stepped before this process read it."""
 
 import pytest
-from support import SECOND, endpoint, make
+from support import SECOND, endpoint, make_balancer
 
 from loftweir.interface import Lifecycle, MembershipUpdate, UpdateKind
 
@@ -11,7 +11,7 @@
 
 
 def balancer():
-    return make(1, discovery_pushes=True)
+    return make_balancer(1, discovery_pushes=True)
 
 
 def listed(*ages, kind=UpdateKind.FULL, at=NOW):
@@ -21,7 +21,7 @@
 
 
 def able(balancer):
-    return [round(balancer._able(server), 2) for server in balancer.servers.values()]
+    return [round(balancer._able(server), 2) for server in balancer.providers.values()]
 
 
 @pytest.mark.parametrize("behind", [5 * SECOND, HOUR])
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from scene import KEYED, MS, SECOND, SETTINGS, Scene, entry, eventually, reply
-from support import attempts, ended, endpoint, full, make, request
+from support import attempt_ended, attempts, endpoint, full_list, make_balancer, request
 
 from loftweir.interface import Fail, Outcome
 
@@ -100,18 +100,18 @@
 
 
 def test_a_repeat_is_written_within_the_window_of_the_first_attempt_that_may_have_run():
-    balancer = make()
-    balancer.handle(0, [full(*(endpoint(f"a{n}") for n in range(3)))])
+    balancer = make_balancer()
+    balancer.handle(0, [full_list(*(endpoint(f"a{n}") for n in range(3)))])
     (first,) = attempts(balancer.handle(SECOND, [request("r", "log-zone")]))
-    (second,) = attempts(balancer.handle(SECOND + 100 * MS, [ended(first, Outcome.CONNECT_FAILED)]))
-    (third,) = attempts(balancer.handle(SECOND + 300 * MS, [ended(second, Outcome.RESET, number=1)]))
+    (second,) = attempts(balancer.handle(SECOND + 100 * MS, [attempt_ended(first, Outcome.CONNECT_FAILED)]))
+    (third,) = attempts(balancer.handle(SECOND + 300 * MS, [attempt_ended(second, Outcome.RESET, number=1)]))
     # Of 500 ms: from the second one's sending on, the first proved that it never ran.
     assert [a.send_by for a in (first, second, third)] == [2 * SECOND, 2 * SECOND, SECOND + 600 * MS]
 
 
 def test_the_group_is_that_of_the_first_attempts_time():
-    balancer = make()
-    balancer.handle(0, [full(endpoint("a1", cell=1))])
+    balancer = make_balancer()
+    balancer.handle(0, [full_list(endpoint("a1", cell=1))])
     (first,) = attempts(balancer.handle(SECOND, [request("r", "log-cell")]))
-    balancer.handle(SECOND + 10 * MS, [full(endpoint("a1", cell=2), endpoint("a2", cell=2))])
-    assert balancer.handle(SECOND + 20 * MS, [ended(first, Outcome.ERROR)]) == [Fail("r")]
+    balancer.handle(SECOND + 10 * MS, [full_list(endpoint("a1", cell=2), endpoint("a2", cell=2))])
+    assert balancer.handle(SECOND + 20 * MS, [attempt_ended(first, Outcome.ERROR)]) == [Fail("r")]
