--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -11,75 +11,77 @@
 from pathlib import Path
 
 from loftweir.config.model import Replication
-from loftweir.config.units import seats
+from loftweir.config.units import parse_members
 from loftweir.errors import LoftweirError
 from loftweir.net.loop import MS, SECOND, Coroutine, Loop, Wait
-from loftweir.operations.calls import Call, Command, No
-from loftweir.operations.record import LastCommand
+from loftweir.operations.calls import No, OperatorCommand, Verb
+from loftweir.operations.record import Override
 from loftweir.replication import reception, remembered
 from loftweir.replication.api import Role
-from loftweir.replication.caller import Caller
+from loftweir.replication.caller import Proposer
 from loftweir.replication.disk import open_disk
 from loftweir.replication.folder import FolderInUse, StorageFailed
-from loftweir.replication.follower import Follower
-from loftweir.replication.joining import Joining
+from loftweir.replication.follower import Observer
+from loftweir.replication.joining import JoinProcess
 from loftweir.replication.machine import Machine, Ok
-from loftweir.replication.machine import Word as Say
+from loftweir.replication.machine import SetOverride as Say
 from loftweir.replication.member import Voter
-from loftweir.replication.reception import Reception
-from loftweir.replication.remembered import Remembered
-from loftweir.replication.wire import WordOf
+from loftweir.replication.reception import ReplicationListener
+from loftweir.replication.remembered import OverrideCache
+from loftweir.replication.wire import OverrideQuery
 from loftweir.state.sealed import Damaged
 from loftweir.telemetry.catalogue import (
     REPLICATION_DAMAGED,
     REPLICATION_ENDED,
-    REPLICATION_FORGOT,
+    REPLICATION_NOT_REMEMBERED,
     REPLICATION_OPENED,
     REPLICATION_WAITS,
     REPLICATION_WORDS,
 )
-from loftweir.telemetry.log import say
+from loftweir.telemetry.log import emit
 
-TRY_EVERY = 300 * MS  # for the folder and the address, that the process before this one may hold yet
-SAVE_APART = 100 * MS  # from one writing of what holds to the next, where the next process finds it
-FOLLOWERS_OWN = 6  # descriptors: a line for news, two for calls, and what is between one and the next
+VOTE_RETRY_INTERVAL = 300 * MS  # for the folder and the address, that the process before this one may hold yet
+MIN_SAVE_INTERVAL = 100 * MS  # from one writing of what holds to the next, where the next process finds it
+OBSERVER_DESCRIPTORS = 6  # descriptors: a line for news, two for calls, and what is between one and the next
 
 
-def descriptors(name: str, options: Replication) -> int:
+def descriptor_count(name: str, options: Replication) -> int:
     """How many of the sidecar's descriptors the copies may take."""
-    return FOLLOWERS_OWN + (options.callers + reception.DESCRIPTORS if name in seats(options.members) else 0)
+    return OBSERVER_DESCRIPTORS + (
+        options.callers + reception.BASE_DESCRIPTORS if name in parse_members(options.members) else 0
+    )
 
 
-class Part:
+class ReplicationAgent:
     """Invariants: it votes or follows, one of the two; `told` has heard `words`, which are those of the machine at
     `index` and what was promised here since; a machine behind that is told only where its members are all others: the
     copies were begun anew."""
 
     def __init__(
-        self, loop: Loop, name: str, options: Replication, told: Callable[[Mapping[str, LastCommand], bool], None]
+        self, loop: Loop, name: str, options: Replication, told: Callable[[Mapping[str, Override], bool], None]
     ) -> None:
         self.loop = loop
         self.name = name
         self.options = options
         self.told = told
-        self.seats = seats(options.members)
+        self.seats = parse_members(options.members)
         self.id = secrets.token_hex(8)  # of this process, where it does not vote
         self.folder = Path(os.environ["TMPDIR"]) if os.environ.get("TMPDIR") else None
         self.index = 0  # of what holds here
         self.known_at: int | None = None  # where only what was remembered does: when it was the latest
         self.members: frozenset[str] = frozenset()  # ids of the voters that it is of
-        self.words: dict[str, LastCommand] = {}
+        self.words: dict[str, Override] = {}
         self.machine: Machine | None = None  # the state that holds here; None: none was heard of yet
-        self.heard: list[Callable[[Machine], None]] = []  # who else is told of each change of it
+        self.machine_listeners: list[Callable[[Machine], None]] = []  # who else is told of each change of it
         self.ahead: dict[str, int] = {}  # commands answered for, and from which index on the machine has them
         self.saves = False  # a file is to be written
         self.saved_at = 0
         self.voter: Voter | None = None
-        self.reception: Reception | None = None
-        self.follower: Follower | None = None
-        self.joining: Joining | None = None
+        self.reception: ReplicationListener | None = None
+        self.follower: Observer | None = None
+        self.joining: JoinProcess | None = None
         self.leaves = False
-        self.caller = Caller(loop, name, self.id, options, self.seats, lambda: self.index)
+        self.proposer = Proposer(loop, name, self.id, options, self.seats, lambda: self.index)
 
     # ---- begin and end --------------------------------------------------------------------------
 
@@ -90,11 +92,11 @@
         try:
             found = remembered.load(self.folder, self.options.cluster)
         except (OSError, Damaged) as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
             return
         if found is not None:
             self.index, self.known_at, self.members = found.index, found.known_at, frozenset(found.members)
-            self.words = {name: LastCommand(*command) for name, command in found.words.items()}
+            self.words = {name: Override(*command) for name, command in found.words.items()}
             self.told(self.words, True)
 
     def start(self) -> None:
@@ -105,11 +107,11 @@
 
     def _follow(self) -> None:
         if self.follower is None:
-            self.follower = Follower(self.loop, self.name, self.id, self.options, self.seats, self._followed)
+            self.follower = Observer(self.loop, self.name, self.id, self.options, self.seats, self._followed)
 
     def _try_to_vote(self) -> Coroutine[None]:
         while not self.leaves:
-            yield Wait(None, 0, self.loop.now() + TRY_EVERY)
+            yield Wait(None, 0, self.loop.now() + VOTE_RETRY_INTERVAL)
             if self.leaves or self._vote():
                 return
 
@@ -117,16 +119,16 @@
         """Takes the part of a member; False: not now, and it follows meanwhile."""
         options, address = self.options, self.seats[self.name]
         try:
-            sock = reception.bound(address)
+            sock = reception.bind_listener(address)
         except OSError as error:
-            say(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
+            emit(REPLICATION_WAITS, why=f"{address}: {error.strerror or error}")
             self._follow()
             return False
         try:  # second, since reading it takes the loop's time
             disk, kept, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
-            say(REPLICATION_WAITS, why=error)
+            emit(REPLICATION_WAITS, why=error)
             self._follow()
             return False
         except StorageFailed as error:
@@ -135,16 +137,16 @@
             return True
         index = kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot else 0
         folder = options.folder
-        say(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
+        emit(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
-            say(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
+            emit(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
         voter = Voter(self.loop, self.name, options, self.seats, (disk, kept), self._applied, self._ended)
-        listener = Reception(self.loop, voter, options.callers)
+        listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
         self._end_following()
         self.voter, self.reception = voter, listener
         voter.start()
-        self.joining = Joining(self.loop, voter, lambda: self.voter is voter)
+        self.joining = JoinProcess(self.loop, voter, lambda: self.voter is voter)
         return True
 
     def _end_following(self) -> None:
@@ -154,7 +156,7 @@
 
     def _ended(self, why: LoftweirError) -> None:
         """The member's part is over, the sidecar's is not."""
-        say(REPLICATION_ENDED, why=why, remedy=why.remedy)
+        emit(REPLICATION_ENDED, why=why, remedy=why.remedy)
         self._end_voting()
         if not self.leaves:
             self._follow()
@@ -189,7 +191,7 @@
             self._save()
         self._end_voting(within=0.5)
         self._end_following()
-        self.caller.close()
+        self.proposer.close()
 
     # ---- what holds -----------------------------------------------------------------------------
 
@@ -211,33 +213,35 @@
             return  # a voter that has yet to hear how much of its log holds, or one that joins
         whole, commands = machine.words_since(self.index)
         self.index, self.known_at, self.machine = machine.index, None, machine
-        for heard in self.heard:
-            heard(machine)
+        for listener in self.machine_listeners:
+            listener(machine)
         if not commands and not whole and not anew:
             return
-        said = {name: LastCommand(command.at, command.out) for name, command in commands.items()}
+        said = {name: Override(command.at, command.out) for name, command in commands.items()}
         self.ahead = {name: index for name, index in self.ahead.items() if index > machine.index}
         said |= {name: self.words[name] for name in self.ahead}  # not undone by an older one on the way
         self.words = said if whole or anew else {**self.words, **said}
-        say(REPLICATION_WORDS, out=self.out(), index=self.index)
+        emit(REPLICATION_WORDS, out=self.out(), index=self.index)
         self.told(said, whole or anew)
         if self.folder is not None and not self.saves:
             self.saves = True
-            self.loop.after(max(0, self.saved_at + SAVE_APART - self.loop.now()), self._save)
+            self.loop.after(max(0, self.saved_at + MIN_SAVE_INTERVAL - self.loop.now()), self._save)
 
     def _save(self) -> None:
         self.saves, self.saved_at = False, self.loop.now()
         if self.folder is None:
             return
-        words = {name: (command.at, command.on) for name, command in self.words.items()}
+        words = {name: (command.at, command.active) for name, command in self.words.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
-            remembered.save(self.folder, Remembered(self.options.cluster, self.index, now, sorted(self.members), words))
+            remembered.save(
+                self.folder, OverrideCache(self.options.cluster, self.index, now, sorted(self.members), words)
+            )
         except OSError as error:
-            say(REPLICATION_FORGOT, folder=str(self.folder), why=error)
+            emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
 
     def out(self) -> list[str]:
-        return sorted(name for name, command in self.words.items() if command.on)
+        return sorted(name for name, command in self.words.items() if command.active)
 
     def age(self) -> int | None:
         """Since what holds here was last known to be all that was promised, ns; None: not known."""
@@ -248,33 +252,33 @@
 
     # ---- operators' calls -----------------------------------------------------------------------
 
-    def do(self, call: Call) -> Coroutine[str]:
+    def execute(self, command: OperatorCommand) -> Coroutine[str]:
         """What is said after OK, which is a promise: a majority has it on stable storage. `No` with a typed error's
         text, within `replication.write_within`."""
-        if call.command is Command.FLEET:
+        if command.verb is Verb.FLEET:
             return self.line()
         until = self.loop.now() + self.options.write_within
         try:
-            if call.command is Command.FLEET_REMOVE:
-                yield from self.caller.remove(call.id, self.options.write_within)
+            if command.verb is Verb.FLEET_REMOVE:
+                yield from self.proposer.remove(command.id, self.options.write_within)
                 return "removed"
-            if call.command is Command.FLEET_ENABLE:
-                held = yield from self.caller.read(WordOf(call.id), self.options.write_within)
+            if command.verb is Verb.FLEET_ENABLE:
+                held = yield from self.proposer.read(OverrideQuery(command.id), self.options.write_within)
                 if held.sure and not (held.value and held.value[0]):
                     # As nobody took it out, it is not to begin cold; this sidecar may have yet to hear of that.
-                    if held.value or call.id in self.out():
-                        self._answered(call.id, LastCommand(held.value[2] if held.value else 0, False), held.index)
+                    if held.value or command.id in self.out():
+                        self._answered(command.id, Override(held.value[2] if held.value else 0, False), held.index)
                     return f"enabled, at index {held.index}"
-            act = Say(call.id, call.command is Command.FLEET_DISABLE, self.loop.now())
-            result = yield from self.caller.write(act, max(SECOND // 1000, until - self.loop.now()))
+            act = Say(command.id, command.verb is Verb.FLEET_DISABLE, self.loop.now())
+            result = yield from self.proposer.write(act, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
             raise No(f"{type(error).__name__}: {error}; {error.remedy}") from None
         if not isinstance(result, Ok):
             raise No(result.text)
-        self._answered(call.id, LastCommand(act.at, act.out), result.index)
+        self._answered(command.id, Override(act.at, act.out), result.index)
         return f"{'disabled' if act.out else 'enabled'}, at index {result.index}"
 
-    def _answered(self, name: str, said: LastCommand, index: int) -> None:
+    def _answered(self, name: str, said: Override, index: int) -> None:
         """What is promised at an index holds here by the time of the answer; the machine's state follows."""
         if index > max(self.index, self.ahead.get(name, 0)):
             self.ahead[name] = index
