--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -7,8 +7,8 @@
     each of these --suppress--> DAMPED --reuse--> ASKING             each --stop--> DOWN
 
 A request waits at the partner for changes (a long poll), like a watch of discovery's list, and its timeout follows the
-same rules (`loftweir/listclock.py`). Once its wait and `silent_after` have passed it is given up and `FRESH_CALLS` requests
-without a wait follow at once, before the usual backoff begins.
+same rules (`loftweir/listclock.py`). Once its wait and `silent_after` have passed it is given up and `FRESH_CALLS`
+requests without a wait follow at once, before the usual backoff begins.
 
 Invariants:
  1. Only a valid response to a request of this session instance confirms the table. A fault, a timeout or an old table
