--- a/loftweir/replication/reading.py
+++ b/loftweir/replication/reading.py
@@ -1,7 +1,7 @@
-"""What is in a voter's folder at a start: every byte of it is checked, and nothing that was promised may be missing.
+"""Recovers a voter's folder at a start. Every byte is checked, and nothing acknowledged may be missing.
 
-Only the last segment may end in the middle of a record, and only behind the mark: it is the write that the crash met.
-All else that is not as it was written is `StorageDamaged`, and nothing in the folder is changed then.
+Only the last segment may end within a record, and only after the mark: that is a write which a crash interrupted.
+Anything else that is not as it was written is a `StorageDamaged`, and then nothing in the folder is changed.
 """
 
 from __future__ import annotations
@@ -29,72 +29,77 @@
 
 
 class RecoveredFolder(NamedTuple):
-    """What is in a folder, and where to go on."""
+    """The content of a folder, and where to continue."""
 
-    tape: LogState
+    log_state: LogState
     kept: PersistentState
-    size: int  # of the last segment
-    torn: int  # bytes cut off
+    size: int  # of the last segment, in bytes
+    torn: int  # bytes that were cut off
 
 
 @contextmanager
 def naming_file(path: Path) -> Iterator[None]:
-    """`Damaged` with its file."""
+    """Adds the file's path to a `Damaged`."""
     try:
         yield
-    except Damaged as damaged:
-        raise StorageDamaged(damaged.why, path, damaged.at) from None
+    except Damaged as error:
+        raise StorageDamaged(error.why, path, error.at) from None
     except FileNotFoundError:
         raise StorageDamaged("it is missing", path, 0) from None
 
 
 def read_folder(folder: Folder, cluster: str) -> RecoveredFolder:
-    """All of it is on stable storage when this returns. `StorageDamaged`; OSError."""
+    """The content of the folder, all of which is on stable storage when this returns. Raises `StorageDamaged` and
+    OSError.
+    """
     with naming_file(folder.path / IDENTITY):
         identity = journal.decode_identity(folder.bytes_of(IDENTITY))
         if identity.cluster != cluster:
             raise Damaged(f"of another cluster, {identity.cluster!r}")
     with naming_file(folder.path / MARK):
         mark = journal.decode_mark(folder.bytes_of(MARK), identity)
-    log = _Log(folder, identity, mark)
+    log = _LogReader(folder, identity, mark)
     log.read()
-    snapshot = _snapshot(folder, log.tape)
-    log.settle()
-    remove_obsolete_files(folder, log.tape)
-    entries = tuple(log.entries[index] for index in range(log.tape.snapshot_index + 1, log.tape.next))
-    return RecoveredFolder(log.tape, PersistentState(log.tape.hard, snapshot, entries), log.size, log.torn)
-
-
-def remove_obsolete_files(folder: Folder, tape: LogState) -> None:
-    """Removes what the log needs no more; call it only once all that `tape` says is stable."""
-    while (spare := tape.spare()) is not None:
+    snapshot = _snapshot(folder, log.log_state)
+    log.rewrite_tail()
+    remove_obsolete_files(folder, log.log_state)
+    entries = tuple(log.entries[index] for index in range(log.log_state.snapshot_index + 1, log.log_state.next_index))
+    return RecoveredFolder(
+        log.log_state, PersistentState(log.log_state.hard_state, snapshot, entries), log.size, log.torn
+    )
+
+
+def remove_obsolete_files(folder: Folder, log_state: LogState) -> None:
+    """Removes the files that the log no longer needs. Everything in `log_state` must be stable."""
+    while (spare := log_state.obsolete_segment()) is not None:
         folder.remove(segment_name(spare))
-        del tape.tops[spare]
-    named = snapshot_name(tape.named.number) if tape.named else ""
-    for name in folder.own():
-        if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != named):
+        del log_state.segment_ends[spare]
+    current = snapshot_name(log_state.snapshot_file.number) if log_state.snapshot_file else ""
+    for name in folder.member_files():
+        if name.endswith(NEW_SUFFIX) or (name.startswith(SNAPSHOT) and name != current):
             folder.remove(name)
 
 
-def _snapshot(folder: Folder, tape: LogState) -> Snapshot | None:
-    if tape.named is None:
+def _snapshot(folder: Folder, log_state: LogState) -> Snapshot | None:
+    if log_state.snapshot_file is None:
         return None
-    name = snapshot_name(tape.named.number)
+    name = snapshot_name(log_state.snapshot_file.number)
     with naming_file(folder.path / name):
-        return journal.decode_snapshot(folder.bytes_of(name), tape.identity, tape.named)
+        return journal.decode_snapshot(folder.bytes_of(name), log_state.identity, log_state.snapshot_file)
 
 
-class _Log:
-    """The segments, read one after another."""
+class _LogReader:
+    """Reads one segment after another."""
 
     def __init__(self, folder: Folder, identity: Identity, mark: Mark) -> None:
         self.folder, self.mark = folder, mark
-        self.tape = LogState(identity)
-        self.entries: dict[int, Entry] = {}  # the last that was written under each index
+        self.log_state = LogState(identity)
+        self.entries: dict[int, Entry] = {}  # by index, the last one written
         self.size = 0
         self.torn = 0
-        self._met = False  # a record that ends where the mark says
-        self._behind: dict[int, bytes] = {}  # what is whole in each segment from the mark's on; empty: not its head
+        self._mark_found = False  # a record ends where the mark says
+        # By segment from the mark's on: its complete records; empty if not even the header is complete.
+        self._tails: dict[int, bytes] = {}
 
     def read(self) -> None:
         numbers = self.folder.numbers(SEGMENT)
@@ -108,39 +113,40 @@
                 except Torn as torn:
                     if number != last or (number, torn.at) < (self.mark.segment, self.mark.at):
                         raise
-                    end = torn.at if self.tape.segment == number else 0
+                    end = torn.at if self.log_state.segment == number else 0
                     self.torn = len(data) - end
                 if number >= self.mark.segment:
-                    self._behind[number] = data[:end]
+                    self._tails[number] = data[:end]
             self.size = end or self.size
-        if not self._met and self.mark.segment >= first:
+        if not self._mark_found and self.mark.segment >= first:
             raise StorageDamaged("no record ends where the mark says", self.folder.path / MARK, 0)
-        if lacking := self.tape.lacking():
-            raise StorageDamaged(lacking, self.folder.path / segment_name(first), 0)
+        if missing := self.log_state.missing_entries():
+            raise StorageDamaged(missing, self.folder.path / segment_name(first), 0)
 
     def _segment(self, number: int, data: bytes) -> int:
-        """Its length, once all of it has been taken."""
+        """The length of the segment's records, once all of them are applied."""
         mark, end = self.mark, 0
-        for end, record in self.tape.read(number, data):
+        for end, record in self.log_state.read_segment(number, data):
             if isinstance(record, Entry):
                 self.entries[record.index] = record
             if (number, end) == (mark.segment, mark.at):
-                self._met = True
-                if (self.tape.crc, self.tape.next - 1) != (mark.crc, mark.index):
+                self._mark_found = True
+                if (self.log_state.crc, self.log_state.next_index - 1) != (mark.crc, mark.index):
                     raise Damaged("another record than the mark names", end)
         if number == mark.segment and end < mark.at:
             raise Damaged(f"cut short: {mark.at} bytes of it were stable", end)
         return end
 
-    def settle(self) -> None:
-        """Writes what is behind the mark anew, without what was torn. A process before this one may have had its sync
-        fail: the pages are then in memory, look written, and a further sync of them says nothing (Rebello and others,
-        "Can Applications Recover from fsync Failures?", 2020)."""
-        lengths = {number: len(data) for number, data in self._behind.items()}
+    def rewrite_tail(self) -> None:
+        """Rewrites the segments since the mark, without a torn record. A sync of the previous process may have failed:
+        the pages are then in memory and seem written, and another sync of them proves nothing (Rebello and others, "Can
+        Applications Recover from fsync Failures?", 2020).
+        """
+        lengths = {number: len(data) for number, data in self._tails.items()}
         if lengths == {self.mark.segment: self.mark.at} and not self.torn:
             return
-        for number, data in self._behind.items():
+        for number, data in self._tails.items():
             if data:
-                self.folder.put(segment_name(number), data)
+                self.folder.write_file(segment_name(number), data)
             else:
                 self.folder.remove(segment_name(number))
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from fleet_scene import FleetScene
-from scene import Party, reply
+from scene import StubServer, http_response
 
 from loftweir.partners.table import Offer, parse_route
 from loftweir.replication import wire
@@ -31,7 +31,7 @@
     return {**made, "terms": OPEN | (terms or {}), **more}
 
 
-class FakePartner(Party):
+class FakePartner(StubServer):
     """A fake partner with one sidecar. Tests change its table; its requests wait for changes. `make_reply` makes the
     bytes of a response from its body, and while `silent` there is no response."""
 
@@ -76,7 +76,7 @@
 
     def make_reply(self, body):
         """The bytes that are sent for a response with this body; tests replace it."""
-        return reply(200, body)
+        return http_response(200, body)
 
     def is_up_to_date(self):
         """Whether the last request had the position of the current table."""
@@ -183,7 +183,7 @@
                     return found
                 for entry in news.entries:
                     if not entry.data:
-                        machine.passed(entry.index)
+                        machine.skip(entry.index)
                         continue
                     act, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
                     if isinstance(act, FencedWrite) and act.duty == duty:
