--- a/loftweir/config/model.py
+++ b/loftweir/config/model.py
@@ -25,7 +25,7 @@
     parse_members,
     parse_service,
 )
-from loftweir.listclock import ANEW, LEAST
+from loftweir.listclock import FRESH_CALLS, SHORTEST_FRESH_TIMEOUT
 
 # Durations in nanoseconds.
 MS = 1_000_000
@@ -533,7 +533,7 @@
         yield "partners.site", "empty, or replication.members set, as the cluster stores the partners' routes"
     if not partners.file:
         yield "partners.file", "a file, as partners.site is set"
-    least = partners.wait + partners.silent_after + ANEW * LEAST + REPLICATION_MARGIN
+    least = partners.wait + partners.silent_after + FRESH_CALLS * SHORTEST_FRESH_TIMEOUT + REPLICATION_MARGIN
     if partners.hold < least:
         yield (
             "partners.hold",
--- a/loftweir/partners/session.py
+++ b/loftweir/partners/session.py
@@ -7,8 +7,8 @@
     each of these --suppress--> DAMPED --reuse--> ASKING             each --stop--> DOWN
 
 A request waits at the partner for changes (a long poll), like a watch of discovery's list, and its timeout follows the
-same rules (`loftweir/listclock.py`). Once its wait and `silent_after` have passed it is given up and `ANEW` requests
-without a wait follow at once, before the usual backoff begins.
+same rules (`loftweir/listclock.py`). Once its wait and `silent_after` have passed it is given up and `FRESH_CALLS`
+requests without a wait follow at once, before the usual backoff begins.
 
 Invariants:
  1. Only a valid response to a request of this session instance confirms the table. A fault, a timeout or an old table
@@ -129,7 +129,9 @@
     @property
     def quick_retry_timeout(self) -> int:
         """Timeout in ns of each of the requests without a wait that follow a request that timed out."""
-        return min(listclock.LONGEST, (self.hold - self.wait - self.silent_after) // listclock.ANEW)
+        return min(
+            listclock.LONGEST_FRESH_TIMEOUT, (self.hold - self.wait - self.silent_after) // listclock.FRESH_CALLS
+        )
 
     @property
     def max_penalty(self) -> float:
@@ -137,7 +139,7 @@
         return float(self.reuse * 2.0 ** (self.damped_most / self.half))
 
     def __post_init__(self) -> None:
-        least = self.wait + self.silent_after + listclock.ANEW * listclock.LEAST
+        least = self.wait + self.silent_after + listclock.FRESH_CALLS * listclock.SHORTEST_FRESH_TIMEOUT
         faults = [
             SettingFault(f"partners.{name}", str(getattr(self, name)), "above 0")
             for name in ("wait", "silent_after", "hold", "gone", "apart", "again", "ramp_within", "half", "damped_most")
@@ -333,7 +335,7 @@
         timed_out = self.pending_request
         actions.append(RequestFailed(f"no response within {(now - self.due_at + timed_out.timeout) // MS} ms"))
         if timed_out.wait or self.quick_retries:
-            self.quick_retries = listclock.ANEW - 1 if timed_out.wait else self.quick_retries - 1
+            self.quick_retries = listclock.FRESH_CALLS - 1 if timed_out.wait else self.quick_retries - 1
             return actions + self._send(now, 0)
         self._schedule_retry(now)
         return actions
