--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -41,7 +41,8 @@
 CLAUSES = st.builds(clause, st.sampled_from(Effect), st.sampled_from(Scope), st.integers(0, 3), st.integers(1, 3))
 CONTRACTS = st.dictionaries(st.sampled_from(["read", "write", "pay"]), CLAUSES, max_size=3)
 SHARES = st.sampled_from([None, 0.1, 0.5, 1.0])
-ONCE, FREE = {"read": clause(Effect.ONCE)}, {"read": clause(Effect.REPEATABLE)}
+ONCE = {"read": clause(Effect.ONCE)}
+FREE = {"read": clause(Effect.REPEATABLE)}
 KEYED = {"read": clause(Effect.BY_KEY, Scope.ALL, 9)}
 
 
@@ -53,7 +54,7 @@
     return Claim(index, Declaration(declared, same))
 
 
-def why(catalog, host):
+def reason_of(catalog, host):
     return getattr(catalog.find(host), "reason", None)
 
 
@@ -83,7 +84,7 @@
         **reasons,
         **dict.fromkeys(("", "[::1]:80", "\u212aing", "b.a@bb"), UnknownReason.NAME),
     }.items():
-        assert why(catalog, host) is reason and build.REMEDIES[reason] in catalog.find(host).text, host
+        assert reason_of(catalog, host) is reason and build.REMEDIES[reason] in catalog.find(host).text, host
     assert catalog.find("new@bb").key == "new@bb" and set(catalog.rejected_names) == {"a.b@bb"}
     wrong = ["", "-a@bb", "a@", "a@b@c", "a_b@bb", "a" * 64 + "@bb", "a@bb\n", "\u212a@bb", 7, None]
     for text in [*wrong, "a@" + "b." * 130]:
@@ -125,12 +126,14 @@
 
 # ---- collisions ----------------------------------------------------------------------------------
 
-THREE = (("bb", 5), ("cc", 3), ("aa", 9))
+CLAIM_AGES = (("bb", 5), ("cc", 3), ("aa", 9))
 
 
 def contenders(*declared):
-    others = tuple(f"shop@{mesh}" for mesh, _ in THREE)
-    return [Contender(f"shop@{m}", age, Declaration(d, others)) for (m, age), d in zip(THREE, declared, strict=True)]
+    others = tuple(f"shop@{mesh}" for mesh, _ in CLAIM_AGES)
+    return [
+        Contender(f"shop@{m}", age, Declaration(d, others)) for (m, age), d in zip(CLAIM_AGES, declared, strict=True)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -171,10 +174,10 @@
     state = CatalogState({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
     catalog = Catalog(HERE, state)
     assert all(catalog.find(f"s{n}").key == f"s{n}@bb" for n in range(10)) and catalog.find("s50").key == "s50@evil"
-    assert catalog.find("s20").key == "s20@aa" and why(catalog, "s21") is UnknownReason.STALE
-    assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is UnknownReason.UNHELD
+    assert catalog.find("s20").key == "s20@aa" and reason_of(catalog, "s21") is UnknownReason.STALE
+    assert catalog.find("s20.evil").key == "s20@evil" and reason_of(catalog, "s200") is UnknownReason.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
-    assert why(catalog, "pay@bb") is UnknownReason.UNFIT
+    assert reason_of(catalog, "pay@bb") is UnknownReason.UNFIT
     # Another mesh can still claim names.
     assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)
 
@@ -359,21 +362,23 @@
         check()
 
 
-RULES, ABROAD, PUT = collisions.RULES, providers.partner_endpoints, Claims._put
+RULES = collisions.RULES
+REAL_PARTNER_ENDPOINTS = providers.partner_endpoints
+REAL_PUT = Claims._put
 
 
-def loosest(some):
-    return {"read": max((one["read"] for one in some), key=lambda one: contract.STRICTNESS[one.effect])}
+def loosest(contracts):
+    return {"read": max((one["read"] for one in contracts), key=lambda one: contract.STRICTNESS[one.effect])}
 
 
-def younger(self, index, act):
-    PUT(self, index, act)
-    self.table[act.name] = Claim(index, act.declared)
+def put_without_age(self, index, command):
+    REAL_PUT(self, index, command)
+    self.table[command.name] = Claim(index, command.declared)
     return ClaimAccepted(index)
 
 
 def unqualified(one):
-    ends, at = ABROAD(one)
+    ends, at = REAL_PARTNER_ENDPOINTS(one)
     return {name: replace(end, zone=end.zone.partition("@")[0]) for name, end in ends.items()}, at
 
 
@@ -393,7 +398,7 @@
         [(build, "key_of", lambda members: members[0])],
         check_simulations,
     ),
-    "a new declaration resets the age of a claim": ([(Claims, "_put", younger)], check_simulations),
+    "a new declaration resets the age of a claim": ([(Claims, "_put", put_without_age)], check_simulations),
     "services with different contracts join": ([(collisions, "is_same_service", agree)], check_changing_contracts),
     "a partner's zones are not qualified": ([(providers, "partner_endpoints", unqualified)], check_changing_contracts),
     "claims of one mesh are not limited": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], check_hostile_mesh),
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -129,13 +129,13 @@
     return PartnerState(Table(site, epoch, index, routes), Freshness.FRESH, now, now)
 
 
-def broken(edit, number=0):
+def edited_response(edit, number=0):
     data = json.loads(offer().response(None))
     edit(data["routes"][number] if number is not None else data)
     return json.dumps(data).encode()
 
 
-def put(*path, value):
+def set_value(*path, value):
     def edit(data):
         for name in path[:-1]:
             data = data[name]
@@ -145,29 +145,29 @@
 
 
 FAULTS = [
-    (put("service", value="a b@m"), 1, "routes.1.service"),
-    (put("service", value="-a@m"), 1, "routes.1.service"),
-    (put("service", value="S0@BB"), 1, "routes.1.service"),  # a duplicate that differs only in case
-    (put("path", value=["cc", "bb"]), 0, "routes.0.path"),
-    (put("path", value=["bb", "cc", "bb"]), 0, "routes.0.path"),
-    (put("path", value=["bb", *(f"x{n}" for n in range(9))]), 0, "routes.0.path"),
-    (put("providers", 0, "address", value="nowhere"), 2, "routes.2.providers.0.address"),
-    (put("providers", 0, "type", value=7), 2, "routes.2.providers.0.type"),
-    (put("providers", value=[{}] * 65), 0, "routes.0.providers.0"),
-    (put("classes", value=[]), 0, "routes.0.classes"),
-    (put("share", value=1.5), 0, "routes.0.share"),
-    (put("valid_for", value=0), 0, "routes.0.valid_for"),
-    (put("epoch", value="x"), None, "epoch"),
-    (put("site", value="cc"), None, "site"),
-    (put("after", value=3), None, "after"),
-    (put("sum", value="0" * 16), None, "sum"),
+    (set_value("service", value="a b@m"), 1, "routes.1.service"),
+    (set_value("service", value="-a@m"), 1, "routes.1.service"),
+    (set_value("service", value="S0@BB"), 1, "routes.1.service"),  # a duplicate that differs only in case
+    (set_value("path", value=["cc", "bb"]), 0, "routes.0.path"),
+    (set_value("path", value=["bb", "cc", "bb"]), 0, "routes.0.path"),
+    (set_value("path", value=["bb", *(f"x{n}" for n in range(9))]), 0, "routes.0.path"),
+    (set_value("providers", 0, "address", value="nowhere"), 2, "routes.2.providers.0.address"),
+    (set_value("providers", 0, "type", value=7), 2, "routes.2.providers.0.type"),
+    (set_value("providers", value=[{}] * 65), 0, "routes.0.providers.0"),
+    (set_value("classes", value=[]), 0, "routes.0.classes"),
+    (set_value("share", value=1.5), 0, "routes.0.share"),
+    (set_value("valid_for", value=0), 0, "routes.0.valid_for"),
+    (set_value("epoch", value="x"), None, "epoch"),
+    (set_value("site", value="cc"), None, "site"),
+    (set_value("after", value=3), None, "after"),
+    (set_value("sum", value="0" * 16), None, "sum"),
 ]
 
 
 @pytest.mark.parametrize("edit, number, place", FAULTS, ids=lambda x: x if isinstance(x, str) else "")
 def test_an_invalid_table_is_rejected_as_a_whole_with_the_place(edit, number, place):
     with pytest.raises(BadTable) as caught:
-        apply_response(None, parse_response(broken(edit, number), "bb"))
+        apply_response(None, parse_response(edited_response(edit, number), "bb"))
     assert caught.value.faults[0].place.startswith(place) and caught.value.where == "partner bb"
     assert isinstance(caught.value, LoftweirError) and caught.value.remedy
 
