--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -1,7 +1,7 @@
-"""Frames over one socket, both ways, and the greeting that comes first.
+"""Frames on one socket, in both directions, after an exchange of `Hello`.
 
-One coroutine runs a line by `next`; whoever has something to say calls `put`, which writes at once what the socket
-takes and leaves the rest to that coroutine. Nothing here waits for a reader: what it does not take is held, bounded.
+One coroutine reads with `next`. Any code can call `put`, which writes at once what the socket accepts and leaves the
+rest to that coroutine. Nothing here waits for the other side: what it does not read is buffered, up to a limit.
 """
 
 from __future__ import annotations
@@ -14,28 +14,31 @@
 from loftweir.net.stream import READ_SIZE, ConnectError, TimedOut, connect
 from loftweir.replication.wire import BadFrame, ConnectionRejected, Frame, FrameReader, Hello, TurnedAway, encode_frame
 
-GREETING_TIMEOUT = SECOND  # from a connection's opening until both have said who they are
-TCP_USER_TIMEOUT_MS = 5_000  # ms without the other side's kernel taking what was sent, until the connection is given up
-MAX_FRAMES_PER_WRITE = 64  # frames in one write
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # bytes held for one that does not read
+GREETING_TIMEOUT = SECOND  # from the connection's start until both sides have sent a `Hello`
+TCP_USER_TIMEOUT_MS = 5_000  # until the connection is closed if the other side's kernel acknowledges nothing
+MAX_FRAMES_PER_WRITE = 64  # frames passed to one `sendmsg`
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # buffered for a peer that does not read
 
-CONNECTION_ERRORS = (TimedOut, OSError, BadFrame)  # what ends a line
+CONNECTION_ERRORS = (TimedOut, OSError, BadFrame)  # exceptions that end a connection
 
 
 class FrameConnection:
-    """Invariant: `held` is the length of all in `out`; `out` is not empty only where the socket took no more when it
-    was last tried, and then whoever runs the line waits for it to be writable."""
+    """A connection that carries frames.
 
-    def __init__(self, loop: Loop, sock: socket.socket, most: int = MAX_UNSENT_BYTES) -> None:
+    Invariant: `unsent_bytes` is the total length of `unsent`. `unsent` is only non-empty if the socket accepted no more
+    at the last attempt, and then the coroutine waits until it is writable.
+    """
+
+    def __init__(self, loop: Loop, sock: socket.socket, max_unsent_bytes: int = MAX_UNSENT_BYTES) -> None:
         self.loop = loop
         self.sock = sock
-        self.most = most
-        self.task: Task | None = None  # who runs it
+        self.max_unsent_bytes = max_unsent_bytes
+        self.task: Task | None = None  # the coroutine that reads
         self.reader = FrameReader()
-        self.out: deque[tuple[memoryview, bool]] = deque()  # what is left of each frame, and whether it may be dropped
-        self.held = 0
-        self.told_to_write = False  # whoever runs it waits for it to be writable
-        self.over = False
+        self.unsent: deque[tuple[memoryview, bool]] = deque()  # the rest of each frame, and whether it may be dropped
+        self.unsent_bytes = 0
+        self.waiting_writable = False  # the coroutine waits until the socket is writable
+        self.closed = False
 
     # ---- out ----
 
@@ -43,50 +46,51 @@
         self.write(encode_frame(frame), may_drop)
 
     def write(self, data: bytes, may_drop: bool = False) -> None:
-        """A frame as it goes out. Over the bound the oldest that may be dropped go; where that does not help, the line
-        is of no use, and ends."""
-        if self.over:
+        """Sends an encoded frame. Above the limit, the oldest frames that may be dropped are; if that does not suffice,
+        the connection is useless and is aborted.
+        """
+        if self.closed:
             return
-        self.out.append((memoryview(data), may_drop))
-        self.held += len(data)
-        if len(self.out) == 1:
+        self.unsent.append((memoryview(data), may_drop))
+        self.unsent_bytes += len(data)
+        if len(self.unsent) == 1:
             self._flush()
-        if self.held > self.most:
+        if self.unsent_bytes > self.max_unsent_bytes:
             self._drop()
-        if self.out and self.task is not None and not self.told_to_write:
+        if self.unsent and self.task is not None and not self.waiting_writable:
             self.task.wake()
 
     def _drop(self) -> None:
         kept: deque[tuple[memoryview, bool]] = deque()
-        for number, (data, may_drop) in enumerate(self.out):
-            if number and may_drop and self.held > self.most:  # the first may have gone out in part
-                self.held -= len(data)
+        for number, (data, may_drop) in enumerate(self.unsent):
+            if number and may_drop and self.unsent_bytes > self.max_unsent_bytes:  # the first one may be partly sent
+                self.unsent_bytes -= len(data)
             else:
                 kept.append((data, may_drop))
-        self.out = kept
-        if self.held > self.most:
-            self.shut()
+        self.unsent = kept
+        if self.unsent_bytes > self.max_unsent_bytes:
+            self.abort()
 
     def _flush(self) -> None:
         try:
-            while self.out:
-                sent = self.sock.sendmsg([data for data, _ in list(self.out)[:MAX_FRAMES_PER_WRITE]])
-                self.held -= sent
+            while self.unsent:
+                sent = self.sock.sendmsg([data for data, _ in list(self.unsent)[:MAX_FRAMES_PER_WRITE]])
+                self.unsent_bytes -= sent
                 while sent:
-                    data, may_drop = self.out[0]
+                    data, may_drop = self.unsent[0]
                     if sent < len(data):
-                        self.out[0] = data[sent:], may_drop
+                        self.unsent[0] = data[sent:], may_drop
                         break
                     sent -= len(data)
-                    self.out.popleft()
+                    self.unsent.popleft()
         except BlockingIOError:
             pass
         except OSError:
-            self.shut()
+            self.abort()
 
     def alive(self) -> bool:
-        """Whether the other side has not ended it, as far as its packets tell by now."""
-        if self.over:
+        """Whether the other side has not closed the connection, as far as its packets show."""
+        if self.closed:
             return False
         try:
             return bool(self.sock.recv(1, socket.MSG_PEEK))
@@ -95,37 +99,37 @@
         except OSError:
             return False
 
-    def shut(self) -> None:
-        """Nothing more goes out, and whoever runs the line finds it at its end."""
-        if not self.over:
-            self.over = True
-            self.out.clear()
-            self.held = 0
+    def abort(self) -> None:
+        """Sends nothing more; the reading coroutine finds the connection ended."""
+        if not self.closed:
+            self.closed = True
+            self.unsent.clear()
+            self.unsent_bytes = 0
             if self.task is not None:
                 self.task.wake()
 
     def close(self) -> None:
-        self.shut()
+        self.abort()
         self.loop.close(self.sock)
 
     # ---- in ----
 
     def next(self, until: int | None) -> Coroutine[Frame]:
-        """The next frame; one of `Broken` where none comes any more, or none in time."""
+        """The next frame. Raises one of `CONNECTION_ERRORS` if the connection ends, or at `until`."""
         while True:
             frame = self.reader.next()
             if frame is not None:
                 return frame
-            if self.over:
+            if self.closed:
                 raise ConnectionError("ended")
-            self.told_to_write = bool(self.out)
-            events = yield Wait(self.sock, READABLE | WRITABLE if self.out else READABLE, until)
-            self.told_to_write = False
+            self.waiting_writable = bool(self.unsent)
+            events = yield Wait(self.sock, READABLE | WRITABLE if self.unsent else READABLE, until)
+            self.waiting_writable = False
             if events == 0:
                 raise TimedOut
-            if events == WOKEN or self.over:
+            if events == WOKEN or self.closed:
                 continue
-            if self.out:
+            if self.unsent:
                 self._flush()
             try:
                 data = self.sock.recv(READ_SIZE)
@@ -135,38 +139,40 @@
                 raise ConnectionError("ended")
             self.reader.feed(data)
 
-    def taken(self, until: int) -> Coroutine[None]:
-        """Until the other side's kernel has taken all that was put; one of `Broken` where it doesn't in time."""
-        while self.out and not self.over:
-            self.told_to_write = True
+    def flushed(self, until: int) -> Coroutine[None]:
+        """Waits until the other side's kernel has accepted everything. Raises one of `CONNECTION_ERRORS`, also at
+        `until`.
+        """
+        while self.unsent and not self.closed:
+            self.waiting_writable = True
             events = yield Wait(self.sock, WRITABLE, until)
-            self.told_to_write = False
+            self.waiting_writable = False
             if events == 0:
                 raise TimedOut
             self._flush()
 
-    def greeting(self, until: int) -> Coroutine[Hello]:
-        """The other side's first frame; `TurnedAway` where that says no, or says something else."""
+    def read_hello(self, until: int) -> Coroutine[Hello]:
+        """The other side's first frame. Raises `TurnedAway` if it is a rejection or anything else than a `Hello`."""
         frame = yield from self.next(until)
         if isinstance(frame, ConnectionRejected):
             raise TurnedAway(f"{frame.why.value} {frame.about}".strip())
         if not isinstance(frame, Hello):
-            raise TurnedAway("it did not say who it is")
+            raise TurnedAway("the first frame is not a Hello")
         return frame
 
 
 def dial(loop: Loop, address: str, hello: Hello, until: int) -> Coroutine[tuple[FrameConnection, Hello]]:
-    """A line to an address, greeted. Raises `ConnectError` where nobody answers there in time, and `TurnedAway`."""
+    """Connects and exchanges `Hello`. Raises `ConnectError` if nobody answers in time, and `TurnedAway`."""
     sock = yield from connect(loop, address, GREETING_TIMEOUT, until)
-    line = FrameConnection(loop, sock)
+    connection = FrameConnection(loop, sock)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-        line.put(hello)
-        there = yield from line.greeting(min(until, loop.now() + GREETING_TIMEOUT))
+        connection.put(hello)
+        peer = yield from connection.read_hello(min(until, loop.now() + GREETING_TIMEOUT))
     except CONNECTION_ERRORS:
-        line.close()
+        connection.close()
         raise ConnectError(Outcome.CONNECT_FAILED) from None
     except BaseException:
-        line.close()
+        connection.close()
         raise
-    return line, there
+    return connection, peer
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -1,7 +1,7 @@
-"""A voter on the loop: owns the disk, the core, the machine and the leases' times, and carries the core's actions out.
+"""A voter on the event loop: owns the disk, the core, the state machine and the lease expiry, and executes the actions.
 
-Invariants: events are handed to the core one after another, each with all its actions carried out before the next; a
-message leaves only once the batch that it rests on is stable; who asked for a write, read or change is told once.
+Invariants: the core gets one event after another, and all actions of one are executed before the next. A message is
+sent only once the batch that it depends on is stable. Each write, read or membership change is answered once.
 """
 
 from __future__ import annotations
@@ -46,16 +46,27 @@
 from loftweir.replication.disk import Disk
 from loftweir.replication.links import MemberLink
 from loftweir.replication.machine import AnyResult, Command, Machine, encode
-from loftweir.replication.wire import VERSION, CommittedEntry, FollowResponse, Hello, OutcomeCode, StatusResponse
-from loftweir.replication.wire import ConnectionKind as Who
+from loftweir.replication.wire import (
+    VERSION,
+    CommittedEntry,
+    ConnectionKind,
+    FollowResponse,
+    Hello,
+    OutcomeCode,
+    StatusResponse,
+)
 from loftweir.telemetry.catalogue import REPLICATION_ROLE, REPLICATION_TURNED_AWAY
 from loftweir.telemetry.log import emit, traceback_location
 
-FOUNDING_BATCH = 0  # the batch that founds; the core counts its own from 1 on
-MAX_FOLLOW_ENTRIES, MAX_FOLLOW_BYTES = 256, 256 * 1024  # of one answer to a follower; the rest comes with the next
-LINK_IDLE_TIMEOUT = 10 * SECOND  # of a link to one that is no member
-MAX_LINKS = 32  # at most; twice the members that there may be
-UNKNOWN_LAG = 1 << 62
+FOUNDING_BATCH = 0  # the batch that founds a cluster; the core numbers its own from 1
+
+# Limits of one FollowResponse; the rest comes with the next one.
+MAX_FOLLOW_ENTRIES = 256
+MAX_FOLLOW_BYTES = 256 * 1024
+
+LINK_IDLE_TIMEOUT = 10 * SECOND  # of a link to an id that is not a member
+MAX_LINKS = 32  # twice the number of members that there may be
+UNKNOWN_LAG = 1 << 62  # entries; also a time that is never reached
 
 ResultCallback = Callable[[OutcomeCode, int, AnyResult | None], None]
 OUTCOME_CODES = {
@@ -67,14 +78,16 @@
 
 
 class Voter:
-    """`applied` is called after each step that changed the machine, `ended` once, with why this part is over."""
+    """This sidecar as a voting member. `applied` is called after each step that changed the state machine, and `ended`
+    once, with the reason, when this member stops.
+    """
 
     def __init__(
         self,
         loop: Loop,
         name: str,
         options: Replication,
-        seats: dict[str, str],
+        slots: dict[str, str],
         opened: tuple[Disk, PersistentState],
         applied: Callable[[], None],
         ended: Callable[[LoftweirError], None],
@@ -82,72 +95,81 @@
         self.loop = loop
         self.name = name
         self.options = options
-        self.seats = seats  # as this sidecar's operator lists them: where each name is reached from here
+        self.slots = slots  # by name: the members' addresses in this sidecar's configuration
         self.disk, kept = opened
         self.me = self.disk.member
         self.applied = applied
         self.ended = ended
-        self.timing = Timing(beat=options.beat, election=options.election)
+        self.timing = Timing(heartbeat_interval=options.beat, election_timeout=options.election)
         self.random = Random(f"{self.me} {loop.now()}")
         self.core = Core(self.me, kept, self.timing, self.random, loop.now())
         self.machine = Machine()
-        self.keeper = LeaseExpirer()
-        self.begun = kept != PersistentState()  # something was kept, or is asked to be, ever
-        self.lost = self.disk.lost  # ... or may have been, by files that were set aside
-        self.founding: PersistentState | None = None  # asked to be kept, and not yet stable
-        self.over = False
-        self.stable = 0  # the last batch that is
-        self.held: deque[SendMessage] = deque()  # until their batch is; in order of batches
+        self.lease_expirer = LeaseExpirer()
+        # its storage was ever written to, or is being written to for the first time
+        self.has_state = kept != PersistentState()
+        # files were set aside, which may have contained acknowledged writes
+        self.state_may_be_lost = self.disk.state_may_be_lost
+        self.founding: PersistentState | None = None  # the founding state while it is not stable yet
+        self.closed = False
+        self.synced_batch = 0  # the last batch that is stable
+        self.unsent_messages: deque[SendMessage] = deque()  # until their batch is stable; in the order of batches
         self.links: dict[str, MemberLink] = {}
-        self.names: dict[str, str] = {}  # by id, of others that have connected
+        self.connected_names: dict[str, str] = {}  # by id; of other members that are connected
         self.pending: deque[Event] = deque()
-        self.steps = False
+        self.stepping = False
         self.tokens = 0
-        self.waiting: dict[int, ResultCallback] = {}
-        self.results: dict[int, AnyResult] = {}  # of writes applied in this step, by index
-        self.told_index = 0
-        self.known_at = 0  # when it last knew a leader with a majority, itself or another; 0: never
-        self.led = (0, 0)  # the term that it led last, and when it began to
-        self.voted = False  # in the life of this process it was a voter, by a log that had all that was committed then
-        self.hello = Hello(VERSION, options.cluster, self.me, name, Who.MEMBER)
+        self.callbacks: dict[int, ResultCallback] = {}
+        self.step_results: dict[int, AnyResult] = {}  # by index; of the writes applied in this step
+        self.notified_index = 0
+        self.leader_known_at = 0  # ns; when it last knew of a leader with a majority, itself included; 0: never
+        self.leadership = (0, 0)  # the last term that it led, and when it began to
+        # During the life of this process it was a voter by a log that included everything committed at the time.
+        self.is_confirmed_voter = False
+        self.hello = Hello(VERSION, options.cluster, self.me, name, ConnectionKind.MEMBER)
         self.ticker: Task = loop.spawn(self._tick(), self._crashed, urgent=True)
-        self.reader: Task = loop.spawn(self._read_disk(), self._crashed, urgent=True)
+        self.disk_task: Task = loop.spawn(self._read_disk(), self._crashed, urgent=True)
 
     def start(self) -> None:
-        self.feed(Tick())
+        """Starts the election timer."""
+        self.process(Tick())
 
     # ---- events and actions ---------------------------------------------------------------------
 
-    def feed(self, event: Event) -> None:
-        """One event to the core, after those that wait; all that follows from it is done when this returns, unless it
-        comes of an action of another one."""
+    def process(self, event: Event) -> None:
+        """Passes an event to the core after those that are queued. When this returns all its actions are executed,
+        unless it is called from an action of another event.
+        """
         self.pending.append(event)
-        if self.steps or self.over:
+        if self.stepping or self.closed:
             return
-        self.steps = True
+        self.stepping = True
         try:
-            while self.pending and not self.over:
+            while self.pending and not self.closed:
                 if self.founding is None or isinstance(self.pending[0], StorageBroken):
-                    taken = self.pending.popleft()
-                    for action in self.core.step(self.loop.now(), taken):
+                    current = self.pending.popleft()
+                    for action in self.core.step(self.loop.now(), current):
                         ACTION_HANDLERS[type(action)](self, action)
-                    self.voted = self.voted or self._votes_now(taken)
-                else:  # nothing is heard, and nothing promised, until it is known what this member is
-                    self._turn_away(self.pending.popleft())
-        except Exception as error:  # a fault of the program's: whatever asked must not end for it, but this part must
-            self.steps = False
+                    self.is_confirmed_voter = self.is_confirmed_voter or self._confirms_voter(current)
+                # until the founding state is stable it is not known which member this is: nothing is handled or
+                # acknowledged
+                else:
+                    self._reject(self.pending.popleft())
+        except Exception as error:  # a bug: the caller must not fail for it, but this member has to stop
+            self.stepping = False
             self.end(MemberBroken(repr(error), traceback_location(error)))
-        self.steps = False
-        self.results.clear()
-        self.known_at = max(self.known_at, self.core.quorum_heard_at)  # of one that led the core forgets it
-        if self.machine.index != self.told_index and not self.over:
-            self.told_index = self.machine.index
+        self.stepping = False
+        self.step_results.clear()
+        self.leader_known_at = max(
+            self.leader_known_at, self.core.quorum_confirmed_at
+        )  # a former leader's core forgets it
+        if self.machine.index != self.notified_index and not self.closed:
+            self.notified_index = self.machine.index
             self.applied()
-        if not self.over and self._next_at() < (self.ticker.until or UNKNOWN_LAG):
+        if not self.closed and self._next_tick_at() < (self.ticker.until or UNKNOWN_LAG):
             self.ticker.wake()
 
-    def _votes_now(self, event: Event) -> bool:
-        """Whether it is a voter for sure: its own log may be of a time before it was taken out."""
+    def _confirms_voter(self, event: Event) -> bool:
+        """Whether this event proves that it is a voter. Its own log may be from a time before it was removed."""
         core = self.core
         if self.me not in core.voters:
             return False
@@ -155,135 +177,141 @@
             return event.message.sender == core.leader and event.message.commit <= core.commit
         return self.leads()
 
-    def _turn_away(self, event: Event) -> None:
+    def _reject(self, event: Event) -> None:
         if isinstance(event, WriteRequest | ReadRequest | MembershipChange):
-            self._answer(event.token, OutcomeCode.NOT_LEADER, 0, None)
+            self._respond(event.token, OutcomeCode.NOT_LEADER, 0, None)
 
-    def _next_at(self) -> int:
-        return min(self.core.next_at, self.keeper.next_at or UNKNOWN_LAG)
+    def _next_tick_at(self) -> int:
+        return min(self.core.next_at, self.lease_expirer.next_at or UNKNOWN_LAG)
 
     def _tick(self) -> Coroutine[None]:
-        while not self.over:
-            at = self._next_at()
+        while not self.closed:
+            at = self._next_tick_at()
             if at > self.loop.now():
                 yield Wait(None, 0, at if at < UNKNOWN_LAG else None)
                 continue
-            for act in self.keeper.due(self.loop.now()):
+            for act in self.lease_expirer.due_expirations(self.loop.now()):
                 self.write(encode(Command("", 0, act)), lambda *_: None)
-            self.feed(Tick())
-            yield Wait(None, 0, self.loop.now())  # one turn of the loop for the others
+            self.process(Tick())
+            yield Wait(None, 0, self.loop.now())  # lets other tasks run
 
     def _read_disk(self) -> Coroutine[None]:
-        while not self.over:
+        while not self.closed:
             yield Wait(self.disk, READABLE, None)
-            for report in self.disk.taken():
+            for report in self.disk.take_reports():
                 if isinstance(report, BatchSynced):
-                    self._is_stable(report)
+                    self._on_batch_synced(report)
                 else:
-                    self.feed(report)
+                    self.process(report)
                     failure = self.disk.failure
                     assert failure is not None
                     self.end(failure)
                     return
 
-    def _is_stable(self, report: BatchSynced) -> None:
+    def _on_batch_synced(self, report: BatchSynced) -> None:
         if self.founding is not None:
             self.core = Core(self.me, self.founding, self.timing, self.random, self.loop.now())
             self.founding = None
-            self.feed(Tick())
+            self.process(Tick())
             return
-        self.stable = max(self.stable, report.batch)
-        while self.held and self.held[0].after <= self.stable:
-            self._send(self.held.popleft())
-        self.feed(report)
+        self.synced_batch = max(self.synced_batch, report.batch)
+        while self.unsent_messages and self.unsent_messages[0].after <= self.synced_batch:
+            self._send(self.unsent_messages.popleft())
+        self.process(report)
 
     def _crashed(self, error: Exception) -> None:
         self.end(MemberBroken(repr(error), traceback_location(error)))
 
     def end(self, why: LoftweirError) -> None:
-        """This member's part is over; the sidecar serves on. Whoever owns it is told in a turn of its own, and closes
-        it: not in the middle of what was under way here."""
-        if not self.over:
-            self.over = True
+        """Stops this member; the sidecar continues to serve. `ended` is called in a separate loop turn, as its owner
+        then closes this object, which must not happen in the middle of a step.
+        """
+        if not self.closed:
+            self.closed = True
             self.loop.after(0, self.ended, why)
 
     def close(self, within: float = 0.0) -> None:
-        """Nothing more is said or heard; what was asked to be kept is, and the folder is free then, which is waited for
-        `within` seconds of the loop's time. Not to be called by what this member itself runs."""
-        self.over = True
+        """Sends and handles nothing more. Pending batches are still written; `within` is how long to wait, in seconds
+        of the loop's time, until they are and the folder is free. Must not be called from a task of this member.
+        """
+        self.closed = True
         for link in self.links.values():
             link.close()
         self.links = {}
-        for token in list(self.waiting):
-            self._answer(token, OutcomeCode.LOST, 0, None)
-        for task in (self.ticker, self.reader):
+        for token in list(self.callbacks):
+            self._respond(token, OutcomeCode.LOST, 0, None)
+        for task in (self.ticker, self.disk_task):
             task.cancel()
         self.loop.unregister(self.disk.fileno())
         self.disk.close(within)
 
-    def _keep(self, action: PersistBatch) -> None:
-        self.begun = True
-        self.disk.keep(action)
+    def _persist(self, action: PersistBatch) -> None:
+        self.has_state = True
+        self.disk.persist(action)
 
-    def _say(self, action: SendMessage) -> None:
-        if action.after <= self.stable:
+    def _send_when_synced(self, action: SendMessage) -> None:
+        if action.after <= self.synced_batch:
             self._send(action)
         else:
-            self.held.append(action)
+            self.unsent_messages.append(action)
 
     def _send(self, action: SendMessage) -> None:
         id = action.message.to
         link = self.links.get(id)
         if link is None:
             if len(self.links) >= MAX_LINKS:
-                self._drop_link(min(self.links, key=lambda id: (self.member(id) is not None, self.links[id].said_at)))
-            link = MemberLink(self.loop, id, self.hello, lambda: self.address_of(id), self._turned)
+                self._drop_link(
+                    min(self.links, key=lambda id: (self.member(id) is not None, self.links[id].last_used_at))
+                )
+            link = MemberLink(self.loop, id, self.hello, lambda: self.address_of(id), self._on_connection_rejected)
             self.links[id] = link
         link.put(action.message)
 
     def _drop_link(self, id: str) -> None:
         self.links.pop(id).close()
 
-    def _apply(self, action: ApplyEntries) -> None:
+    def _apply_entries(self, action: ApplyEntries) -> None:
         machine = self.machine
         for entry in action.entries:
             if entry.kind is EntryKind.WRITE:
-                self.results[entry.index] = machine.apply(entry.index, entry.data)
-                if machine.moved:
-                    self.keeper.saw(self.loop.now(), machine.moved, machine.leases.get(machine.moved))
+                self.step_results[entry.index] = machine.apply(entry.index, entry.data)
+                if machine.changed_lease:
+                    self.lease_expirer.lease_changed(
+                        self.loop.now(), machine.changed_lease, machine.leases.get(machine.changed_lease)
+                    )
                 continue
-            machine.passed(entry.index)
+            machine.skip(entry.index)
             if entry.kind is EntryKind.NOOP and self.core.role is Role.LEADER and entry.term == self.core.term:
-                self.keeper.led(self.loop.now(), machine.leases)
+                self.lease_expirer.became_leader(self.loop.now(), machine.leases)
 
         core = self.core
-        if core.role is Role.LEADER and core.commit == core.last_index and self.results:
-            # The others learn what is committed by the next message, and their followers wait for it: a read sends one
+        if core.role is Role.LEADER and core.commit == core.last_index and self.step_results:
+            # The others learn the commit index from the next message, and their observers wait for it. A read sends one
             # to all at once.
-            self.pending.append(ReadRequest(self._token(lambda *_: None)))
+            self.pending.append(ReadRequest(self._register_callback(lambda *_: None)))
 
-    def _restore(self, action: RestoreSnapshot) -> None:
+    def _restore_snapshot(self, action: RestoreSnapshot) -> None:
         try:
             self.machine = Machine.load(action.snapshot.data)
         except LoftweirError as error:
             self.end(error)
 
-    def _done(self, action: RequestCompleted) -> None:
-        self._answer(action.token, OutcomeCode.DONE, action.index, self.results.get(action.index))
+    def _complete(self, action: RequestCompleted) -> None:
+        self._respond(action.token, OutcomeCode.DONE, action.index, self.step_results.get(action.index))
 
-    def _refused(self, action: RequestRejected) -> None:
-        self._answer(action.token, OUTCOME_CODES[action.why], 0, None)
+    def _reject_request(self, action: RequestRejected) -> None:
+        self._respond(action.token, OUTCOME_CODES[action.why], 0, None)
 
-    def _answer(self, token: int, how: OutcomeCode, index: int, result: AnyResult | None) -> None:
-        answered = self.waiting.pop(token, None)
-        if answered is not None:
-            answered(how, index, result)
+    def _respond(self, token: int, how: OutcomeCode, index: int, result: AnyResult | None) -> None:
+        on_result = self.callbacks.pop(token, None)
+        if on_result is not None:
+            on_result(how, index, result)
 
-    def _stands(self, action: StatusChanged) -> None:
+    def _on_status_changed(self, action: StatusChanged) -> None:
         if action.role is not Role.LEADER:
-            self.keeper.lost()
-        elif self.led[0] != action.term:
-            self.led = action.term, self.loop.now()
+            self.lease_expirer.lost_leadership()
+        elif self.leadership[0] != action.term:
+            self.leadership = action.term, self.loop.now()
         emit(
             REPLICATION_ROLE,
             role=action.role.value,
@@ -294,43 +322,48 @@
         )
         known, now = {m.id for m in action.members}, self.loop.now()
         for id, link in list(self.links.items()):
-            if id not in known and link.said_at < now - LINK_IDLE_TIMEOUT:
+            if id not in known and link.last_used_at < now - LINK_IDLE_TIMEOUT:
                 self._drop_link(id)
 
-    def _want_snapshot(self, action: TakeSnapshot) -> None:
+    def _take_snapshot(self, action: TakeSnapshot) -> None:
         self.pending.append(CompactLog(self.machine.index, self.machine.dump()))
 
-    def _turned(self, id: str, why: str) -> None:
+    def _on_connection_rejected(self, id: str, why: str) -> None:
         emit(REPLICATION_TURNED_AWAY, name=self.name_of(id) or id, why=why)
 
-    # ---- what others ask of it ------------------------------------------------------------------
+    # ---- requests -------------------------------------------------------------------------------
 
-    def _token(self, answered: ResultCallback) -> int:
+    def _register_callback(self, on_result: ResultCallback) -> int:
         self.tokens += 1
-        self.waiting[self.tokens] = answered
+        self.callbacks[self.tokens] = on_result
         return self.tokens
 
-    def write(self, order: bytes, answered: ResultCallback) -> None:
-        self.feed(WriteRequest(self._token(answered), order))
+    def write(self, order: bytes, on_result: ResultCallback) -> None:
+        """Submits a command; `answered` gets the outcome, the log index and the result."""
+        self.process(WriteRequest(self._register_callback(on_result), order))
 
-    def read(self, answered: ResultCallback) -> None:
-        self.feed(ReadRequest(self._token(answered)))
+    def read(self, on_result: ResultCallback) -> None:
+        """Confirms the leadership for a linearizable read."""
+        self.process(ReadRequest(self._register_callback(on_result)))
 
-    def change(self, members: tuple[Member, ...], answered: ResultCallback) -> None:
-        self.feed(MembershipChange(self._token(answered), members))
+    def change(self, members: tuple[Member, ...], on_result: ResultCallback) -> None:
+        """Changes the members."""
+        self.process(MembershipChange(self._register_callback(on_result), members))
 
-    def hand_over(self) -> None:
-        self.feed(TransferLeadership())
+    def transfer_leadership(self) -> None:
+        """Lets another member lead, as this process is about to stop."""
+        self.process(TransferLeadership())
 
     def found(self, members: tuple[Member, ...]) -> None:
-        """Begins the cluster, where nothing was kept here yet: stable first, then in force."""
-        if not self.begun and not self.lost:
+        """Founds a cluster if the storage was never used: the state takes effect once it is stable."""
+        if not self.has_state and not self.state_may_be_lost:
             self.founding = founding_state(members)
-            self._keep(PersistBatch(FOUNDING_BATCH, self.founding.hard, None, self.founding.entries))
+            self._persist(PersistBatch(FOUNDING_BATCH, self.founding.hard, None, self.founding.entries))
 
-    # ---- what it knows --------------------------------------------------------------------------
+    # ---- state ----------------------------------------------------------------------------------
 
     def member(self, id: str) -> Member | None:
+        """The member with this id; None: there is none."""
         return next((m for m in self.core.members if m.id == id), None)
 
     def name_of(self, id: str) -> str:
@@ -338,89 +371,92 @@
         if id == self.me:
             return self.name
         found = self.member(id)
-        return found.name if found else self.names.get(id, "")
+        return found.name if found else self.connected_names.get(id, "")
 
     def address_of(self, id: str) -> str:
-        """Where it is reached from here: by the operator's list, else as the members have it; empty: not known."""
+        """The address from the operator's list, else the one in the members; empty: not known."""
         found = self.member(id)
-        return self.seats.get(self.name_of(id), found.address if found else "")
+        return self.slots.get(self.name_of(id), found.address if found else "")
 
     def leader(self) -> tuple[str, str]:
-        """Name and address, as far as they are known."""
+        """Name and address, as far as known."""
         id = self.core.leader
         return (self.name_of(id), self.address_of(id)) if id else ("", "")
 
     def leads(self) -> bool:
-        """With a majority, and all that was promised before it led is applied here."""
+        """Whether it leads with a majority, and everything acknowledged before its term is applied here."""
         core = self.core
         return core.role is Role.LEADER and core.commit > 0 and core.term_at(core.commit) == core.term
 
     def age(self) -> int | None:
-        """Since it last knew a leader with a majority, ns; None: never in the life of this process."""
+        """Time since it last knew of a leader with a majority, ns; None: never in the life of this process."""
         if self.core.role is Role.LEADER and self.core.voters == {self.me}:
-            return 0  # alone it is the majority, and nothing makes the core's time go on
-        known_at = max(self.known_at, self.core.quorum_heard_at)
+            return 0  # alone it is the majority, and the core has no events that advance its time
+        known_at = max(self.leader_known_at, self.core.quorum_confirmed_at)
         return max(0, self.loop.now() - known_at) if known_at else None
 
-    def lately(self, id: str) -> bool:
-        """Whether a member was heard from in the last election timeout, or may have been before this one led."""
+    def recently_heard(self, id: str) -> bool:
+        """Whether a member responded within the last election timeout, or may have done so before this one led."""
         now, election = self.loop.now(), self.options.election
-        return id == self.me or max(self.core.heard_from(id), self.led[1] + election) > now - election
+        return id == self.me or max(self.core.last_response_at(id), self.leadership[1] + election) > now - election
 
-    def near(self, id: str) -> bool:
-        """Whether a leader heard from a member in the last election timeout."""
-        return id == self.me or self.core.heard_from(id) > self.loop.now() - self.options.election
+    def is_reachable(self, id: str) -> bool:
+        """Whether a member responded to this leader within the last election timeout."""
+        return id == self.me or self.core.last_response_at(id) > self.loop.now() - self.options.election
 
-    def behind(self, id: str) -> int:
-        """How many committed entries a member is not known to have."""
+    def replication_lag(self, id: str) -> int:
+        """The number of committed entries that a member is not known to have."""
         match = self.core.match(id)
         return self.core.commit - match if match else UNKNOWN_LAG
 
-    def am(self, names: tuple[str, ...]) -> StatusResponse:
-        agrees = sorted(names) == sorted(self.seats)
-        empty = agrees and not (self.begun or self.lost or self.over)
+    def status(self, names: tuple[str, ...]) -> StatusResponse:
+        """The answer to a `StatusRequest` with these member names."""
+        agrees = sorted(names) == sorted(self.slots)
+        empty = agrees and not (self.has_state or self.state_may_be_lost or self.closed)
         return StatusResponse(
-            empty, agrees, self.seats[self.name], *self.leader(), self.core.members, self.core.settled
+            empty, agrees, self.slots[self.name], *self.leader(), self.core.members, self.core.can_change_members
         )
 
-    def news(self, after: int, leads: bool = False) -> FollowResponse:
-        """What a follower that has all up to `after` lacks. `leads`: a majority has just said so."""
+    def follow_response(self, after: int, leads: bool = False) -> FollowResponse:
+        """The response to an observer that has everything up to `after`. `leads`: a majority has just confirmed this
+        leader.
+        """
         core, index = self.core, self.machine.index
-        whole = after < core.first_index - 1
+        snapshot_needed = after < core.first_index - 1
         entries: list[CommittedEntry] = []
-        if not whole and after < index:
+        if not snapshot_needed and after < index:
             size = 0
             for entry in core.entries(after + 1, min(index, after + MAX_FOLLOW_ENTRIES)):
                 entries.append(CommittedEntry(entry.index, entry.data if entry.kind is EntryKind.WRITE else b""))
                 size += len(entry.data)
                 if size > MAX_FOLLOW_BYTES:
                     break
-        told = entries[-1].index if entries else index
+        last_index = entries[-1].index if entries else index
         members = tuple(m.id for m in core.members)
-        return FollowResponse(after, told, self.age(), leads, self.leader()[0], members, tuple(entries), whole)
+        return FollowResponse(
+            after, last_index, self.age(), leads, self.leader()[0], members, tuple(entries), snapshot_needed
+        )
 
 
 class Removed(LoftweirError):
-    """This sidecar was a member of the copies, and was taken out; it follows the others from now on."""
+    """This sidecar was a member of the cluster and was removed; it is an observer now."""
 
-    remedy = (
-        "Nothing, if it was meant; else start it again while `replication.members` names it, and it is taken in anew."
-    )
+    remedy = "Nothing, if this was intended; else restart it while `replication.members` names it, and it joins again."
 
 
 class MemberBroken(LoftweirError):
-    """A fault of the program ended this sidecar's part as a member of the copies; it follows the others."""
+    """An internal error stopped this sidecar's member; it is an observer now."""
 
-    remedy = "Keep the log and report it; a new start takes the part up again."
+    remedy = "Keep the log and report the bug; after a restart it is a member again."
 
 
 ACTION_HANDLERS: dict[type, Callable[[Voter, Any], None]] = {
-    PersistBatch: Voter._keep,
-    SendMessage: Voter._say,
-    ApplyEntries: Voter._apply,
-    RestoreSnapshot: Voter._restore,
-    RequestCompleted: Voter._done,
-    RequestRejected: Voter._refused,
-    StatusChanged: Voter._stands,
-    TakeSnapshot: Voter._want_snapshot,
+    PersistBatch: Voter._persist,
+    SendMessage: Voter._send_when_synced,
+    ApplyEntries: Voter._apply_entries,
+    RestoreSnapshot: Voter._restore_snapshot,
+    RequestCompleted: Voter._complete,
+    RequestRejected: Voter._reject_request,
+    StatusChanged: Voter._on_status_changed,
+    TakeSnapshot: Voter._take_snapshot,
 }
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 import pytest
 from click.testing import CliRunner
 from scene import ROOT, SidecarTest, StubServer, entry, eventually, http_response, list_body, ok
-from support import MS, SECOND, endpoint, full, settings
+from support import MS, SECOND, endpoint, full_list, settings
 
 from loftweir.cli.root import COMMANDS, loftweir
 from loftweir.config.faults import Faulty
@@ -106,7 +106,7 @@
 
 
 def test_explain_spreads_requests_in_the_zone_and_gives_the_reason_for_the_other_zone():
-    found = explain(settings(), full(*PROVIDERS), Traffic("read", 40))
+    found = explain(settings(), full_list(*PROVIDERS), Traffic("read", 40))
     assert found.attempts == {"a1": 20, "a2": 20, "b1": 0} and found.outcomes == {"served": 40}
     assert reasons(found, "b1") == {"other zone"} and reasons(found, "a1") == set()
 
@@ -116,7 +116,9 @@
     [("silent", "no room"), ("resets", "set aside"), ("refuses", "turned a call away"), ("full", "turned a call away")],
 )
 def test_explain_gives_the_reason_why_a_misbehaving_provider_is_passed_over(how, reason):
-    found = explain(settings(), full(*PROVIDERS, endpoint("a3")), Traffic("read", 60, 20 * MS), behaves={"a1": how})
+    found = explain(
+        settings(), full_list(*PROVIDERS, endpoint("a3")), Traffic("read", 60, 20 * MS), behaves={"a1": how}
+    )
     assert reason in reasons(found, "a1")
     assert found.attempts["a1"] < found.attempts["a2"]
 
@@ -124,21 +126,21 @@
 def test_explain_gives_the_reasons_draining_cold_and_failing_the_class():
     now = 100 * SECOND
     draining, cold = endpoint("a2", lifecycle=Lifecycle.DRAINING), endpoint("b1", "b", started_at=now)
-    found = explain(settings(balancers=3), full(PROVIDERS[0], draining, cold), Traffic("read", 5), began=now)
+    found = explain(settings(balancers=3), full_list(PROVIDERS[0], draining, cold), Traffic("read", 5), began=now)
     assert reasons(found, "a2") == {"drains"} and reasons(found, "b1") == {"cold", "other zone"}
     found = explain(
-        settings(), full(*PROVIDERS[:2]), Traffic("read", 40, 20 * MS), behaves={"a1": "errs", "a2": "errs"}
+        settings(), full_list(*PROVIDERS[:2]), Traffic("read", 40, 20 * MS), behaves={"a1": "errs", "a2": "errs"}
     )
     assert "fails the class" in reasons(found, "a1") | reasons(found, "a2")
 
 
 def test_explain_is_deterministic_for_a_seed_and_reports_the_outcome_of_every_request():
     first, repeated, other_seed = (
-        explain(settings(), full(*PROVIDERS), Traffic("push", 100, 10 * MS, 300 * MS), seed) for seed in (1, 1, 2)
+        explain(settings(), full_list(*PROVIDERS), Traffic("push", 100, 10 * MS, 300 * MS), seed) for seed in (1, 1, 2)
     )
     assert first == repeated != other_seed
     assert sum(first.outcomes.values()) == 100 and first.outcomes.get("served", 0) < 100
-    assert explain(settings(), full(), Traffic("read", 3)).outcomes == {"rejected": 3}
+    assert explain(settings(), full_list(), Traffic("read", 3)).outcomes == {"rejected": 3}
 
 
 def test_the_explain_command_reads_the_list_from_a_file_or_a_running_discovery(tmp_path):
