--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -1,6 +1,8 @@
-"""A fleet of real sidecars for tests: voters and followers, each a process that can be ended, stopped and wiped.
+"""A fleet of real sidecars for tests: voters and observers, each a process that can be killed, stopped and wiped.
 
-How one sidecar reaches a member can be set for each pair (`reach`), so that a test can put a proxy between them."""
+The address by which one sidecar reaches a member can be set for each pair (`reach`), so that a test can put a proxy
+between them.
+"""
 
 import json
 import os
@@ -21,21 +23,21 @@
 
 
 class Sidecar:
-    """One sidecar of the fleet: its files stay when its process ends, and the next one begins with them."""
+    """One sidecar of the fleet. Its files remain when its process ends, and the next process starts with them."""
 
     def __init__(self, fleet, name):
         self.fleet, self.name = fleet, name
         self.folder = fleet.folder / name
         self.folder.mkdir()
         (self.folder / "tmp").mkdir()
-        self.copies = self.folder / "copies"  # what a voter keeps
+        self.copies = self.folder / "copies"  # a voter's folder
         self.listen, self.operator_address = fleet.free(), fleet.free()
         self.program = None
         self.fault = ""  # code that runs before the program
-        self.more = ""  # text of the operator's file
+        self.more = ""  # additional text for the operator's file
 
     def start(self, **replication):
-        """`replication`: further keys of that section, as the file has them."""
+        """`replication`: further keys of that section in the operator's file."""
         keys = {"members": self.fleet.members_of(self.name), "folder": str(self.copies)}
         keys |= self.fleet.keys | replication
         if not self.fleet.on:
@@ -74,14 +76,14 @@
         self.program.send_signal(number)
 
     def kill(self):
-        """SIGKILL, and its end."""
+        """Sends SIGKILL and waits for the end."""
         if self.program is not None:
             self.program.kill()
             self.program.wait(10)
             self.program = None
 
     def terminate(self):
-        """SIGTERM, and its exit code."""
+        """Sends SIGTERM and returns the exit code."""
         self.program.terminate()
         code = self.program.wait(20)
         self.program = None
@@ -94,12 +96,12 @@
         self.signal(signal.SIGCONT)
 
     def wipe(self):
-        """All that it kept as a voter is lost; only while it does not run."""
+        """Deletes the voter's folder; only while the process does not run."""
         assert self.program is None
         shutil.rmtree(self.copies, ignore_errors=True)
 
     def call(self, line, timeout=10):
-        """One line to its operators' address, and the line that answers; empty: none."""
+        """Sends one line to the operators' address and returns the answer; empty: none."""
         host, port = self.operator_address.split(":")
         try:
             with socket.create_connection((host, int(port)), timeout=timeout) as sock:
@@ -109,7 +111,7 @@
             return ""
 
     def stands(self):
-        """What FLEET says, by key; empty: nothing."""
+        """The answer to FLEET by key; empty: none."""
         answer = self.call("FLEET", 2)
         return dict(pair.split("=", 1) for pair in answer.split()[1:]) if answer.startswith("OK ") else {}
 
@@ -121,7 +123,7 @@
         return [record for record in records if record["event"] == event]
 
     def invoke(self, timeout=5):
-        """One request through it: the status."""
+        """Sends one request through the sidecar and returns the status."""
         host, port = self.listen.split(":")
         head = [f"GET /api HTTP/1.1\r\nHost: x\r\nReq-Id: {os.urandom(8).hex()}\r\nReq-Kind: {READ}"]
         head += ["Req-Deadline-Ms: 2000", "Connection: close", "", ""]
@@ -131,11 +133,11 @@
 
 
 class FleetScene(unittest.TestCase):
-    """`fleet` makes the sidecars, by name; a test starts those that it wants. All of it ends with the test."""
+    """`fleet` makes the sidecars by name; a test starts those that it needs. All of them end with the test."""
 
     on = True  # off: the operator's file names no members
     sockets = 512
-    keys = {"beat": "100ms", "election": "800ms"}  # a machine under load starves processes for long
+    keys = {"beat": "100ms", "election": "800ms"}  # long, as a loaded machine starves processes
 
     def fleet(self, voters=3, followers=2, providers=2):
         folder = tempfile.TemporaryDirectory()
@@ -150,17 +152,20 @@
         self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
         self.voters = [f"n{n}" for n in range(voters)]
         self.seats = {name: self.free() for name in self.voters}
-        self.reach = {}  # (who, whom): the address by which one reaches another, where it is not that one's own
+        # By (sidecar, member): the address by which one reaches the other, if it is not the member's own.
+        self.reach = {}
         self.sidecars = {n: Sidecar(self, n) for n in [*self.voters, *(f"f{n}" for n in range(followers))]}
         self.addCleanup(lambda: [sidecar.kill() for sidecar in self.sidecars.values()])
         return self.sidecars
 
     def operator(self, name, line):
-        """What one sidecar answers to an operator."""
+        """The answer of one sidecar to an operator's command."""
         return self.sidecars[name].call(line)
 
     def free(self):
-        """An address that nobody has: on a loopback address of this process and fleet, no other takes it meanwhile."""
+        """An unused address. It is on a loopback address of this process and fleet, so that no other process takes it
+        meanwhile.
+        """
         while True:
             with socket.create_server((self.host, 0)) as sock:
                 address = address_of(sock)
@@ -173,7 +178,7 @@
         return ", ".join(f"{n}={self.reach.get((name, n), seat)}" for n, seat in self.seats.items())
 
     def begin(self, *names):
-        """Starts sidecars, all where none is named, until they serve and know a leader."""
+        """Starts the named sidecars, or all, and waits until they serve and know a leader."""
         chosen = [self.sidecars[name] for name in names or self.sidecars]
         for sidecar in chosen:
             sidecar.start()
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -80,13 +80,13 @@
 
 # Types that reach an operator as the text of a log line or answer: the test that causes each and checks that text.
 BY_TEXT = {
-    "Behind": "test_a_voter_that_is_behind_takes_nothing_back_and_one_that_leads_another_history_does",
-    "Gap": "test_news_with_a_gap_or_a_repeat_or_none_are_not_taken_and_another_voter_is_asked",
-    "NotFollowed": "test_news_with_a_gap_or_a_repeat_or_none_are_not_taken_and_another_voter_is_asked",
-    "NotTaken": "test_a_word_at_a_follower_holds_at_every_sidecar_within_a_second",
-    "OtherCopies": "test_a_voter_that_is_behind_takes_nothing_back_and_one_that_leads_another_history_does",
-    "Removed": "test_without_a_majority_it_says_how_old_its_knowledge_is_and_promises_nothing",
-    "Torn": "test_a_torn_record_behind_the_mark_is_cut_off_and_whole_ones_are_taken",
+    "Behind": "test_a_voter_that_is_behind_undoes_nothing_and_a_leader_with_another_history_does",
+    "Gap": "test_responses_with_gaps_or_repeats_are_rejected_and_another_voter_is_used",
+    "NotFollowed": "test_responses_with_gaps_or_repeats_are_rejected_and_another_voter_is_used",
+    "NotTaken": "test_an_override_given_to_an_observer_applies_at_every_sidecar_within_a_second",
+    "OtherCopies": "test_a_voter_that_is_behind_undoes_nothing_and_a_leader_with_another_history_does",
+    "Removed": "test_without_a_majority_it_reports_the_age_of_its_state_and_acknowledges_nothing",
+    "Torn": "test_a_torn_record_after_the_mark_is_cut_off_and_complete_ones_are_used",
 }
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,5 +1,6 @@
-"""Holders, keepers and the machine in virtual time, over seeds: clocks 5 % off, lost and late answers, stalls, other
-leaders. What is taken out or turned round by `MUTANTS` is found by the same runs."""
+"""Lease holders, the leader's expiry and the state machine in virtual time, over many seeds: clocks that are 5 % off,
+lost and late responses, stalls, changes of the leader. The same runs find each of the defects in `MUTANTS`.
+"""
 
 import heapq
 import os
@@ -8,7 +9,7 @@
 import pytest
 
 from loftweir.emulator.histories import Act, two_holders
-from loftweir.lease import holder as holding
+from loftweir.lease import holder as holder_module
 from loftweir.lease.holder import (
     TRAITS,
     TRANSITIONS,
@@ -24,7 +25,7 @@
     Transition,
 )
 from loftweir.lease.keeper import LeaseExpirer
-from loftweir.replication import machine as keeping
+from loftweir.replication import machine as machine_module
 from loftweir.replication.machine import (
     SECOND,
     AcquireLease,
@@ -57,23 +58,25 @@
         return int((local - self.offset) / self.rate) + 1
 
 
-class World:
-    """Three members, one of which leads or none does; three holders that want one duty. Times are true, ns."""
+class Simulation:
+    """Three members, of which one leads or none does, and three holders that want one lease. Times are true
+    time in ns.
+    """
 
     def __init__(self, seed, holder=LeaseHolder, keeper=LeaseExpirer):
         self.random = r = Random(seed)
-        self.now, self.events, self.count, self.calm = 0, [], 0, False
-        self.machine, self.flight, self.grants, self.accepted, self.sent = Machine(), [], [], [], {}
-        self.keepers, self.clocks, self.leader = [keeper() for _ in range(3)], [Clock(r) for _ in range(3)], None
+        self.now, self.events, self.count, self.fault_free = 0, [], 0, False
+        self.machine, self.in_flight, self.grants, self.accepted, self.sent = Machine(), [], [], [], {}
+        self.expirers, self.clocks, self.leader = [keeper() for _ in range(3)], [Clock(r) for _ in range(3)], None
         self.holders = [holder("duty", f"h{n}", r.choice([1, 1, 2]) * SECOND, Random(seed * 3 + n)) for n in range(3)]
-        self.own, self.stalled, self.ticks = [Clock(r) for _ in range(3)], [0] * 3, [0] * 3
+        self.holder_clocks, self.stalled, self.ticks = [Clock(r) for _ in range(3)], [0] * 3, [0] * 3
         for n in range(3):
-            self.at(r.randrange(SECOND), self.holder, n, LeaseWanted())
-            self.at(r.randrange(SECOND), self.act, n)
-        self.at(0, self.elect)
-        self.at(r.randrange(3 * SECOND), self.stall)
+            self.schedule(r.randrange(SECOND), self.deliver, n, LeaseWanted())
+            self.schedule(r.randrange(SECOND), self.write_fenced, n)
+        self.schedule(0, self.elect)
+        self.schedule(r.randrange(3 * SECOND), self.stall)
 
-    def at(self, after, do, *rest):
+    def schedule(self, after, do, *rest):
         self.count += 1
         heapq.heappush(self.events, (self.now + after, self.count, do, rest))
 
@@ -84,165 +87,171 @@
             do(*rest)
         self.now = end
 
-    def way(self):
-        """Of a message; None: it is lost."""
-        draw = 1 if self.calm else self.random.random()
+    def message_delay(self):
+        """The delay of a message; None: it is lost."""
+        draw = 1 if self.fault_free else self.random.random()
         if draw < 0.08:
             return None
         return self.random.randrange(1800 * MS if draw < 0.2 else 20 * MS)
 
     # ---- holders ----
 
-    def holder(self, n, event):
+    def deliver(self, n, event):
         if self.now < self.stalled[n]:
-            self.at(self.stalled[n] - self.now, self.holder, n, event)
+            self.schedule(self.stalled[n] - self.now, self.deliver, n, event)
             return
-        one, clock = self.holders[n], self.own[n]
-        for action in one.step(clock(self.now), event):
+        holder, clock = self.holders[n], self.holder_clocks[n]
+        for action in holder.step(clock(self.now), event):
             if isinstance(action, SendOperation):
-                self.send(n, one.name, action.operation, action.request_id)
-        if one.next_at is not None and one.next_at != self.ticks[n]:
-            self.ticks[n] = one.next_at
-            self.at(max(0, clock.true(one.next_at) - self.now), self.tick, n, one.next_at)
-        if TRAITS[one.state].may_act:
-            acting = [m for m in range(3) if self.holders[m].valid_token(self.own[m](self.now)) is not None]
+                self.send(n, holder.name, action.operation, action.request_id)
+        if holder.next_at is not None and holder.next_at != self.ticks[n]:
+            self.ticks[n] = holder.next_at
+            self.schedule(max(0, clock.true(holder.next_at) - self.now), self.tick, n, holder.next_at)
+        if TRAITS[holder.state].may_act:
+            acting = [m for m in range(3) if self.holders[m].valid_token(self.holder_clocks[m](self.now)) is not None]
             assert len(acting) < 2, f"two holders: {acting}"
 
     def tick(self, n, at):
         if self.holders[n].next_at == at:
-            self.holder(n, Tick())
+            self.deliver(n, Tick())
 
-    def act(self, n):
-        self.at(self.random.randrange(600 * MS), self.act, n)
-        token = self.holders[n].valid_token(self.own[n](self.now)) if self.now >= self.stalled[n] else None
+    def write_fenced(self, n):
+        self.schedule(self.random.randrange(600 * MS), self.write_fenced, n)
+        token = self.holders[n].valid_token(self.holder_clocks[n](self.now)) if self.now >= self.stalled[n] else None
         if token is not None:
             self.send(n, self.holders[n].name + "!", FencedWrite("duty", token, "k", b"%d" % self.now))
 
     def stall(self):
-        self.at(self.random.randrange(4 * SECOND), self.stall)
-        if not self.calm:
+        self.schedule(self.random.randrange(4 * SECOND), self.stall)
+        if not self.fault_free:
             self.stalled[self.random.randrange(3)] = self.now + self.random.randrange(3 * SECOND)
 
-    def send(self, n, session, act, ask=None):
+    def send(self, n, session, operation, request_id=None):
         life, number = self.sent.get(session, (0, 0))
         self.sent[session] = life, number + 1
-        data = encode(Command(f"{session} {life}", number + 1, act))
-        for _ in range(1 + (self.random.random() < 0.1)):  # once, or once more
-            way = self.way()
-            if way is not None:
-                self.at(way, self.arrive, data, n, ask, self.now)
-        if ask is not None and not self.calm:  # the caller's time for it
-            self.at(self.random.randrange(500 * MS, 3 * SECOND), self.holder, n, ResponseReceived(ask, None))
+        data = encode(Command(f"{session} {life}", number + 1, operation))
+        for _ in range(1 + (self.random.random() < 0.1)):  # once or twice
+            delay = self.message_delay()
+            if delay is not None:
+                self.schedule(delay, self.arrive, data, n, request_id, self.now)
+        if request_id is not None and not self.fault_free:  # the proposer's timeout
+            self.schedule(
+                self.random.randrange(500 * MS, 3 * SECOND), self.deliver, n, ResponseReceived(request_id, None)
+            )
 
     # ---- members ----
 
-    def arrive(self, data, n=None, ask=None, sent=0):
+    def arrive(self, data, n=None, request_id=None, sent=0):
         if self.leader is not None:
             slow = 1 if self.random.random() < 0.9 else 40
-            self.flight.append((self.count, data, n, ask, sent))
-            self.at(self.random.randrange(slow * 10 * MS), self.commit, self.count)
+            self.in_flight.append((self.count, data, n, request_id, sent))
+            self.schedule(self.random.randrange(slow * 10 * MS), self.commit, self.count)
 
     def commit(self, upto):
-        """All up to there, in the order of the log."""
-        while self.flight and self.flight[0][0] <= upto:
-            self.apply(*self.flight.pop(0))
+        """Commits the entries up to `upto` in log order."""
+        while self.in_flight and self.in_flight[0][0] <= upto:
+            self.apply(*self.in_flight.pop(0))
 
-    def apply(self, _, data, n, ask, sent):
+    def apply(self, _, data, n, request_id, sent):
         machine, index = self.machine, self.machine.index + 1
         lease = machine.leases.get("duty")
-        result, order = machine.apply(index, data), keeping._decode_command(data)
-        act = order.act
-        if isinstance(act, FencedWrite) and isinstance(result, Ok) and result.index == index:
-            assert lease.holder == self.holders[n].name and act.token == max(self.grants), "an old act was accepted"
-            self.accepted.append(Act("duty", act.token, sent, self.now))
-        if isinstance(act, AcquireLease) and isinstance(result, Ok) and result.index == index:
+        result, command = machine.apply(index, data), machine_module._decode_command(data)
+        operation = command.act
+        if isinstance(operation, FencedWrite) and isinstance(result, Ok) and result.index == index:
+            assert lease.holder == self.holders[n].name and operation.token == max(self.grants), (
+                "an old write was accepted"
+            )
+            self.accepted.append(Act("duty", operation.token, sent, self.now))
+        if isinstance(operation, AcquireLease) and isinstance(result, Ok) and result.index == index:
             assert result.value > max(self.grants, default=0), "a token that is not higher"
             self.grants.append(result.value)
         if machine.changed_lease and self.leader is not None:
-            self.keepers[self.leader].lease_changed(
+            self.expirers[self.leader].lease_changed(
                 self.clocks[self.leader](self.now), "duty", machine.leases.get("duty")
             )
-            self.keep_later()
-        if isinstance(result, UnknownSession):  # its caller begins another, once it hears of it
-            session, life = order.session.split(" ")
+            self.schedule_expiry()
+        if isinstance(result, UnknownSession):  # its proposer begins another one when it receives this
+            session, life = command.session.split(" ")
             self.sent[session] = max(self.sent[session], (int(life) + 1, 0))
-        way = self.way()
-        if ask is not None and way is not None:
-            self.at(way, self.holder, n, ResponseReceived(ask, result))
+        delay = self.message_delay()
+        if request_id is not None and delay is not None:
+            self.schedule(delay, self.deliver, n, ResponseReceived(request_id, result))
 
-    def keep_later(self):
-        at = self.keepers[self.leader].next_at
+    def schedule_expiry(self):
+        at = self.expirers[self.leader].next_at
         if at is not None:
-            self.at(max(0, self.clocks[self.leader].true(at) - self.now), self.keep, self.leader)
+            self.schedule(max(0, self.clocks[self.leader].true(at) - self.now), self.propose_expirations, self.leader)
 
-    def keep(self, leader):
+    def propose_expirations(self, leader):
         if leader == self.leader:
-            for expire in self.keepers[leader].due_expirations(self.clocks[leader](self.now)):
+            for expire in self.expirers[leader].due_expirations(self.clocks[leader](self.now)):
                 self.arrive(encode(Command("", 0, expire)))
-            self.keep_later()
+            self.schedule_expiry()
 
     def elect(self):
-        """No leader for a while; then any, that has a part of what was under way."""
+        """No leader for a while; then any member, with a prefix of the entries in flight."""
         if self.leader is not None:
-            self.keepers[self.leader].lost_leadership()
-        self.leader, self.flight = None, self.flight[: self.random.randint(0, len(self.flight))]
-        self.at(self.random.randrange(1 + (not self.calm) * 1500 * MS), self.lead, self.random.randrange(3))
+            self.expirers[self.leader].lost_leadership()
+        self.leader, self.in_flight = None, self.in_flight[: self.random.randint(0, len(self.in_flight))]
+        self.schedule(self.random.randrange(1 + (not self.fault_free) * 1500 * MS), self.lead, self.random.randrange(3))
 
     def lead(self, leader):
-        for entry in self.flight:
+        for entry in self.in_flight:
             self.apply(*entry)
-        self.leader, self.flight = leader, []
+        self.leader, self.in_flight = leader, []
         self.machine.skip(self.machine.index + 1)
-        self.keepers[leader].became_leader(self.clocks[leader](self.now), self.machine.leases)
-        self.keep_later()
-        if not self.calm:
-            self.at(self.random.randrange(200 * MS, 8 * SECOND), self.elect)
+        self.expirers[leader].became_leader(self.clocks[leader](self.now), self.machine.leases)
+        self.schedule_expiry()
+        if not self.fault_free:
+            self.schedule(self.random.randrange(200 * MS, 8 * SECOND), self.elect)
 
 
-def judged(seed, seconds=8, **parts):
-    world = World(seed, **parts)
-    world.run(seconds)
-    assert two_holders(world.accepted) == []
-    world.calm = True
-    world.run(5)
-    assert any(h.valid_token(c(world.now)) for h, c in zip(world.holders, world.own, strict=True)), "nobody holds"
-    return world
+def run_and_check(seed, seconds=8, **parts):
+    simulation = Simulation(seed, **parts)
+    simulation.run(seconds)
+    assert two_holders(simulation.accepted) == []
+    simulation.fault_free = True
+    simulation.run(5)
+    assert any(
+        h.valid_token(c(simulation.now)) for h, c in zip(simulation.holders, simulation.holder_clocks, strict=True)
+    ), "no holder"
+    return simulation
 
 
-def test_never_two_holders_and_every_accepted_act_is_of_the_newest_token():
+def test_there_are_never_two_holders_and_every_accepted_write_has_the_newest_token():
     grants = accepted = 0
     for seed in range(SEEDS):
-        world = judged(seed)
-        grants, accepted = grants + len(world.grants), accepted + len(world.accepted)
+        simulation = run_and_check(seed)
+        grants, accepted = grants + len(simulation.grants), accepted + len(simulation.accepted)
     assert grants > 2 * SEEDS and accepted > 5 * SEEDS, (grants, accepted)
 
 
-# ---- what is taken out or turned round, and found -----------------------------------------------
+# ---- deliberate defects -------------------------------------------------------------------------
 
 
-class FromTheAnswer(LeaseHolder):
+class TimesFromTheResponse(LeaseHolder):
     def _on_response(self, now, answer):
         if answer.request_id in self._pending_requests:
             self._pending_requests[answer.request_id] = self._pending_requests[answer.request_id]._replace(sent=now)
         super()._on_response(now, answer)
 
 
-class TakesUp(LeaseHolder):
+class UsesLostGrants(LeaseHolder):
     def _on_response(self, now, answer):
         if isinstance(answer.result, LeaseHeld) and answer.result.holder == self.name:
             answer = ResponseReceived(answer.request_id, Ok(0, answer.result.token))
         super()._on_response(now, answer)
 
 
-class Revives(LeaseHolder):
-    """A late renewal brings back what had lapsed a while ago."""
+class RevivesExpiredLease(LeaseHolder):
+    """A late renewal revives a lease that expired a while ago."""
 
     def _transition(self, now, step, sent=None):
         if step is not Transition.EXPIRED or now > self.until + self.ttl // 2:
             super()._transition(now, step, sent)
 
 
-class OldTime(LeaseExpirer):
+class ContinuesOldCountdown(LeaseExpirer):
     old: dict = {}
 
     def lost_leadership(self):
@@ -257,39 +266,46 @@
             )
 
 
-def same_token(machine, act):
-    result = Machine._acquire_lease(machine, act)
+def same_token(machine, operation):
+    result = Machine._acquire_lease(machine, operation)
     if isinstance(result, Ok):
-        machine.leases[act.duty] = machine.leases[act.duty]._replace(token=1)
+        machine.leases[operation.duty] = machine.leases[operation.duty]._replace(token=1)
         result = Ok(result.index, 1)
     return result
 
 
-def whatever_was_renewed(machine, act):
-    return Machine._expire_lease(machine, ExpireLease(act.duty, act.token, machine.index))
+def expire_despite_renewal(machine, operation):
+    return Machine._expire_lease(machine, ExpireLease(operation.duty, operation.token, machine.index))
 
 
-def any_token(machine, act):
-    lease = machine.leases.get(act.duty)
-    return Machine._write_fenced(machine, FencedWrite(act.duty, lease.token, act.key, act.value) if lease else act)
+def accept_any_token(machine, operation):
+    lease = machine.leases.get(operation.duty)
+    return Machine._write_fenced(
+        machine, FencedWrite(operation.duty, lease.token, operation.key, operation.value) if lease else operation
+    )
 
 
 MUTANTS = {
-    "no margin": ("two holders", lambda patch: patch.setattr(holding, "margin", lambda ttl: 0), {}),
+    "no margin": ("two holders", lambda patch: patch.setattr(holder_module, "margin", lambda ttl: 0), {}),
     "half the drift": (
-        "two holders", lambda patch: patch.setattr(holding, "margin", lambda ttl: ttl * 10 // 210), {}
+        "two holders", lambda patch: patch.setattr(holder_module, "margin", lambda ttl: ttl * 10 // 210), {}
     ),
-    "counted from the answer, not the asking": ("two holders", None, {"holder": FromTheAnswer}),
-    "a lease whose answer was lost is taken up": ("two holders", None, {"holder": TakesUp}),
-    "a new leader goes on with the time it counted before": ("two holders", None, {"keeper": OldTime}),
-    "a late renewal revives, and a lease ends whatever was renewed meanwhile": (
+    "timed from the response, not the request": ("two holders", None, {"holder": TimesFromTheResponse}),
+    "a lease whose grant was lost is used": ("two holders", None, {"holder": UsesLostGrants}),
+    "a new leader continues an old countdown": ("two holders", None, {"keeper": ContinuesOldCountdown}),
+    "a late renewal revives a lease, and a lease expires despite a renewal": (
         "two holders",
-        lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, ExpireLease, whatever_was_renewed), {"holder": Revives}
+        lambda patch: patch.setitem(machine_module.OPERATION_HANDLERS, ExpireLease, expire_despite_renewal),
+        {"holder": RevivesExpiredLease},
     ),
-    "the token does not grow": (
-        "not higher", lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, AcquireLease, same_token), {}
+    "the token does not increase": (
+        "not higher", lambda patch: patch.setitem(machine_module.OPERATION_HANDLERS, AcquireLease, same_token), {}
+    ),
+    "no fencing": (
+        "an old write",
+        lambda patch: patch.setitem(machine_module.OPERATION_HANDLERS, FencedWrite, accept_any_token),
+        {},
     ),
-    "no fence": ("an old act", lambda patch: patch.setitem(keeping.OPERATION_HANDLERS, FencedWrite, any_token), {}),
 }  # fmt: skip
 
 
@@ -300,80 +316,82 @@
         patch(monkeypatch)
     with pytest.raises(AssertionError, match=why):
         for seed in range(3000):
-            judged(seed, **parts)
+            run_and_check(seed, **parts)
 
 
-# ---- the holder and the keeper alone ------------------------------------------------------------
+# ---- holder and expiry alone --------------------------------------------------------------------
 
 
-def held(ttl=10 * SECOND):
-    """A holder that asked at 0 and was granted token 7 at 1 s."""
+def granted_holder(ttl=10 * SECOND):
+    """A holder that sent its request at 0 and was granted token 7 at 1 s."""
     holder = LeaseHolder("d", "me", ttl, Random(1))
     assert holder.step(0, LeaseWanted()) == [SendOperation(1, AcquireLease("d", holder.name, ttl))]
     assert holder.step(SECOND, ResponseReceived(1, Ok(7, 7))) == [TaskStarted(7)]
-    return holder, ttl - holding.margin(ttl)
+    return holder, ttl - holder_module.margin(ttl)
 
 
-def test_it_acts_until_its_time_counted_from_the_asking_and_renews_at_a_third():
-    holder, until = held()
+def test_the_holder_writes_until_its_time_since_the_request_is_over_and_renews_after_a_third():
+    holder, until = granted_holder()
     assert until == 10 * SECOND - 952380953 - 50 * MS and holder.next_at == 10 * SECOND // 3
-    assert (holder.valid_token(until - 1), holder.valid_token(until)) == (7, None), "stopped: its clock alone tells it"
+    assert (holder.valid_token(until - 1), holder.valid_token(until)) == (7, None), (
+        "after a stop only its clock shows it"
+    )
     (renew,) = holder.step(holder.next_at, Tick())
     assert renew == SendOperation(2, RenewLease("d", holder.name, 7)) and holder.state is HolderState.RENEWING
     assert holder.step(until - 1, ResponseReceived(2, Ok(9, 7))) == [SendOperation(3, renew.operation)], (
-        "from the asking a third has passed"
+        "a third has passed since the request"
     )
     assert (
         holder.valid_token(until + 10 * SECOND // 3 - 1) == 7 and holder.valid_token(until + 10 * SECOND // 3) is None
     )
 
 
-def test_a_lapse_ends_a_token_for_good():
-    holder, until = held()
+def test_an_expired_token_is_never_used_again():
+    holder, until = granted_holder()
     holder.step(10 * SECOND // 3, Tick())
     assert holder.step(until, ResponseReceived(2, Ok(9, 7))) == [
         TaskStopped(7),
         SendOperation(3, ReleaseLease("d", holder.name, 7)),
     ]
     assert holder.valid_token(until) is None and holder.step(until + 1, ResponseReceived(3, None)) == []
-    (ask,) = holder.step(holder.next_at, Tick())
-    assert isinstance(ask.operation, AcquireLease), (
-        "the release may be lost: it finds its own lease, and lets it go first"
+    (request_id,) = holder.step(holder.next_at, Tick())
+    assert isinstance(request_id.operation, AcquireLease), (
+        "the release may be lost: it finds its own lease, and releases it first"
     )
-    assert holder.step(until + SECOND, ResponseReceived(ask.request_id, LeaseHeld(1, holder.name, 7)))[
+    assert holder.step(until + SECOND, ResponseReceived(request_id.request_id, LeaseHeld(1, holder.name, 7)))[
         0
     ].operation == ReleaseLease("d", holder.name, 7)
     assert holder.valid_token(until + SECOND) is None
 
 
-def test_a_lost_lease_stops_at_once_and_a_late_grant_is_let_go():
-    holder, _ = held()
+def test_a_lost_lease_stops_the_task_at_once_and_a_late_grant_is_released():
+    holder, _ = granted_holder()
     holder.step(10 * SECOND // 3, Tick())
     assert (
         holder.step(4 * SECOND, ResponseReceived(2, LeaseNotHeld(9, 7))) == [TaskStopped(7)]
         and holder.state is HolderState.FREE
     )
-    (ask,) = holder.step(holder.next_at, Tick())
+    (request_id,) = holder.step(holder.next_at, Tick())
     assert holder.step(5 * SECOND, LeaseUnwanted()) == [] and holder.state is HolderState.IDLE
-    assert holder.step(6 * SECOND, ResponseReceived(ask.request_id, Ok(12, 12)))[0].operation == ReleaseLease(
+    assert holder.step(6 * SECOND, ResponseReceived(request_id.request_id, Ok(12, 12)))[0].operation == ReleaseLease(
         "d", holder.name, 12
     )
-    holder, until = held()
-    stop, release = holder.step(2 * SECOND, LeaseUnwanted())
-    assert (stop, release.operation) == (TaskStopped(7), ReleaseLease("d", holder.name, 7)), (
-        "it stops before it lets go"
+    holder, until = granted_holder()
+    stopped, release = holder.step(2 * SECOND, LeaseUnwanted())
+    assert (stopped, release.operation) == (TaskStopped(7), ReleaseLease("d", holder.name, 7)), (
+        "it stops the task before it releases the lease"
     )
 
 
-def test_without_any_answer_it_asks_on_and_keeps_no_more_than_it_must():
+def test_without_responses_the_holder_keeps_trying_with_bounded_memory():
     holder = LeaseHolder("d", "me", SECOND, Random(1))
     sent = holder.step(0, LeaseWanted())
     for _ in range(400):
         sent += holder.step(holder.next_at, Tick())
-    assert len(sent) > 2 * holding.MAX_PENDING_REQUESTS >= 2 * len(holder._pending_requests)
+    assert len(sent) > 2 * holder_module.MAX_PENDING_REQUESTS >= 2 * len(holder._pending_requests)
 
 
-def test_the_table_leads_from_every_state_to_rest_and_each_name_is_of_one_life():
+def test_the_table_covers_every_state_and_a_holders_name_is_unique():
     assert {state for state, _ in TRANSITIONS} == set(HolderState) == set(TRANSITIONS.values()) == set(TRAITS)
     assert all((state, TRAITS[state].on_timeout) in TRANSITIONS for state in HolderState if TRAITS[state].on_timeout)
     assert all(
@@ -387,18 +405,18 @@
             LeaseHolder(duty, name, ttl, Random(1))
 
 
-def test_a_keeper_counts_in_full_and_only_while_it_leads():
-    keeper, lease = LeaseExpirer(), Lease("h", 5, 2 * SECOND, 5)
-    keeper.lease_changed(0, "d", lease)
-    assert keeper.next_at is None and keeper.due_expirations(10**12) == []
-    keeper.became_leader(10 * SECOND, {"d": lease})
-    assert keeper.due_expirations(12 * SECOND - 1) == [] and keeper.due_expirations(12 * SECOND) == [
+def test_expiry_is_timed_in_full_and_only_while_leading():
+    expirer, lease = LeaseExpirer(), Lease("h", 5, 2 * SECOND, 5)
+    expirer.lease_changed(0, "d", lease)
+    assert expirer.next_at is None and expirer.due_expirations(10**12) == []
+    expirer.became_leader(10 * SECOND, {"d": lease})
+    assert expirer.due_expirations(12 * SECOND - 1) == [] and expirer.due_expirations(12 * SECOND) == [
         ExpireLease("d", 5, 5)
     ]
-    assert keeper.due_expirations(12 * SECOND + 1) == [] and keeper.due_expirations(keeper.next_at) == [
+    assert expirer.due_expirations(12 * SECOND + 1) == [] and expirer.due_expirations(expirer.next_at) == [
         ExpireLease("d", 5, 5)
-    ], "made again"
-    keeper.lease_changed(14 * SECOND, "d", lease._replace(renewed=9))
-    assert keeper.due_expirations(16 * SECOND) == [ExpireLease("d", 5, 9)]
-    keeper.lease_changed(17 * SECOND, "d", None)
-    assert keeper.due_expirations(10**12) == []
+    ], "repeated"
+    expirer.lease_changed(14 * SECOND, "d", lease._replace(renewed=9))
+    assert expirer.due_expirations(16 * SECOND) == [ExpireLease("d", 5, 9)]
+    expirer.lease_changed(17 * SECOND, "d", None)
+    assert expirer.due_expirations(10**12) == []
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,6 @@
-"""The copies on real processes: founding, words to the fleet, a leader lost, members replaced, no majority, off."""
+"""Replication on real processes: founding, overrides, loss of the leader, replaced members, no majority, replication
+off.
+"""
 
 import json
 import socket
@@ -18,13 +20,14 @@
 
 class FleetTest(FleetScene):
     def remembered(self, name):
-        """The words that the sidecar's next process would begin with."""
+        """The overrides in the cache with which the sidecar's next process would start."""
         found = remembered.load(self.folder / name / "tmp", "loftweir")
         return found.words if found else {}
 
-    def test_a_word_at_a_follower_holds_at_every_sidecar_within_a_second(self):
+    def test_an_override_given_to_an_observer_applies_at_every_sidecar_within_a_second(self):
         sidecars = self.fleet()
-        self.keys = self.keys | {"follow_wait": "30s"}  # news that only came when the wait is over would come late
+        # with it, a response that waits for the end of the poll arrives too late
+        self.keys = self.keys | {"follow_wait": "30s"}
         self.begin()
         self.wait(lambda: {s.invoke() for s in sidecars.values()} and all(party.seen for party in self.providers))
         answer = sidecars["f0"].call("FLEET-DISABLE s0")
@@ -38,13 +41,13 @@
         self.assertEqual(len(self.providers[0].seen), before)
         index = int(answer.split()[-1])
         self.assertTrue(all(int(s.stands()["index"]) >= index for s in sidecars.values()))
-        # Unknown here may be known elsewhere; and called back it serves again.
+        # A provider that is unknown here may be known elsewhere. Enabled again, it gets requests.
         self.assertRegex(sidecars["n1"].call("FLEET-DISABLE s9"), "^OK")
         self.assertRegex(sidecars["f1"].call("FLEET-ENABLE s7"), "^ERR no such upstream")
         self.assertRegex(sidecars["f1"].call("FLEET-ENABLE s0"), "^OK enabled")
         self.wait(lambda: sidecars["f0"].invoke() == 200 and len(self.providers[0].seen) > before, 10)
         self.assertRegex(sidecars["f1"].call("FLEET-REMOVE n9"), "^ERR NotTaken")
-        # A process that starts while nobody can be asked holds by what the one before it knew.
+        # A process that starts while it can reach no member applies the overrides that the previous one cached.
         self.wait(lambda: {n for n, (_, out) in self.remembered("n2").items() if out} == {"s9"})
         for sidecar in sidecars.values():
             sidecar.kill()
@@ -54,7 +57,7 @@
         self.assertEqual((stands["out"], stands["leader"]), ("s9", "-"))
         self.assertGreater(int(stands["age_ms"]), 0)
 
-    def test_writes_go_on_without_the_leader_and_what_was_promised_stays(self):
+    def test_writes_continue_without_the_leader_and_acknowledged_overrides_remain(self):
         sidecars = self.fleet(followers=1)
         self.keys = {"beat": "100ms", "election": "800ms", "write_within": "5s"}
         self.begin()
@@ -65,16 +68,16 @@
         left = [s for s in sidecars.values() if s is not leader]
         for sidecar in left:
             self.wait(lambda sidecar=sidecar: sidecar.stands()["out"] == "s0,s1")
-        # Its disk is lost: it comes back as another member in its seat, with all that was said.
+        # With its disk lost, it returns as another member in its slot and gets all overrides.
         before = leader.logged("replication.opened")[0]["id"]
         leader.wipe()
         leader.start()
         self.wait(lambda: [r for r in leader.logged("replication.joined") if r["id"] != before], 20)
         self.wait(lambda: leader.stands()["out"] == "s0,s1" and leader.stands()["role"] == "follower")
-        # It counts: with it and one other there is a majority.
+        # It counts as a voter: with it and one other there is a majority.
         self.leader().kill()
         self.assertRegex(sidecars["f0"].call("FLEET-ENABLE s1"), "^OK")
-        # Told to end, a leader hands over, and ends with 0.
+        # A leader that is told to stop transfers its leadership, and exits with 0.
         handing = self.leader()
         other = [s for s in sidecars.values() if s.program is None][0]
         other.start()
@@ -85,9 +88,13 @@
         self.assertEqual(handing.terminate(), 0)
         roles = [record["role"] for record in next_one.logged("replication.role")]
         last = len(roles) - roles[::-1].index("candidate")
-        self.assertEqual(roles[last - 2 : last + 1], ["follower", "candidate", "leader"], "asked nobody first")
+        self.assertEqual(
+            roles[last - 2 : last + 1],
+            ["follower", "candidate", "leader"],
+            "no pre-vote before the transfer's election",
+        )
 
-    def test_without_a_majority_it_says_how_old_its_knowledge_is_and_promises_nothing(self):
+    def test_without_a_majority_it_reports_the_age_of_its_state_and_acknowledges_nothing(self):
         sidecars = self.fleet(followers=1)
         self.begin()
         self.assertRegex(sidecars["f0"].call("FLEET-DISABLE s0"), "^OK")
@@ -106,19 +113,19 @@
         self.wait(lambda: int(leader.stands()["age_ms"]) > age and int(sidecars["f0"].stands()["age_ms"]) > age)
         stopped.go_on()
         self.wait(lambda: sidecars["f0"].call("FLEET-DISABLE s1").startswith("OK"))
-        # Taken out, a member that lives becomes a follower.
+        # A running member that is removed becomes an observer.
         self.assertRegex(sidecars["f0"].call(f"FLEET-REMOVE {killed.name}"), "^OK removed")
         self.assertRegex(sidecars["f0"].call(f"FLEET-REMOVE {leader.name}"), "^OK removed")
         self.wait(lambda: leader.stands()["role"] == "follows" and leader.stands()["leader"] == stopped.name)
         self.assertEqual(leader.logged("replication.ended")[0]["why"].split(":")[0], leader.name)
         self.assertRegex(leader.call("FLEET-ENABLE s1"), "^OK")
-        # One that begins anew, and is listed, is taken in again.
+        # A listed member that starts anew joins again.
         killed.start()
         self.wait(lambda: killed.stands().get("role") in ("follower", "leader"))
         self.wait(lambda: stopped.logged("replication.role")[-1]["members"] == [stopped.name, killed.name])
         self.assertEqual(len({record["id"] for record in killed.logged("replication.opened")}), 1)
 
-    def test_a_failing_disk_and_a_foreign_sidecar_cost_no_more_than_their_part(self):
+    def test_a_failing_disk_or_a_foreign_sidecar_affects_only_its_own_member(self):
         sidecars = self.fleet(followers=1)
         sidecars["n1"].fault = (
             "import os\nreal = os.fdatasync\n"
@@ -133,7 +140,7 @@
         self.wait(lambda: sidecars["n1"].stands()["role"] == "follows" and sidecars["n1"].stands()["out"] == "s0")
         self.assertIn("No space left", sidecars["n1"].logged("replication.ended")[0]["why"])
         self.assertEqual(sidecars["n1"].invoke(), 200)
-        # Its files changed beneath it: they are set aside, and it is taken in as another.
+        # With changed files, they are set aside, and it joins as another member.
         sidecars["n1"].kill()
         (sidecars["n1"].folder / "full").unlink()
         segment = max(sidecars["n1"].copies.glob("segment-*"))
@@ -144,13 +151,13 @@
         (damaged,) = self.wait(lambda: sidecars["n1"].logged("replication.damaged"))
         self.assertIn("segment", damaged["why"])
         self.wait(lambda: damaged["id"] in [r["id"] for r in sidecars["n1"].logged("replication.joined")], 20)
-        # Who names another cluster, or speaks something else, is told why.
+        # A sidecar of another cluster, or a client with another protocol, gets the reason.
         foreign = sidecars["f1"] = Sidecar(self, "f1")
         foreign.start(cluster="other")
         self.wait(lambda: foreign.logged("replication.lost"))
         self.wait(lambda: any("another cluster" in r["why"] for r in foreign.logged("replication.lost")))
         self.assertIn("another cluster", foreign.call("FLEET-DISABLE s1"))
-        # A second one of a name, while the first lives, gets no seat.
+        # A second process with the name of a running member does not replace it.
         double = sidecars["double"] = Sidecar(self, "double")
         double.name, self.reach["n2", "n2"] = "n2", self.free()
         double.start()
@@ -170,7 +177,7 @@
 
 
 class LeaseTest(FleetScene):
-    def test_a_lease_that_is_not_renewed_ends_under_this_leader_and_the_next(self):
+    def test_a_lease_that_is_not_renewed_expires_under_this_leader_and_the_next(self):
         self.fleet(followers=0)
         self.begin()
         loop = Loop()
@@ -185,7 +192,7 @@
             began = time.monotonic()
             self.assertEqual(acquire("b").token, token)
             if number:
-                self.leader().kill()  # the next one counts it anew, in full
+                self.leader().kill()  # the next leader restarts the countdown in full
             reading = run(loop, calls.read(LeaseQuery("d"), 5 * SECOND))
             self.assertEqual((reading.sure, reading.value[:2]), (True, [f"a{number}", token]))
             self.wait(lambda: run(loop, calls.read(LeaseQuery("d"), 5 * SECOND)).value is None)
@@ -199,7 +206,7 @@
 class OffTest(FleetScene):
     on = False
 
-    def test_off_nothing_of_it_is_imported_and_the_calls_say_so(self):
+    def test_without_members_nothing_is_imported_and_commands_report_that_it_is_off(self):
         (sidecar,) = self.fleet(voters=0, followers=1).values()
         sidecar.fault = (
             "import atexit, json, sys\n"
@@ -219,7 +226,7 @@
 
 
 class UpgradeTest(FleetScene):
-    def test_a_new_process_takes_the_part_of_the_old_one_over(self):
+    def test_a_new_process_takes_over_the_membership_of_the_old_one(self):
         sidecars = self.fleet(followers=0)
         self.begin()
         self.assertRegex(sidecars["n0"].call("FLEET-DISABLE s0"), "^OK")
@@ -227,7 +234,7 @@
         old, leader.operator_address, leader.listen = leader.program, self.free(), self.free()
         self.addCleanup(old.wait, 10)
         self.addCleanup(old.kill)
-        leader.start()  # beside the one before it, on the same folder and for the same address
+        leader.start()  # alongside the previous process, with the same folder and address
         self.wait(leader.ready)
         self.wait(lambda: (leader.stands()["role"], leader.stands()["out"]) == ("follows", "s0"))
         old.terminate()
@@ -238,14 +245,14 @@
 
 
 class RemovedTest(FleetScene):
-    def test_who_was_taken_out_while_it_was_down_is_taken_in_again_by_its_next_start(self):
+    def test_a_member_removed_while_it_was_down_joins_again_at_its_next_start(self):
         sidecars = self.fleet(followers=0)
         self.begin()
         out = [s for s in sidecars.values() if s is not self.leader()][0]
         out.kill()
         leader = self.leader()
         self.wait(lambda: leader.call(f"FLEET-REMOVE {out.name}") == "OK removed")
-        out.start()  # its disk says that it votes
+        out.start()  # by its disk it is still a voter
         self.wait(lambda: out.logged("replication.joined"), 20)
         self.assertEqual(out.stands()["role"], "follower")
         self.assertEqual(out.logged("replication.ended"), [])
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -1,5 +1,6 @@
-"""The consensus core: what it does, runs with troubles from seeds, every order of events in small sizes, and the
-guarantees broken on purpose, each of which one of these must find."""
+"""The consensus core: its behaviour, simulations with faults from seeds, every order of events in small clusters, and
+deliberate defects, each of which one of these must find.
+"""
 
 import time
 from random import Random
@@ -16,18 +17,18 @@
 from loftweir.replication.core import _MESSAGE_HANDLERS, NEVER, Core
 
 SECOND = 1000 * MS
-replaced = msgspec.structs.replace
+with_fields = msgspec.structs.replace
 
 
-def led(make=Core, seats=3, **plan):
-    """A world in which one leads and nothing is wrong, and the seats: the leader's first."""
+def cluster_with_leader(make=Core, seats=3, **plan):
+    """A simulated cluster with a leader and without faults, and its members, the leader's first."""
     world = World(1, Plan(seats, **plan), make)
     until(world, lambda: (leader := world.leader()) and leader.can_change_members and world.well())
-    first = at(world, world.leader().me)
+    first = member_at(world, world.leader().me)
     return world, [first, *(seat for seat in world.seats.values() if seat is not first)]
 
 
-def at(world, id):
+def member_at(world, id):
     return world.seats[id.split(".")[0]]
 
 
@@ -35,12 +36,12 @@
     assert world.play(world.at + within, over), [world.tell(seat) for seat in world.seats.values()]
 
 
-def cut(world, a, b, by=1):
+def cut_both_ways(world, a, b, by=1):
     world.cut([(a.name, b.name), (b.name, a.name)], by)
 
 
-def written(world, seat, count=1):
-    """Writes, one after the other, and their outcomes."""
+def write_and_wait(world, seat, count=1):
+    """Makes writes one after the other and returns their outcomes."""
     outcomes = []
     for _ in range(count):
         token = world.write(seat)
@@ -49,55 +50,59 @@
     return outcomes
 
 
-# ---- scripts: each passes with the core as it is, and fails with one broken on purpose ---------------
+# ---- scripts: each passes with the core, and fails with a deliberate defect ---------------------
 
 
 def figure_eight(make=Core):
-    """Paper, figure 8: an entry of an old term lies on a majority, and another leader may still overwrite it."""
-    world, (a, b, c) = led(make, timing=Timing(10 * MS, 50 * MS, max_append_bytes=1))
+    """Paper, figure 8: an entry of an old term is on a majority, and another leader may still overwrite it."""
+    world, (a, b, c) = cluster_with_leader(make, timing=Timing(10 * MS, 50 * MS, max_append_bytes=1))
     for other in (b, c):
-        cut(world, a, other)
+        cut_both_ways(world, a, other)
     world.write(a)
     old = a.core.last_index
     until(world, lambda: a.disk.last_index == old)
     world.crash(a)
     until(world, lambda: Role.LEADER in (b.core.role, c.core.role))
     p, q = (b, c) if b.core.role is Role.LEADER else (c, b)
-    cut(world, p, q)
-    until(world, lambda: p.disk.last_index == old)  # another entry at the same index, on its own disk only
+    cut_both_ways(world, p, q)
+    until(world, lambda: p.disk.last_index == old)  # another entry at the same index, only on its own disk
     world.crash(p)
-    cut(world, a, q, -1)
+    cut_both_ways(world, a, q, -1)
     world.start(a)
-    until(world, lambda: a.core.match(q.id) == old)  # in a leader's later term, on two disks of three
-    cut(world, a, q)
+    until(world, lambda: a.core.match(q.id) == old)  # in a later term of the leader, on two disks of three
+    cut_both_ways(world, a, q)
     world.crash(a)
-    cut(world, p, q, -1)
+    cut_both_ways(world, p, q, -1)
     world.start(p)
     until(world, lambda: p.core.role is Role.LEADER and p.core.can_change_members)
     assert q.core.entries(old, old)[0].kind is EntryKind.NOOP
 
 
 def stale_read(make=Core):
-    """A leader that is cut off and whose clock nearly stands answers no read, whatever it takes itself for."""
-    world, (a, b, c) = led(make)
+    """A leader that is cut off and whose clock nearly stands still answers no read, although it still believes that it
+    leads.
+    """
+    world, (a, b, c) = cluster_with_leader(make)
     world.clock(a, 20)
     for other in (b, c):
-        cut(world, a, other)
+        cut_both_ways(world, a, other)
     until(world, lambda: world.leader() not in (None, a.core))
-    written(world, at(world, world.leader().me))
+    write_and_wait(world, member_at(world, world.leader().me))
     assert a.core.role is Role.LEADER
     token = world.read(a)
     world.play(world.at + 100 * MS)
     assert token not in world.outcomes
     for other in (b, c):
-        cut(world, a, other, -1)
+        cut_both_ways(world, a, other, -1)
     until(world, lambda: token in world.outcomes)
     assert world.outcomes[token] == RequestRejected(token, RejectionReason.NOT_LEADER)
 
 
-def deaf_follower(make=Core):
-    """Who doesn't hear the leader, and is heard by all, changes nothing: not while it is so, nor when it is over."""
-    world, (a, b, c) = led(make)
+def follower_without_incoming_messages(make=Core):
+    """A member that does not receive the leader's messages, but is heard by all, disturbs neither then nor
+    afterwards.
+    """
+    world, (a, b, c) = cluster_with_leader(make)
     term = a.core.term
     world.cut([(a.name, b.name)], 1)
     until(world, lambda: b.core.role is not Role.FOLLOWER)
@@ -107,79 +112,83 @@
     assert [s.core.term for s in (a, b, c)] == [term] * 3 and world.leader() is a.core
 
 
-def removed_voter(make=Core):
-    """Who was removed and doesn't know it does not disturb (diss. 4.2.3), nor does its later term."""
-    world, (a, b, c) = led(make)
+def uninformed_removed_voter(make=Core):
+    """A removed voter that was not informed does not disturb (diss. 4.2.3), and neither does its later term."""
+    world, (a, b, c) = cluster_with_leader(make)
     term = a.core.term
-    cut(world, a, b)
+    cut_both_ways(world, a, b)
     world.ask(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != b.id)))
     world.play(world.at + 20 * MS)
     world.crash(b)
-    b.disk.hard = api.HardState(term + 1, b.id)  # as if it had stood
+    b.disk.hard = api.HardState(term + 1, b.id)  # as if it had started an election
     world.start(b)
-    cut(world, a, b, -1)
+    cut_both_ways(world, a, b, -1)
     world.play(world.at + 500 * MS)
     assert b.core.role is not Role.OUT and (c.core.leader, c.core.term) == (a.id, term) == (a.id, a.core.term)
 
 
-def cut_members(make=Core):
-    """Members of an entry that was cut are in force no more."""
-    world, (a, b, c) = led(make)
+def truncated_members(make=Core):
+    """The members of a truncated entry are not effective any more."""
+    world, (a, b, c) = cluster_with_leader(make)
     before = a.core.members
     for other in (b, c):
-        cut(world, a, other)
+        cut_both_ways(world, a, other)
     token = world.ask(a, lambda token: api.MembershipChange(token, before[:2]))
     assert a.core.members == before[:2]
     until(world, lambda: world.leader() not in (None, a.core))
     for other in (b, c):
-        cut(world, a, other, -1)
+        cut_both_ways(world, a, other, -1)
     until(world, world.well)
     assert a.core.members == before and world.outcomes[token] == RequestRejected(token, RejectionReason.LOST)
 
 
-def snapshot_in_pieces(make=Core):
-    """A snapshot goes in pieces while writes go on, and memory stays bounded; a full window from before is no bar."""
-    world, (a, b, _) = led(make, sync=200_000)
+def snapshot_in_chunks(make=Core):
+    """A snapshot is sent in chunks while writes continue, and memory stays bounded; a window that was full before does
+    not prevent it.
+    """
+    world, (a, b, _) = cluster_with_leader(make, sync=200_000)
     world.crash(b)
-    written(world, a, 100)
+    write_and_wait(world, a, 100)
     world.start(b)
-    said, most = [], 0
+    sent_messages, most = [], 0
     send = world._send
-    world._send = lambda source, m: (said.append(m), send(source, m))
+    world._send = lambda source, m: (sent_messages.append(m), send(source, m))
     for _ in range(200):
-        written(world, a)
+        write_and_wait(world, a)
         most = max(most, a.core.last_index - a.core.first_index, b.core.last_index - b.core.first_index)
-    pieces = [m for m in said if isinstance(m, api.InstallSnapshot)]
+    pieces = [m for m in sent_messages if isinstance(m, api.InstallSnapshot)]
     assert (
         len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= world.plan.timing.snapshot_chunk_bytes
     )
-    assert len({m.index for m in pieces}) == 1, "one snapshot was enough, and the log went on from there"
+    assert len({m.index for m in pieces}) == 1, "one snapshot was enough, and the log continued from there"
     assert b.core.applied >= a.core.last_index - 5 and most < 5 * world.plan.timing.snapshot_after_entries
     until(world, world.well)
 
 
-def needed_though_removed(make=Core):
-    """Who alone has the entry that removes it has to lead once more (diss. 4.2.2)."""
-    world, (a, b) = led(make, seats=2)
-    cut(world, a, b)
+def needed_after_its_removal(make=Core):
+    """A member that alone has the entry which removes it has to lead once more (diss. 4.2.2)."""
+    world, (a, b) = cluster_with_leader(make, seats=2)
+    cut_both_ways(world, a, b)
     world.ask(a, lambda token: api.MembershipChange(token, (b.member(),)))
     world.wanted.discard(a.name)
     until(world, lambda: a.disk.last_index == a.core.last_index)
     world.crash(a)
     world.start(a)
-    cut(world, a, b, -1)
+    cut_both_ways(world, a, b, -1)
     until(world, lambda: world.well() and a.core.role is Role.OUT)
     assert world.leader() is b.core
 
 
-def two_snapshots(make=Core):
-    """Pieces of two leaders' snapshots of one index don't go together, and what is held already is not taken again."""
+def chunks_of_two_snapshots(make=Core):
+    """Chunks of two leaders' snapshots of one index are not combined, and a snapshot that is already included is not
+    installed.
+    """
     core = make("b", api.PersistentState(), Timing(), Random(1), 0)
     members = (Member("a", "a", ""), Member("b", "b", ""))
 
-    def piece(sender, term, at, data, index=5):
+    def piece(sender, term, member_at, data, index=5):
         head = {"sender": sender, "to": "b", "term": term, "index_term": 1, "members": members, "size": 4, "round": 1}
-        return core.step(0, api.MessageReceived(api.InstallSnapshot(**head, index=index, at=at, data=data)))
+        return core.step(0, api.MessageReceived(api.InstallSnapshot(**head, index=index, at=member_at, data=data)))
 
     def upto(actions):
         return [a.message.upto for a in actions if isinstance(a, api.SendMessage)]
@@ -195,37 +204,43 @@
     assert upto(again) == [4] and not any(isinstance(a, (api.PersistBatch, api.RestoreSnapshot)) for a in again)
 
 
-SCRIPTS = [figure_eight, stale_read, deaf_follower, removed_voter, needed_though_removed]
-SCRIPTS += [cut_members, snapshot_in_pieces, two_snapshots]
+SCRIPTS = [
+    figure_eight,
+    stale_read,
+    follower_without_incoming_messages,
+    uninformed_removed_voter,
+    needed_after_its_removal,
+]
+SCRIPTS += [truncated_members, snapshot_in_chunks, chunks_of_two_snapshots]
 
 
 @pytest.mark.parametrize("script", SCRIPTS)
-def test_scripts(script):
+def test_scripted_scenarios(script):
     script()
 
 
-# ---- what it does ------------------------------------------------------------------------------------
+# ---- behaviour ----------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("seats", [1, 2, 3, 5])
-def test_founds_leads_writes_and_reads(seats):
-    world, (a, *others) = led(seats=seats)
-    outcomes = written(world, a, 20)
+def test_a_cluster_is_founded_and_serves_writes_and_reads(seats):
+    world, (a, *others) = cluster_with_leader(seats=seats)
+    outcomes = write_and_wait(world, a, 20)
     assert [type(o) for o in outcomes] == [api.RequestCompleted] * 20
     assert [o.index for o in outcomes] == list(range(outcomes[0].index, outcomes[0].index + 20))
     token = world.read(a)
     until(world, lambda: token in world.outcomes)
     assert world.outcomes[token] == api.RequestCompleted(token, outcomes[-1].index)
     for other in others:
-        assert written(world, other)[0].why is RejectionReason.NOT_LEADER
+        assert write_and_wait(world, other)[0].why is RejectionReason.NOT_LEADER
     for seat in world.seats.values():
         world.crash(seat)
         world.start(seat)
     until(world, lambda: world.leader() and world.well())
 
 
-def test_hand_over_takes_no_election_and_loses_no_write():
-    world, (a, *_) = led()
+def test_a_leadership_transfer_takes_no_election_timeout_and_loses_no_write():
+    world, (a, *_) = cluster_with_leader()
     tokens = [world.write(a) for _ in range(10)]
     began = world.at
     world.event(a, a.core, api.TransferLeadership())
@@ -235,36 +250,36 @@
     assert world.at - began < 20 * MS and all(type(world.outcomes[t]) is api.RequestCompleted for t in tokens)
 
 
-def test_hand_over_to_nobody_is_given_up():
-    world, (a, b, c) = led()
+def test_a_leadership_transfer_to_an_unreachable_member_is_given_up():
+    world, (a, b, c) = cluster_with_leader()
     for _ in range(5):
         world.write(a)
-    cut(world, a, b)
-    cut(world, a, c)
+    cut_both_ways(world, a, b)
+    cut_both_ways(world, a, c)
     world.event(a, a.core, api.TransferLeadership())
-    cut(world, a, b, -1)
-    cut(world, a, c, -1)
+    cut_both_ways(world, a, b, -1)
+    cut_both_ways(world, a, c, -1)
     a.core._transfer_target = "nobody"
     world.play(world.at + 100 * MS)
-    assert type(written(world, a)[0]) is api.RequestCompleted
+    assert type(write_and_wait(world, a)[0]) is api.RequestCompleted
 
 
-def test_a_leader_that_removes_itself_ends_once_that_is_committed():
-    world, (a, *_) = led()
+def test_a_leader_that_removes_itself_steps_down_once_that_is_committed():
+    world, (a, *_) = cluster_with_leader()
     token = world.ask(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != a.id)))
     world.wanted.discard(a.name)
     until(world, lambda: token in world.outcomes)
     assert type(world.outcomes[token]) is api.RequestCompleted and a.core.role is Role.OUT
     began = world.at
     until(world, world.well)
-    assert world.at - began < 40 * MS, "it told another to lead"
+    assert world.at - began < 40 * MS, "it let another member start an election"
     world.play(world.at + 500 * MS)
     assert a.core.role is Role.OUT and max(world.oracle.leaders) == world.leader().term
 
 
-def test_a_wiped_disk_comes_back_as_another_member_by_way_of_a_learner():
-    world, (a, b, _) = led()
-    written(world, a, 30)
+def test_a_member_with_a_wiped_disk_returns_under_another_id_as_a_learner_first():
+    world, (a, b, _) = cluster_with_leader()
+    write_and_wait(world, a, 30)
     world._wipe_trouble(b, 50 * MS)
     until(world, lambda: b.core is not None)
     assert b.core.role is Role.OUT and not b.core.members
@@ -274,15 +289,15 @@
     assert seen >= {Role.OUT, Role.FOLLOWER, True} and b.id in a.core.voters and b.id.endswith(".2")
 
 
-def test_changes_that_are_not_one_step_are_refused():
-    world, (a, b, c) = led()
+def test_membership_changes_of_more_than_one_step_are_rejected():
+    world, (a, b, c) = cluster_with_leader()
     core, members = a.core, a.core.members
     learners = tuple(Member(f"x{i}", f"x{i}", "", False) for i in range(14))
     for unfit in ((), members[:1], (*members, members[0]), (*members, Member("d", b.name, "")), (*members, *learners)):
         assert core.step(core._now, api.MembershipChange(1, unfit)) == [RequestRejected(1, RejectionReason.UNFIT)]
     more = (*members, *learners[:1])
     taken = core.step(core._now, api.MembershipChange(2, more))
-    assert any(isinstance(a, api.PersistBatch) for a in taken) and core.members == more  # in force at once
+    assert any(isinstance(a, api.PersistBatch) for a in taken) and core.members == more  # effective at once
     assert core.step(core._now, api.MembershipChange(3, members)) == [RequestRejected(3, RejectionReason.BUSY)]
     busy = [core.step(core._now, api.WriteRequest(10 + i, b"")) for i in range(50)]
     assert busy[-1] == [RequestRejected(59, RejectionReason.BUSY)]
@@ -293,9 +308,9 @@
     core.check()
 
 
-def test_a_member_far_behind_gets_10_000_entries_quickly():
+def test_a_member_far_behind_catches_up_on_10_000_entries_quickly():
     timing = Timing(10 * MS, 50 * MS, snapshot_after_entries=1 << 30)
-    world, (a, b, _) = led(timing=timing, check=1 << 30)
+    world, (a, b, _) = cluster_with_leader(timing=timing, check=1 << 30)
     world.crash(b)
     for _ in range(10):
         tokens = [world.write(a) for _ in range(1000)]
@@ -306,9 +321,9 @@
     assert world.at - began < 200 * MS and time.perf_counter() - real < 5
 
 
-def test_views_for_the_socket_side():
-    world, (a, b, c) = led()
-    written(world, a, 3)
+def test_what_the_core_reports_about_other_members():
+    world, (a, b, c) = cluster_with_leader()
+    write_and_wait(world, a, 3)
     world.crash(c)
     world.play(world.at + 200 * MS)
     now = a.clock(world.at)
@@ -318,8 +333,8 @@
     assert 0 <= b.clock(world.at) - b.core.quorum_confirmed_at < 20 * MS
 
 
-def test_a_step_costs_little():
-    world, (a, b, c) = led(check=1 << 30)
+def test_a_step_takes_little_cpu_time():
+    world, (a, b, c) = cluster_with_leader(check=1 << 30)
     for _ in range(5):
         began, steps = time.process_time(), world.steps
         tokens = [world.write(a) for _ in range(30)]
@@ -327,10 +342,10 @@
         each = (time.process_time() - began) / (world.steps - steps)
         if each < 200e-6:
             return
-    raise AssertionError(f"{each * 1e6:.0f} us a step, the world around it included")
+    raise AssertionError(f"{each * 1e6:.0f} us a step, simulation included")
 
 
-# ---- runs from seeds, and every order ----------------------------------------------------------------
+# ---- simulations, and every order of events -----------------------------------------------------
 
 
 def runs(make=Core, seeds=range(160), same_id=False):
@@ -343,31 +358,31 @@
 
 
 def walk_changes(make=Timeless, depth=10):
-    """Two changes of members in place of crashes and wiped disks."""
+    """With two membership changes in place of crashes and wiped disks."""
     return walk(make, depth, Left(1, 1, 0, 0, 0, 2))
 
 
-def test_runs_with_troubles_break_nothing():
+def test_simulations_with_faults_keep_all_guarantees():
     runs()
 
 
-def test_a_seed_decides_all():
+def test_a_simulation_is_determined_by_its_seed():
     assert [(w.steps, w.promises, w.faults) for w in (World(5).run(), World(5).run())][::-1] == [
         (w.steps, w.promises, w.faults) for w in (World(5).run(), World(5).run())
     ]
 
 
-def test_every_order_in_small_sizes_breaks_nothing():
+def test_every_order_of_events_in_small_clusters_keeps_all_guarantees():
     seen = walk()
     assert (seen.depth, seen.states) == (7, 51841) and seen.promises > 300
     changes = walk_changes(depth=8)
     assert changes.states > 10_000 and changes.promises > 100
 
 
-# ---- guarantees broken on purpose --------------------------------------------------------------------
+# ---- deliberate defects -------------------------------------------------------------------------
 
 
-def kept(change):
+def on_persist(change):
     return {
         "_collect_actions": lambda b: (
             lambda s: [change(a) if isinstance(a, api.PersistBatch) else a for a in b._collect_actions(s)]
@@ -375,7 +390,7 @@
     }
 
 
-def answers_for_any(base):
+def handles_messages_for_any_id(base):
     def heard(self, event):
         me, self.me = self.me, event.message.to
         getattr(self, _MESSAGE_HANDLERS[type(event.message)])(event.message)
@@ -384,7 +399,7 @@
     return heard
 
 
-def counts_any(base):
+def commits_the_highest_match(base):
     def count(self):
         best = max([self.stable_index, *(p.match for p in self._voting_peers)])
         if best > self.commit and self._is_of_current_term(best):
@@ -393,7 +408,7 @@
     return count
 
 
-def confirms_at_once(base):
+def completes_reads_at_once(base):
     def confirm(self):
         while self._pending_reads and self._pending_reads[0][1] <= self.commit:
             _, index, token = self._pending_reads.popleft()
@@ -402,7 +417,7 @@
     return confirm
 
 
-def reads_before_own(base):
+def reads_before_own_entry(base):
     def read(self, event):
         own, self._term_start_index = self._term_start_index, 0
         base._on_read(self, event)
@@ -411,7 +426,7 @@
     return read
 
 
-def lies_of_the_lost(base):
+def reports_lost_proposals_as_not_done(base):
     def give_back(self, reads):
         self._actions += [RequestRejected(token, RejectionReason.NOT_LEADER) for _, token in self._pending_proposals]
         self._pending_proposals.clear()
@@ -420,7 +435,7 @@
     return give_back
 
 
-def commits_what_it_has(base):
+def commits_unmatched_entries(base):
     def heard(self, m):
         base._on_append_entries(self, m)
         if m.term == self.term and self.commit < min(m.commit, self.last_index):
@@ -429,7 +444,7 @@
     return heard
 
 
-def votes_again(base):
+def votes_twice(base):
     def ask_vote(self, m):
         if not m.pre and m.term == self.term:
             self.vote = ""
@@ -438,7 +453,7 @@
     return ask_vote
 
 
-def takes_pieces_of_any(base):
+def mixes_chunks_of_snapshots(base):
     def heard(self, m):
         if self._incoming is not None:
             self._incoming.key = (m.sender, m.term, m.index, m.size)
@@ -452,7 +467,7 @@
     return {"_on_install_snapshot": heard, "_become_follower": follow}
 
 
-def takes_old_snapshots(base):
+def installs_old_snapshots(base):
     def heard(self, m):
         self.commit = min(self.commit, m.index - 1)
         base._on_install_snapshot(self, m)
@@ -460,7 +475,7 @@
     return heard
 
 
-def keeps_members_that_were_cut(base):
+def keeps_truncated_members(base):
     def cut_from(self, index):
         configs = self._configurations[:]
         base._truncate_from(self, index)
@@ -469,7 +484,7 @@
     return cut_from
 
 
-def hears_anyone(base):
+def accepts_terms_of_non_members(base):
     def answered(self, m):
         if m.term > self.term:
             self._become_follower(m.term, "")
@@ -478,7 +493,7 @@
     return answered
 
 
-def leads_though_removed(base):
+def leads_after_its_removal(base):
     def commit_to(self, index):
         ids, self._ids = self._ids, self._ids | {self.me}
         base._commit_to(self, index)
@@ -487,7 +502,7 @@
     return commit_to
 
 
-def stands_only_in_force(base):
+def campaigns_only_as_current_voter(base):
     def placed(self):
         base._update_membership_role(self)
         self._may_campaign = self.me in self.voters
@@ -495,8 +510,8 @@
     return placed
 
 
-def feeds_no_snapshot(base):
-    """The member whose missing entries were let go while its window was full is told of entry 0 for ever."""
+def never_sends_needed_snapshots(base):
+    """A member whose missing entries were compacted while its window was full gets heartbeats with entry 0 for ever."""
 
     def beat(self):
         full = [p for p in self._peers.values() if p.snapshot is None and p.next <= self._base]
@@ -514,59 +529,111 @@
     return lambda make, same_id=False: runs(make, range(kind, 8 * count, 8), same_id)
 
 
-def some(make, same_id=False):
+def some_runs(make, same_id=False):
     runs(make, range(48), same_id)
 
 
-BROKEN = {  # what is broken: how, and what finds it
-    "the vote is not kept": (kept(lambda k: replaced(k, hard=k.hard and replaced(k.hard, vote=""))), some, walk),
-    "the term is not kept": (kept(lambda k: replaced(k, hard=None)), some, walk),
-    "a cut is not kept": (kept(lambda k: replaced(k, cut=None)), runs_of(3, 20)),
-    "OK before a majority has it": ({"_advance_commit": counts_any}, some, walk),
-    "the leader counts itself before it is stable": ({"_leader_match": lambda b: lambda s: s.last_index}, some, walk),
-    "an entry of an old term is counted": ({"_is_of_current_term": lambda b: lambda s, i: True}, figure_eight),
-    "any log is up to date": ({"_up_to_date": lambda b: lambda s, m: True}, some, walk),
-    "two votes in a term": ({"_on_request_vote": votes_again}, some, walk),
-    "messages for another id are answered": ({"_on_message": answers_for_any}, some, walk),
-    "a wiped disk comes back under its id": ({}, some, walk),
-    "a stale leader answers reads": ({"_complete_reads": confirms_at_once}, stale_read),
-    "reads before an entry of the own term": ({"_on_read": reads_before_own}, some),
-    "any change of members is taken": ({"_membership_rejection": lambda b: lambda s, m: None}, some, walk_changes),
-    "two changes at once": (
+DEFECTS = {  # by name: the defect, and the runs that must find it
+    "the vote is not persisted": (
+        on_persist(lambda k: with_fields(k, hard=k.hard and with_fields(k.hard, vote=""))),
+        some_runs,
+        walk,
+    ),
+    "the term is not persisted": (on_persist(lambda k: with_fields(k, hard=None)), some_runs, walk),
+    "a truncation is not persisted": (on_persist(lambda k: with_fields(k, cut=None)), runs_of(3, 20)),
+    "a write is acknowledged before a majority has it": (
+        {"_advance_commit": commits_the_highest_match},
+        some_runs,
+        walk,
+    ),
+    "the leader counts itself before it is stable": (
+        {"_leader_match": lambda b: lambda s: s.last_index},
+        some_runs,
+        walk,
+    ),
+    "an entry of an old term is committed by counting": (
+        {"_is_of_current_term": lambda b: lambda s, i: True},
+        figure_eight,
+    ),
+    "any log counts as up to date": ({"_up_to_date": lambda b: lambda s, m: True}, some_runs, walk),
+    "two votes in a term": ({"_on_request_vote": votes_twice}, some_runs, walk),
+    "messages for another id are handled": ({"_on_message": handles_messages_for_any_id}, some_runs, walk),
+    "a wiped disk returns under its id": ({}, some_runs, walk),
+    "a stale leader answers reads": ({"_complete_reads": completes_reads_at_once}, stale_read),
+    "reads before an entry of the own term is committed": ({"_on_read": reads_before_own_entry}, some_runs),
+    "any membership change is accepted": (
+        {"_membership_rejection": lambda b: lambda s, m: None},
+        some_runs,
+        walk_changes,
+    ),
+    "two membership changes at once": (
         {"can_change_members": lambda b: property(lambda s: s.commit >= s._term_start_index)},
-        some,
+        some_runs,
         walk_changes,
     ),
-    "a change before the own term": (
+    "a membership change before an entry of the own term": (
         {"can_change_members": lambda b: property(lambda s: s.commit >= s._configurations[-1][0])},
-        some,
+        some_runs,
+    ),
+    "members of a truncated entry stay effective": ({"_truncate_from": keeps_truncated_members}, truncated_members),
+    "a follower answers before the entries are stable": (
+        {"_batch_covering": lambda b: lambda s, i: 0},
+        some_runs,
+        walk,
+    ),
+    "no pre-vote": (
+        {"_start_pre_vote": lambda b: lambda s: s._start_election(False)},
+        follower_without_incoming_messages,
+        runs_of(0, 10),
+    ),
+    "votes while a leader is alive": (
+        {"_leader_is_alive": lambda b: lambda s: False},
+        follower_without_incoming_messages,
+    ),
+    "a later term of a non-member is accepted": (
+        {"_responding_peer": accepts_terms_of_non_members},
+        uninformed_removed_voter,
+    ),
+    "a stalled leader continues": (
+        {"_check_quorum": lambda b: lambda s: setattr(s, "_quorum_deadline", NEVER)},
+        some_runs,
+    ),
+    "proposals that may be committed are reported as not done": (
+        {"_reject_pending": reports_lost_proposals_as_not_done},
+        some_runs,
+    ),
+    "a follower commits entries that did not match": (
+        {"_on_append_entries": commits_unmatched_entries},
+        runs_of(3, 20),
+    ),
+    "a removed leader continues": ({"_commit_to": leads_after_its_removal}, some_runs),
+    "a removed voter may not campaign": (
+        {"_update_membership_role": campaigns_only_as_current_voter},
+        needed_after_its_removal,
+    ),
+    "chunks of two snapshots are combined": (mixes_chunks_of_snapshots, chunks_of_two_snapshots),
+    "an older snapshot is installed": (
+        {"_on_install_snapshot": installs_old_snapshots},
+        chunks_of_two_snapshots,
+        some_runs,
+    ),
+    "compacted entries are never sent as a snapshot": (
+        {"_send_heartbeats": never_sends_needed_snapshots},
+        snapshot_in_chunks,
     ),
-    "members that were cut stay": ({"_truncate_from": keeps_members_that_were_cut}, cut_members),
-    "a follower answers before it is stable": ({"_batch_covering": lambda b: lambda s, i: 0}, some, walk),
-    "no pre-vote": ({"_start_pre_vote": lambda b: lambda s: s._start_election(False)}, deaf_follower, runs_of(0, 10)),
-    "no stickiness": ({"_leader_is_alive": lambda b: lambda s: False}, deaf_follower),
-    "anyone's later term is heard": ({"_responding_peer": hears_anyone}, removed_voter),
-    "a stalled leader goes on": ({"_check_quorum": lambda b: lambda s: setattr(s, "_quorum_deadline", NEVER)}, some),
-    "what may be committed is called nothing": ({"_reject_pending": lies_of_the_lost}, some),
-    "a follower commits what did not match": ({"_on_append_entries": commits_what_it_has}, runs_of(3, 20)),
-    "a removed leader goes on": ({"_commit_to": leads_though_removed}, some),
-    "a removed voter may not stand": ({"_update_membership_role": stands_only_in_force}, needed_though_removed),
-    "pieces of two snapshots go together": (takes_pieces_of_any, two_snapshots),
-    "an older snapshot is taken in": ({"_on_install_snapshot": takes_old_snapshots}, two_snapshots, some),
-    "what was let go is never sent": ({"_send_heartbeats": feeds_no_snapshot}, snapshot_in_pieces),
 }
 
 
-def broken(base, patch):
+def with_defect(base, patch):
     patch = patch(base) if callable(patch) else {name: made(base) for name, made in patch.items()}
     return type("Broken", (base,), patch)
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_what_is_broken_on_purpose_is_found(name):
-    patch, *finders = BROKEN[name]
+@pytest.mark.parametrize("name", DEFECTS)
+def test_each_deliberate_defect_is_found(name):
+    patch, *finders = DEFECTS[name]
     for finder in finders:
-        make = broken(Timeless if finder in (walk, walk_changes) else Core, patch)
+        make = with_defect(Timeless if finder in (walk, walk_changes) else Core, patch)
         same_id = {"same_id": True} if patch == {} else {}
         with pytest.raises((Breach, AssertionError)):
             finder(make, **same_id)
--- a/tests/test_replication_disk.py
+++ b/tests/test_replication_disk.py
@@ -1,4 +1,4 @@
-"""The stable storage of one voter: what was stable outlives any failure, and what can't be trusted is found out."""
+"""The stable storage of one voter: stable data survives any failure, and damage is detected."""
 
 import errno
 import os
@@ -47,24 +47,28 @@
     return Snapshot(index, 1, MEMBERS, data)
 
 
-def states(keeps, stable, kept=PersistentState()):  # noqa: B008
-    """All that a disk may hold once batch `stable` is, by a plain model; the last: once all are."""
+def possible_states(batches, stable, kept=PersistentState()):  # noqa: B008
+    """All states that a disk may have once batch `stable` is stable, by a simple model; the last one: with
+    all batches.
+    """
     found = [kept]
-    for keep in keeps:
-        hard, left, copy = keep.hard or kept.hard, kept.entries, keep.snapshot or kept.snapshot
-        found.append(PersistentState(hard, kept.snapshot, left))
-        left = tuple(e for e in left if keep.cut is None or e.index < keep.cut)
-        found.append(PersistentState(hard, kept.snapshot, left))
-        if keep.snapshot:
-            left = tuple(e for e in left if e.index > copy.index and not keep.all_gone)
-        found += [PersistentState(hard, copy, left + keep.entries[:n]) for n in range(len(keep.entries) + 1)]
+    for batch in batches:
+        hard, remaining, snapshot_ = batch.hard or kept.hard, kept.entries, batch.snapshot or kept.snapshot
+        found.append(PersistentState(hard, kept.snapshot, remaining))
+        remaining = tuple(e for e in remaining if batch.cut is None or e.index < batch.cut)
+        found.append(PersistentState(hard, kept.snapshot, remaining))
+        if batch.snapshot:
+            remaining = tuple(e for e in remaining if e.index > snapshot_.index and not batch.all_gone)
+        found += [
+            PersistentState(hard, snapshot_, remaining + batch.entries[:n]) for n in range(len(batch.entries) + 1)
+        ]
         kept = found[-1]
-        found = [kept] if keep.batch <= stable else found
+        found = [kept] if batch.batch <= stable else found
     return found
 
 
-def told(disk, batch, seconds=20):
-    """The reports, once the last of them is of this batch or the storage broke."""
+def reports_until(disk, batch, seconds=20):
+    """The reports up to the one for this batch, or up to a failure."""
     reports = []
     while not reports or (reports[-1] != BatchSynced(batch) and not isinstance(reports[-1], StorageBroken)):
         assert select.select([disk], [], [], seconds)[0], "nothing was told"
@@ -72,21 +76,21 @@
     return reports
 
 
-def kept_by(disk, *keeps):
-    """Each stable before the next is asked for."""
-    for keep in keeps:
-        disk.persist(keep)
-        assert told(disk, keep.batch)[-1] == BatchSynced(keep.batch)
+def persist_all(disk, *batches):
+    """Persists each batch before the next one is handed over."""
+    for batch in batches:
+        disk.persist(batch)
+        assert reports_until(disk, batch.batch)[-1] == BatchSynced(batch.batch)
     return disk
 
 
-def reopened(path, cluster="c"):
+def reopen(path, cluster="c"):
     disk, kept, report = open_disk(path, cluster)
     disk.close()
     return kept, report
 
 
-SCRIPT = (
+BATCHES = (
     PersistBatch(1, hard=HardState(1, "a"), entries=entries(1, 9)),
     PersistBatch(2, entries=entries(10, 9)),
     PersistBatch(3, hard=HardState(2), cut=15, entries=entries(15, 8, term=2)),
@@ -96,42 +100,48 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """Four segments, all needed, and a snapshot."""
-    kept_by(open_disk(tmp_path / "m", "c", 300)[0], *SCRIPT).close()
+    """A folder with four segments, all of them needed, and a snapshot."""
+    persist_all(open_disk(tmp_path / "m", "c", 300)[0], *BATCHES).close()
     return tmp_path / "m"
 
 
-def test_what_was_stable_is_there_at_the_next_start_and_nobody_else_opens_it(folder):
+def test_stable_data_is_recovered_and_only_one_process_opens_the_folder(folder):
     disk, _, _ = open_disk(folder, "c")
     with pytest.raises(FolderInUse):
         open_disk(folder, "c")
     disk.close()
-    kept, report = reopened(folder)
+    kept, report = reopen(folder)
     assert kept == PersistentState(HardState(2), snapshot(3), entries(4, 11) + entries(15, 17, term=2))
     assert not report.begun and report.damage is None and report.torn == 0
     assert sorted(os.listdir(folder))[2:] == [FIRST, SECOND, THIRD, LAST, COPY]
 
 
-def ends(data):
-    """The byte behind each record."""
+def record_ends(data):
+    """The byte after each record."""
     return [end for _, _, _, end in journal.scan_records(data)]
 
 
-def forged(data, size=20):
-    """Another last record, with a checksum to match."""
+def forge_last_record(data, size=20):
+    """Replaces the last record by another one with a valid checksum."""
     *_, (_, _, seed, at), (_, last, _, _) = journal.scan_records(data)
     return data[:at] + journal.encode_record(msgspec.structs.replace(last, data=b"z" * size), seed)[0]
 
 
-SPOILS = {  # the file, what it is then (a text: copied from there; None: gone), the file where it is found, why
+# The damaged file, its new content (text: copied from there; None: removed), the file in which it is detected, and why.
+DAMAGES = {
     "cut before the mark": (LAST, lambda d: d[:-1], LAST, "a record of"),
-    "cut between records": (LAST, lambda d: d[: ends(d)[-2]], LAST, "were stable"),
+    "cut between records": (LAST, lambda d: d[: record_ends(d)[-2]], LAST, "were stable"),
     "cut to nothing": (LAST, lambda d: b"", LAST, "cut short in its first line"),
     "cut identity": ("identity", lambda d: d[:-1], "identity", "cut short"),
-    "another record": (LAST, forged, LAST, "another record than the mark names"),
-    "a longer record": (LAST, lambda d: forged(d, 21), "mark", "no record ends"),
-    "another record before": (SECOND, forged, THIRD, "does not continue"),
-    "a record left out": (SECOND, lambda d: d[: ends(d)[0]] + d[ends(d)[1] :], SECOND, "a record has a wrong checksum"),
+    "another record": (LAST, forge_last_record, LAST, "another record than the mark names"),
+    "a longer record": (LAST, lambda d: forge_last_record(d, 21), "mark", "no record ends"),
+    "another record before": (SECOND, forge_last_record, THIRD, "does not continue"),
+    "a record left out": (
+        SECOND,
+        lambda d: d[: record_ends(d)[0]] + d[record_ends(d)[1] :],
+        SECOND,
+        "a record has a wrong checksum",
+    ),
     "another snapshot": (COPY, lambda d: seal(KIND, 1, unseal(KIND, 1, d)[:-1] + b"!"), COPY, "not the snapshot"),
     "foreign version": (LAST, lambda d: d.replace(b"log 1\n", b"log 2\n"), LAST, "version 2, this one reads 1"),
     "foreign identity": ("identity", lambda d: d.replace(b" 1 ", b" 2 "), "identity", "version 2"),
@@ -146,27 +156,27 @@
 }
 
 
-@pytest.mark.parametrize("file, how, name, why", SPOILS.values(), ids=SPOILS)
-def test_damage_is_named_and_the_disk_begun_anew_under_another_id(folder, file, how, name, why):
+@pytest.mark.parametrize("file, how, name, why", DAMAGES.values(), ids=DAMAGES)
+def test_damage_is_reported_and_a_new_disk_is_initialized_under_another_id(folder, file, how, name, why):
     own = journal.decode_identity((folder / "identity").read_bytes()).member
     if how is None:
         (folder / file).unlink()
     elif isinstance(how, str):
         if how.startswith(".."):
-            kept_by(open_disk((folder / how).parent, how[3], 300)[0], *SCRIPT).close()
+            persist_all(open_disk((folder / how).parent, how[3], 300)[0], *BATCHES).close()
         shutil.copy(folder / how, folder / file)
     else:
         (folder / file).write_bytes(how((folder / file).read_bytes()))
     before = {f.name: f.read_bytes() for f in folder.iterdir()}
-    kept, report = reopened(folder)
+    kept, report = reopen(folder)
     assert report.damage.file == folder / name and why in report.damage.what, report.damage
     assert kept == PersistentState() and report.begun and report.member != report.before
     assert report.before == own or how == "../c/identity"
     assert {f.name: f.read_bytes() for f in report.aside.iterdir()} == before
-    assert reopened(folder)[1] == (report.member, False, 0, None, "", None)
+    assert reopen(folder)[1] == (report.member, False, 0, None, "", None)
 
 
-def test_no_changed_byte_is_taken_for_what_was_written(folder):
+def test_every_changed_byte_is_detected(folder):
     held, seeded = Folder(folder), random.Random(7)
     for file in sorted(folder.iterdir()):
         whole = file.read_bytes()
@@ -180,57 +190,59 @@
     held.close()
 
 
-def test_of_what_was_set_aside_the_last_three_are_kept_and_another_cluster_is_no_heir(folder):
-    reports = [reopened(folder, f"c{n}")[1] for n in range(5)]
+def test_the_last_three_damaged_folders_are_kept_and_other_clusters_are_rejected(folder):
+    reports = [reopen(folder, f"c{n}")[1] for n in range(5)]
     assert [r.aside.name for r in reports] == [f"damaged-{n}" for n in range(1, 6)]
     assert sorted(f.name for f in folder.glob("damaged-*")) == ["damaged-3", "damaged-4", "damaged-5"]
 
 
-@pytest.mark.parametrize("left", [1, 7, 8, 9, 30])
-def test_a_torn_record_behind_the_mark_is_cut_off_and_whole_ones_are_taken(folder, left):
-    """As after a loss of power, which may leave an older mark, and the end of a write that was never synced."""
+@pytest.mark.parametrize("remaining", [1, 7, 8, 9, 30])
+def test_a_torn_record_after_the_mark_is_cut_off_and_complete_ones_are_used(folder, remaining):
+    """As after a loss of power, which may leave an older mark and the end of a write that was never synced."""
     mark = (folder / "mark").read_bytes()
     disk, kept, _ = open_disk(folder, "c")
-    kept_by(disk, PersistBatch(1, entries=entries(32, 2, term=2))).close()
-    os.truncate(folder / LAST, ends((folder / LAST).read_bytes())[-2] + left)
+    persist_all(disk, PersistBatch(1, entries=entries(32, 2, term=2))).close()
+    os.truncate(folder / LAST, record_ends((folder / LAST).read_bytes())[-2] + remaining)
     (folder / "mark").write_bytes(mark)
-    again, report = reopened(folder)
-    assert again.entries == kept.entries + entries(32, 1, term=2) and report.torn == left and not report.damage
-    assert reopened(folder) == (again, report._replace(torn=0))
+    again, report = reopen(folder)
+    assert again.entries == kept.entries + entries(32, 1, term=2) and report.torn == remaining and not report.damage
+    assert reopen(folder) == (again, report._replace(torn=0))
 
 
 @pytest.mark.parametrize(
     "data", [b"", journal.FIRST_LINE[:7], journal.FIRST_LINE, journal.FIRST_LINE + b"\x40\0\0\0\0"]
 )
-def test_a_segment_without_its_head_behind_the_mark_is_cut_off(folder, data):
-    kept, report = reopened(folder)
+def test_a_segment_without_its_header_after_the_mark_is_removed(folder, data):
+    kept, report = reopen(folder)
     (folder / "segment-0000000005").write_bytes(data)
-    assert reopened(folder) == (kept, report._replace(torn=len(data)))
-    kept_by(
+    assert reopen(folder) == (kept, report._replace(torn=len(data)))
+    persist_all(
         open_disk(folder, "c", 300)[0], PersistBatch(1, entries=entries(32, 1)), PersistBatch(2, entries=entries(33, 1))
     ).close()
-    assert reopened(folder)[0].entries == kept.entries + entries(32, 2)
+    assert reopen(folder)[0].entries == kept.entries + entries(32, 2)
 
 
-class Failing:
-    """The calls that change files; the one of a number, and all after it, fail; a write gets half of it done first."""
+class FailingCalls:
+    """Makes the system calls that change files fail, from the given number on; the first failing write does half of its
+    work.
+    """
 
     def __init__(self, patch, number, code=errno.ENOSPC):
         self.left, self.code = number, code
         for name in ("open", "write", "pwrite", "fsync", "fdatasync", "rename", "unlink", "mkdir"):
             patch.setattr(os, name, partial(self.call, getattr(os, name)))
 
-    def call(self, real, first, *words, **more):
-        self.left -= real is not OPEN or bool(words[0] & os.O_CREAT)
+    def call(self, real, first, *arguments, **more):
+        self.left -= real is not OPEN or bool(arguments[0] & os.O_CREAT)
         if self.left == 0 and real is WRITE:
-            return real(first, words[0][: len(words[0]) // 2])
+            return real(first, arguments[0][: len(arguments[0]) // 2])
         if self.left <= 0:
             raise OSError(self.code, os.strerror(self.code))
-        return real(first, *words, **more)
+        return real(first, *arguments, **more)
 
 
-MORE = (
-    *SCRIPT,
+MORE_BATCHES = (
+    *BATCHES,
     PersistBatch(5, snapshot=snapshot(30)),
     PersistBatch(6, entries=entries(32, 2, 2)),
     PersistBatch(7, cut=33, hard=HardState(3, "b")),
@@ -238,18 +250,18 @@
 
 
 @pytest.mark.parametrize("first", range(1, 81, 10))
-def test_after_a_failure_of_any_call_one_broken_is_told_and_what_was_stable_is_there(tmp_path, monkeypatch, first):
+def test_a_failure_of_any_system_call_is_reported_once_and_loses_no_stable_data(tmp_path, monkeypatch, first):
     for number in range(first, first + 10):
         path, reports = tmp_path / str(number), []
         with monkeypatch.context() as patch:
-            failing = Failing(patch, number, random.Random(number).choice([errno.ENOSPC, errno.EIO, errno.EDQUOT]))
+            failing = FailingCalls(patch, number, random.Random(number).choice([errno.ENOSPC, errno.EIO, errno.EDQUOT]))
             try:
                 disk, _, _ = open_disk(path, "c", 300)
-                for keep in MORE:
+                for batch in MORE_BATCHES:
                     if not disk.failure:
-                        disk.persist(keep)
-                        reports += told(disk, keep.batch)
-                calls, _ = failing.left, disk.persist(MORE[0]) if disk.failure else None
+                        disk.persist(batch)
+                        reports += reports_until(disk, batch.batch)
+                calls, _ = failing.left, disk.persist(MORE_BATCHES[0]) if disk.failure else None
                 reports, failure = reports + disk.close(), disk.failure
                 assert [r for r in reports if isinstance(r, StorageBroken)] == [StorageBroken(str(failure))] * bool(
                     failure
@@ -262,13 +274,13 @@
         assert bool(failure) == (failing.left <= 0) and (number > 60 or failure) and (number < 80 or not failure)
         assert not failure or (os.strerror(failing.code) in failure.what and str(path) in failure.where)
         stable = max((r.batch for r in reports if isinstance(r, BatchSynced)), default=0)
-        kept, report = reopened(path)
-        assert report.damage is None and kept in states(MORE, stable), (number, stable)
+        kept, report = reopen(path)
+        assert report.damage is None and kept in possible_states(MORE_BATCHES, stable), (number, stable)
         assert not [*path.glob("*.new"), *list(path.glob("snapshot-*"))[1:]]
 
 
-def test_a_loss_of_power_leaves_every_batch_that_was_called_stable(tmp_path, monkeypatch):
-    """Of each file and of the folder only what was synced is left, and of the mark so what was written at the start."""
+def test_every_batch_reported_as_stable_survives_a_loss_of_power(tmp_path, monkeypatch):
+    """Of each file and of the folder only what was synced remains, and of the mark what was written at the start."""
     contents, listing, real = {}, {}, os.fsync
 
     def sync(descriptor):
@@ -282,57 +294,60 @@
     monkeypatch.setattr(os, "fdatasync", sync)
     monkeypatch.setattr(os, "write", lambda descriptor, data: WRITE(descriptor, data[:100]))
     disk, _, _ = open_disk(tmp_path / "m", "c", 200)
-    for keep in MORE:
-        kept_by(disk, keep)
-        (left := tmp_path / f"left-{keep.batch}").mkdir()
+    for batch in MORE_BATCHES:
+        persist_all(disk, batch)
+        (remaining := tmp_path / f"left-{batch.batch}").mkdir()
         for name, inode in dict(listing[str(tmp_path / "m")]).items():
-            (left / name).write_bytes(contents.get(inode, b""))
-        spoilt = shutil.copytree(left, tmp_path / f"spoilt-{keep.batch}")
-        kept, report = reopened(left)
-        assert report.damage is None and kept == states(MORE, keep.batch)[0], keep.batch
-        if keep.batch == 3:
-            os.truncate(spoilt / SECOND, (spoilt / SECOND).stat().st_size - 1)  # behind the old mark, not at the end
-            assert reopened(spoilt)[1].damage.file == spoilt / SECOND
+            (remaining / name).write_bytes(contents.get(inode, b""))
+        damaged = shutil.copytree(remaining, tmp_path / f"damaged-{batch.batch}")
+        kept, report = reopen(remaining)
+        assert report.damage is None and kept == possible_states(MORE_BATCHES, batch.batch)[0], batch.batch
+        if batch.batch == 3:
+            # after the old mark, but not at the end
+            os.truncate(damaged / SECOND, (damaged / SECOND).stat().st_size - 1)
+            assert reopen(damaged)[1].damage.file == damaged / SECOND
     disk.close()
     assert "m" in listing[str(tmp_path)]
 
 
-def test_a_write_whose_sync_failed_is_written_anew_into_another_file(folder, monkeypatch):
-    """The pages of the first are in memory and look written: a later sync of that file would prove nothing."""
+def test_data_whose_sync_failed_is_rewritten_into_another_file(folder, monkeypatch):
+    """The pages of the first file are in memory and seem written; a later sync of it would prove nothing."""
     disk, _, _ = open_disk(folder, "c")
     monkeypatch.setattr(os, "fdatasync", lambda descriptor: (_ for _ in ()).throw(OSError(errno.EIO, "failed")))
     disk.persist(PersistBatch(1, entries=entries(32, 1, term=2)))
-    assert [type(report) for report in told(disk, 1)] == [StorageBroken] and disk.failure.where == str(folder / LAST)
+    assert [type(report) for report in reports_until(disk, 1)] == [StorageBroken] and disk.failure.where == str(
+        folder / LAST
+    )
     disk.close()
     inode = (folder / LAST).stat().st_ino
-    assert reopened(folder)[0].entries[-1].index == 32 and (folder / LAST).stat().st_ino != inode
+    assert reopen(folder)[0].entries[-1].index == 32 and (folder / LAST).stat().st_ino != inode
 
 
-def test_a_set_aside_that_fails_midway_leaves_nothing_that_is_taken_for_a_whole(folder, monkeypatch):
+def test_an_interrupted_set_aside_never_leaves_a_folder_that_seems_complete(folder, monkeypatch):
     os.truncate(folder / LAST, 100)
     old = journal.decode_identity((folder / "identity").read_bytes()).member
     for number in range(1, 20):
         with monkeypatch.context() as patch:
-            Failing(patch, number)
+            FailingCalls(patch, number)
             with suppress(StorageFailed):
                 open_disk(folder, "c")[0].close()
                 break
-    kept, report = reopened(folder)
+    kept, report = reopen(folder)
     assert number > 9 and kept == PersistentState() and report.member != old
 
 
-def test_what_cant_follow_is_not_written(folder):
-    kept, _ = reopened(folder)
+def test_a_batch_that_can_not_follow_is_not_written(folder):
+    kept, _ = reopen(folder)
     for wrong in (entries(33, 1), entries(31, 1), 3, snapshot(2), HardState(1, "a")):
         name = {tuple: "entries", int: "cut", Snapshot: "snapshot", HardState: "hard"}[type(wrong)]
         disk, _, _ = open_disk(folder, "c")
         disk.persist(PersistBatch(1, **{name: wrong}))
-        assert "can't follow" in told(disk, 1)[-1].why
+        assert "can't follow" in reports_until(disk, 1)[-1].why
         disk.close()
-        assert reopened(folder)[0] == kept
+        assert reopen(folder)[0] == kept
 
 
-CHILD = """
+CHILD_PROGRAM = """
 import select, sys
 from pathlib import Path
 from loftweir.replication.api import Entry, EntryKind, PersistBatch, Snapshot
@@ -350,60 +365,62 @@
 """
 
 
-def test_a_killed_process_leaves_every_batch_that_it_called_stable(tmp_path):
+def test_every_batch_reported_as_stable_survives_a_killed_process(tmp_path):
     for lines in (1, 20, 61, 130):
-        words = [sys.executable, "-c", CHILD, str(tmp_path / "m")]
-        with subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, text=True) as process:
-            said = [process.stdout.readline() for _ in range(lines)]
+        arguments = [sys.executable, "-c", CHILD_PROGRAM, str(tmp_path / "m")]
+        with subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.PIPE, text=True) as process:
+            printed = [process.stdout.readline() for _ in range(lines)]
             process.kill()
-            said += process.stdout.read().splitlines()
-        kept, report = reopened(tmp_path / "m")
-        assert report.damage is None and kept.entries[-1].index >= int(said[-1])
+            printed += process.stdout.read().splitlines()
+        kept, report = reopen(tmp_path / "m")
+        assert report.damage is None and kept.entries[-1].index >= int(printed[-1])
         assert [e.index for e in kept.entries] == list(range(kept.entries[0].index, kept.entries[-1].index + 1))
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.sampled_from("eeeecchsgr"), st.integers(0, 12)), max_size=40))
-def test_any_batches_come_back_as_a_plain_model_holds_them(tmp_path_factory, steps):
+def test_any_batches_are_recovered_as_a_simple_model_predicts(tmp_path_factory, steps):
     path, kept = tmp_path_factory.mktemp("model") / "m", PersistentState()
     disk, _, _ = open_disk(path, "c", 200)
-    for batch, (what, number) in enumerate(steps, 1):
+    for batch_number, (what, number) in enumerate(steps, 1):
         first = kept.snapshot.index + 1 if kept.snapshot else 1
         end = first + len(kept.entries)
         at = max(first, end - number) if what == "c" else end
-        keep = {
-            "e": PersistBatch(batch, cut=end + number, entries=entries(end, number, kept.hard.term, size=number)),
-            "c": PersistBatch(batch, hard=HardState(kept.hard.term + 2), cut=at, entries=entries(at, number)),
-            "h": PersistBatch(batch, hard=HardState(kept.hard.term + 1, "x" * number)),
-            "s": PersistBatch(batch, snapshot=snapshot(first - 1 + number, bytes(number))),
+        batch = {
+            "e": PersistBatch(
+                batch_number, cut=end + number, entries=entries(end, number, kept.hard.term, size=number)
+            ),
+            "c": PersistBatch(batch_number, hard=HardState(kept.hard.term + 2), cut=at, entries=entries(at, number)),
+            "h": PersistBatch(batch_number, hard=HardState(kept.hard.term + 1, "x" * number)),
+            "s": PersistBatch(batch_number, snapshot=snapshot(first - 1 + number, bytes(number))),
             "g": PersistBatch(
-                batch, snapshot=snapshot(first - 1 + number), all_gone=True, entries=entries(first + number, 2)
+                batch_number, snapshot=snapshot(first - 1 + number), all_gone=True, entries=entries(first + number, 2)
             ),
-            "r": PersistBatch(batch),
+            "r": PersistBatch(batch_number),
         }[what]
-        disk.persist(keep)
-        kept = states([keep], batch, kept)[0]
+        disk.persist(batch)
+        kept = possible_states([batch], batch_number, kept)[0]
         if what == "r":
             disk.close()
             disk, found, report = open_disk(path, "c", 200)
             assert (found, report.damage, report.torn) == (kept, None, 0)
     disk.close()
-    assert reopened(path)[0] == kept
+    assert reopen(path)[0] == kept
 
 
-def test_what_is_not_needed_goes_and_room_on_the_disk_is_bounded(tmp_path):
+def test_obsolete_files_are_removed_and_disk_space_is_bounded(tmp_path):
     batches = (
         PersistBatch(1, entries=entries(1, 4)),
         PersistBatch(2, entries=entries(5, 40)),
         PersistBatch(3, cut=5, entries=entries(5, 4, 2)),
     )
-    disk = kept_by(open_disk(tmp_path / "m", "c", 200)[0], *batches, PersistBatch(4, snapshot=snapshot(6)))
-    disk.close()  # what has been tidied up by then
+    disk = persist_all(open_disk(tmp_path / "m", "c", 200)[0], *batches, PersistBatch(4, snapshot=snapshot(6)))
+    disk.close()  # waits until obsolete files are removed
     assert sorted(f.name for f in (tmp_path / "m").glob("segment-*")) == [THIRD, LAST]
-    assert reopened(tmp_path / "m")[0] == PersistentState(HardState(), snapshot(6), entries(7, 2, 2))
+    assert reopen(tmp_path / "m")[0] == PersistentState(HardState(), snapshot(6), entries(7, 2, 2))
     disk, _, _ = open_disk(tmp_path / "m", "c", 2000)
     for at in range(9, 2009, 50):
-        kept_by(disk, PersistBatch(at, entries=entries(at, 50), snapshot=snapshot(at - 1)))
+        persist_all(disk, PersistBatch(at, entries=entries(at, 50), snapshot=snapshot(at - 1)))
     disk.close()
     sizes = {file.name: file.stat().st_size for file in (tmp_path / "m").iterdir()}
     assert len(sizes) < 6 and sum(sizes.values()) < 50 * 70 + 2 * (2000 + 50 * 70) + 1000, sizes
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -1,4 +1,6 @@
-"""The sockets' parts of the copies without processes: frames, lines, seats, callers and followers of toy voters."""
+"""Sockets and frames of the replication without processes: connections, joining, proposers and observers of stub
+voters.
+"""
 
 import pickle
 import select
@@ -48,7 +50,7 @@
 FRAMES = st.lists(
     st.one_of(
         st.builds(CommittedEntry, st.integers(0, 9), st.binary(max_size=300)).map(
-            lambda told: FollowResponse(0, told.index, None, False, "n0", ("a",), (told,), False)
+            lambda committed: FollowResponse(0, committed.index, None, False, "n0", ("a",), (committed,), False)
         ),
         st.builds(FollowRequest, st.integers(0, 9), st.integers(0, 9)),
         st.builds(TimeoutNow, sender=st.text(max_size=5), to=st.text(max_size=5), term=st.integers(0, 9)),
@@ -57,12 +59,12 @@
 ).map(lambda rest: [HELLO, *rest])
 
 
-# ---- frames and lines ---------------------------------------------------------------------------
+# ---- frames and connections ---------------------------------------------------------------------
 
 
 @settings(derandomize=True, deadline=None)
 @given(FRAMES, st.lists(st.integers(1, 200), min_size=1))
-def test_frames_come_back_however_their_bytes_are_cut(frames, cuts):
+def test_frames_are_decoded_however_the_bytes_are_split(frames, cuts):
     data, reader, found, at = b"".join(map(wire.encode_frame, frames)), FrameReader(), [], 0
     while at < len(data):
         cut = cuts[at % len(cuts)]
@@ -74,7 +76,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(FRAMES, st.data())
-def test_a_changed_byte_never_gives_another_frame(frames, draw):
+def test_a_changed_byte_never_yields_another_frame(frames, draw):
     data = bytearray(b"".join(map(wire.encode_frame, frames)))
     at = draw.draw(st.integers(0, len(data) - 1))
     data[at] ^= draw.draw(st.integers(1, 255))
@@ -86,7 +88,7 @@
     assert found == frames[: len(found)] and len(found) < len(frames)
 
 
-def test_what_is_no_frame_of_this_version_is_found_out_before_it_takes_room():
+def test_invalid_frames_are_rejected_before_they_are_buffered():
     def framed(body):
         return struct.pack(">II", len(body), crc32(body)) + body
 
@@ -100,45 +102,45 @@
             list(reader.all())
 
 
-def test_a_line_whose_other_side_does_not_read_drops_the_oldest_entries_and_nothing_else():
+def test_a_connection_that_is_not_read_drops_only_its_oldest_entries():
     near, far = socket.socketpair()
     near.setblocking(False)
     loop = Loop()
-    line = FrameConnection(loop, near, max_unsent_bytes=1024 * 1024)
+    connection = FrameConnection(loop, near, max_unsent_bytes=1024 * 1024)
     for n in range(80):
         entry = Entry(n + 1, 1, EntryKind.WRITE, bytes(64 * 1024))
-        line.put(
+        connection.put(
             AppendEntries(sender="a", to="b", term=1, prev_index=n, prev_term=1, entries=(entry,), commit=0, round=n),
             True,
         )
         if n == 40:
-            line.put(TimeoutNow(sender="a", to="b", term=1))
-        assert line.unsent_bytes <= line.max_unsent_bytes
+            connection.put(TimeoutNow(sender="a", to="b", term=1))
+        assert connection.unsent_bytes <= connection.max_unsent_bytes
     reader, found = FrameReader(), []
     reader.first = False
     far.setblocking(False)
-    while line.unsent_bytes or select.select([far], [], [], 0)[0]:
+    while connection.unsent_bytes or select.select([far], [], [], 0)[0]:
         reader.feed(far.recv(1024 * 1024))
         found += reader.all()
-        line._flush()
+        connection._flush()
     rounds = [frame.round for frame in found if isinstance(frame, AppendEntries)]
     assert rounds == sorted(rounds) and rounds[-1] == 79 and len(rounds) < 80
     assert sum(isinstance(frame, TimeoutNow) for frame in found) == 1
-    for _ in range(40):  # what must not be dropped is too much: the line ends
-        line.put(FollowRequest(0, 0))
-        line.write(bytes(64 * 1024))
-    assert line.closed and line.unsent_bytes == 0
-    line.close(), far.close()
+    for _ in range(40):  # too much that must not be dropped: the connection is aborted
+        connection.put(FollowRequest(0, 0))
+        connection.write(bytes(64 * 1024))
+    assert connection.closed and connection.unsent_bytes == 0
+    connection.close(), far.close()
 
 
-# ---- seats --------------------------------------------------------------------------------------
+# ---- founding and joining -----------------------------------------------------------------------
 
 NAMES = ("n0", "n1", "n2", "n3", "n4")
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(0, 3), st.booleans(), st.integers(0, 200)), max_size=80))
-def test_who_wants_in_gets_there_by_steps_of_one_voter_and_never_in_the_place_of_one_that_lives(steps):
+def test_members_join_in_steps_of_one_voter_and_never_replace_a_live_one(steps):
     members = tuple(Member(f"{name}-0", name, "a:1") for name in NAMES[:3])
     for name, life, lives, behind in steps:
         join = JoinRequest(f"{name}-{life}", name, f"a:{life}")
@@ -153,7 +155,7 @@
         assert not voters - after or not lives
         assert not after - voters or behind <= MAX_LEARNER_LAG
         members = step
-    for name in NAMES:  # in the end all get in
+    for name in NAMES:  # in the end all of them join
         join, count = JoinRequest(f"{name}-9", name, "a:9"), 0
         while not isinstance(step := next_join_step(join, members, NAMES, lambda _: False, lambda _: 0), JoinResponse):
             members, count = step, count + 1
@@ -163,27 +165,29 @@
     )
 
 
-def test_a_cluster_is_begun_by_the_first_and_only_where_all_are_empty():
-    def am(empty=True, agrees=True):
+def test_a_cluster_is_founded_by_the_first_member_and_only_if_all_are_empty():
+    def status(empty=True, agrees=True):
         return StatusResponse(empty, agrees, "a:2", "", "", ())
 
     me, names = Member("i0", "n0", "a:1"), ("n0", "n1", "n2")
-    answers = {"n1": ("i1", am()), "n2": ("i2", am())}
+    answers = {"n1": ("i1", status()), "n2": ("i2", status())}
     assert [m.id for m in founding_members(me, "n0", names, answers)] == ["i0", "i1", "i2"]
     for wrong in (
         {"n1": answers["n1"]},
-        answers | {"n2": ("i2", am(empty=False))},
-        answers | {"n2": ("i2", am(agrees=False))},
-        answers | {"n2": ("i1", am())},
+        answers | {"n2": ("i2", status(empty=False))},
+        answers | {"n2": ("i2", status(agrees=False))},
+        answers | {"n2": ("i1", status())},
     ):
         assert not founding_members(me, "n0", names, wrong)
-    assert not founding_members(Member("i1", "n1", "a:1"), "n0", names, {"n0": ("i0", am()), "n2": ("i2", am())})
+    assert not founding_members(
+        Member("i1", "n1", "a:1"), "n0", names, {"n0": ("i0", status()), "n2": ("i2", status())}
+    )
 
 
-# ---- the fleet's words over the list ------------------------------------------------------------
+# ---- overrides and the endpoint list ------------------------------------------------------------
 
 
-def test_who_is_out_by_either_word_is_out_and_comes_back_as_of_the_later():
+def test_a_provider_disabled_by_either_override_is_out_and_returns_as_of_the_later_one():
     overlay = Overlay()
     overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
     update, where = overlay.apply_fleet({"s-1": Override(50, True), "s-9": Override(1, True)}, False)
@@ -196,7 +200,9 @@
     assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 70, True)
     later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
-    assert (back.started_at, back.reenabled) == (80 + HOUR, False), "a start that nobody called it back from"
+    assert (back.started_at, back.reenabled) == (80 + HOUR, False), (
+        "a later start, after which it was not enabled again"
+    )
     overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
     assert overlay.knows("s-9") and overlay.apply_fleet({"s-1": Override(70, False)}, False) is None
     listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
@@ -208,11 +214,13 @@
     }
 
 
-# ---- a voter that says what a test wants --------------------------------------------------------
+# ---- a stub voter -------------------------------------------------------------------------------
 
 
-class Voter:
-    """Greets each that connects, and answers each frame by `answer(frame)`; None: not at all, ...: it hangs up."""
+class StubVoter:
+    """Sends a `Hello` on each connection, and answers each frame with `answer(frame)`; None: no response; ...: it hangs
+    up.
+    """
 
     def __init__(self, answer, hello=HELLO):
         self.answer, self.hello, self.seen, self.socks = answer, hello, [], []
@@ -233,13 +241,13 @@
             while data := sock.recv(65536):
                 reader.feed(data)
                 for frame in reader.all():
-                    said = self.hello if isinstance(frame, Hello) else self.answer(frame)
+                    answer = self.hello if isinstance(frame, Hello) else self.answer(frame)
                     if not isinstance(frame, Hello):
                         self.seen.append(frame)
-                    if said is ...:
+                    if answer is ...:
                         sock.close()
                         return
-                    for one in said if isinstance(said, list) else [said] if said is not None else ():
+                    for one in answer if isinstance(answer, list) else [answer] if answer is not None else ():
                         sock.sendall(wire.encode_frame(one))
 
     def close(self):
@@ -254,7 +262,7 @@
     made = []
 
     def make(*answers, **more):
-        made.extend(Voter(answer, **more) for answer in answers)
+        made.extend(StubVoter(answer, **more) for answer in answers)
         return made
 
     yield make
@@ -263,43 +271,43 @@
 
 
 def run(loop, coroutine, seconds=10):
-    """Runs the loop until a coroutine is over: what it returned, or the error that it raised."""
+    """Runs the loop until a coroutine ends; returns its result, or the error that it raised."""
     found = []
 
-    def whole():
+    def chunk():
         try:
             found.append((yield from coroutine))
         except Exception as error:
             found.append(error)
         loop.stopped = True
 
-    loop.spawn(whole())
+    loop.spawn(chunk())
     loop.after(seconds * SECOND, lambda: setattr(loop, "stopped", True))
     loop.stopped = False
     loop.run()
     return found[0]
 
 
-def until(loop, check):
-    def look():
+def run_until(loop, check):
+    def poll():
         while not check():
             yield Wait(None, 0, loop.now() + 5 * MS)
         return True
 
-    return run(loop, look())
+    return run(loop, poll())
 
 
-def caller(loop, voters):
+def make_proposer(loop, voters):
     seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
     return Proposer(loop, "f0", "id-f", Replication(election=50 * MS, beat=10 * MS), seats, lambda: 7)
 
 
-def order_of(frame):
+def command_of(frame):
     return msgspec.msgpack.decode(frame.order, type=Command)
 
 
-class Machines:
-    """The copies behind voters of one test: one machine, and an index."""
+class ReplicatedState:
+    """The state behind the stub voters of one test."""
 
     def __init__(self):
         self.machine = Machine()
@@ -309,37 +317,37 @@
         return CommandOutcome(frame.token, OutcomeCode.DONE, result.index, encode(result))
 
 
-def test_a_write_whose_answer_is_lost_is_sent_again_under_its_number_and_applied_once(voters):
-    copies = Machines()
+def test_a_write_whose_response_is_lost_is_retransmitted_and_applied_once(voters):
+    state = ReplicatedState()
 
     def first(frame):
-        copies.apply(frame)
+        state.apply(frame)
         return ...
 
-    made = voters(first, lambda frame: copies.apply(frame))
+    made = voters(first, lambda frame: state.apply(frame))
     loop = Loop()
-    calls = caller(loop, made)
-    calls.writes.target, calls.writes.address = "n0", made[0].address
-    results = [run(loop, calls.write(SetOverride(f"s{n}", True, 1), 2 * SECOND)) for n in range(2)]
+    proposer = make_proposer(loop, made)
+    proposer.writes.target, proposer.writes.address = "n0", made[0].address
+    results = [run(loop, proposer.write(SetOverride(f"s{n}", True, 1), 2 * SECOND)) for n in range(2)]
     assert [type(result) for result in results] == [Ok, Ok]
-    sent = [order_of(frame) for voter in made for frame in voter.seen]
-    assert [order.number for order in sent] == [1, 1, 2] and len({order.session for order in sent}) == 1
-    assert sent[0] == sent[1] and copies.machine.overrides["s0"].log_index == 1
-    calls.close()
+    sent = [command_of(frame) for voter in made for frame in voter.seen]
+    assert [command.number for command in sent] == [1, 1, 2] and len({command.session for command in sent}) == 1
+    assert sent[0] == sent[1] and state.machine.overrides["s0"].log_index == 1
+    proposer.close()
 
 
-def test_a_leader_that_is_named_is_asked(voters):
-    copies = Machines()
+def test_a_named_leader_is_used_next(voters):
+    state = ReplicatedState()
     made = voters(
-        lambda frame: CommandOutcome(frame.token, OutcomeCode.NOT_LEADER, leader="n2"), lambda frame: ..., copies.apply
+        lambda frame: CommandOutcome(frame.token, OutcomeCode.NOT_LEADER, leader="n2"), lambda frame: ..., state.apply
     )
     loop = Loop()
-    calls = caller(loop, made)
-    calls.writes.names = ["n0", "n1", "n2"]
-    calls.writes.target, calls.writes.address = "n0", made[0].address
-    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), Ok)
+    proposer = make_proposer(loop, made)
+    proposer.writes.names = ["n0", "n1", "n2"]
+    proposer.writes.target, proposer.writes.address = "n0", made[0].address
+    assert isinstance(run(loop, proposer.write(SetOverride("s", True, 1), SECOND)), Ok)
     assert [len(voter.seen) for voter in made] == [1, 0, 1]
-    calls.close()
+    proposer.close()
 
 
 @pytest.mark.parametrize(
@@ -353,62 +361,62 @@
         (lambda frame: CommandOutcome(frame.token, OutcomeCode.DONE, 1, b"?"), OutcomeUnknown),
     ],
 )
-def test_a_write_ends_in_time_with_what_is_known_of_it(voters, answer, error):
+def test_a_write_ends_in_time_with_the_outcome_as_far_as_known(voters, answer, error):
     made = voters(answer, answer)
     loop = Loop()
     began = time.monotonic()
-    found = run(loop, caller(loop, made).write(SetOverride("s", True, 1), 600 * MS))
+    found = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 600 * MS))
     assert type(found) is error and found.remedy and time.monotonic() - began < 2
     assert len(made[0].seen + made[1].seen) > 1 or isinstance(found, OutcomeUnknown)
 
 
-def test_a_write_that_nobody_could_be_told_is_known_not_to_hold(voters):
+def test_a_write_that_could_not_be_sent_is_known_to_have_no_effect(voters):
     made = voters(
         lambda frame: None, lambda frame: None, hello=wire.ConnectionRejected(wire.RejectReason.CLUSTER, "other")
     )
     loop = Loop()
-    found = run(loop, caller(loop, made).write(SetOverride("s", True, 1), 300 * MS))
+    found = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 300 * MS))
     assert type(found) is NoMajority and "another cluster other" in str(found)
 
 
-def test_a_session_that_was_let_go_is_begun_anew_only_where_nothing_may_have_been_applied(voters):
+def test_an_evicted_session_is_replaced_only_if_the_command_can_not_have_been_applied(voters):
     def let_go(frame):
-        order = order_of(frame)
+        command = command_of(frame)
         return CommandOutcome(
-            frame.token, OutcomeCode.DONE, 9, encode(Ok(9) if order.since == 8 else UnknownSession(8))
+            frame.token, OutcomeCode.DONE, 9, encode(Ok(9) if command.since == 8 else UnknownSession(8))
         )
 
     made = voters(let_go, lambda frame: ...)
     loop = Loop()
-    calls = caller(loop, made)
-    calls.writes.target, calls.writes.address = "n0", made[0].address
-    assert run(loop, calls.write(SetOverride("s", True, 1), SECOND)) == Ok(9)
-    calls.session, calls.since = "", 0
-    calls.writes.target, calls.writes.address = "n1", made[1].address
-    calls.writes.close()
-    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), OutcomeUnknown)
-    calls.close()
+    proposer = make_proposer(loop, made)
+    proposer.writes.target, proposer.writes.address = "n0", made[0].address
+    assert run(loop, proposer.write(SetOverride("s", True, 1), SECOND)) == Ok(9)
+    proposer.session, proposer.since = "", 0
+    proposer.writes.target, proposer.writes.address = "n1", made[1].address
+    proposer.writes.close()
+    assert isinstance(run(loop, proposer.write(SetOverride("s", True, 1), SECOND)), OutcomeUnknown)
+    proposer.close()
 
 
-def follower(loop, voters, applied):
+def make_observer(loop, voters, applied):
     seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
     options = Replication(election=50 * MS, beat=10 * MS, follow_wait=100 * MS)
     return Observer(loop, "f0", "id-f", options, seats, applied)
 
 
-def history(length, name="s"):
-    orders = [encode(Command("w", n, SetOverride(f"{name}{n}", True, n), 0)) for n in range(1, length + 1)]
-    return [CommittedEntry(n, data) for n, data in enumerate(orders, 1)]
+def committed_commands(length, name="s"):
+    commands = [encode(Command("w", n, SetOverride(f"{name}{n}", True, n), 0)) for n in range(1, length + 1)]
+    return [CommittedEntry(n, data) for n, data in enumerate(commands, 1)]
 
 
-def follows(entries, members=("a", "b"), age=0, leads=True):
-    """A voter with these entries."""
+def voter_with_entries(entries, members=("a", "b"), age=0, leads=True):
+    """The answer function of a stub voter with these entries."""
 
     def answer(frame):
         if isinstance(frame, wire.FetchSnapshot):
             machine = Machine()
-            for told in entries:
-                machine.apply(told.index, told.data)
+            for committed in entries:
+                machine.apply(committed.index, committed.data)
             data = machine.dump()
             piece = data[frame.at : frame.at + 50]
             return wire.SnapshotChunk(len(entries), frame.at, piece, len(data), age, "n0", members)
@@ -420,79 +428,81 @@
     return answer
 
 
-def test_a_follower_goes_on_at_another_voter_without_gap_or_repeat(voters):
-    entries, seen = history(3), []
-    made = voters(follows(entries), follows(entries))
+def test_an_observer_continues_at_another_voter_without_gaps_or_repeats(voters):
+    entries, seen = committed_commands(3), []
+    made = voters(voter_with_entries(entries), voter_with_entries(entries))
     loop = Loop()
-    follow = follower(loop, made, lambda: seen.append(follow.machine.index))
-    assert until(loop, lambda: follow.machine.index == 3)
+    observer = make_observer(loop, made, lambda: seen.append(observer.machine.index))
+    assert run_until(loop, lambda: observer.machine.index == 3)
     first = [voter for voter in made if voter.seen][0]
     first.close()
-    entries += history(5)[3:]
-    assert until(loop, lambda: follow.machine.index == 5) and seen == [3, 5]
-    assert set(follow.machine.overrides) == {f"s{n}" for n in range(1, 6)}
-    follow.close()
+    entries += committed_commands(5)[3:]
+    assert run_until(loop, lambda: observer.machine.index == 5) and seen == [3, 5]
+    assert set(observer.machine.overrides) == {f"s{n}" for n in range(1, 6)}
+    observer.close()
 
 
 @pytest.mark.parametrize(
     ("wrong", "why"),
     [
-        (lambda news: msgspec.structs.replace(news, entries=news.entries[1:]), "entry 2 after 0"),
-        (lambda news: msgspec.structs.replace(news, entries=news.entries[:1] * 2), "entry 1 after 1"),
-        (lambda news: msgspec.structs.replace(news, entries=news.entries[:1]), "end at 1"),
-        (lambda news: msgspec.structs.replace(news, after=5), "entries after 5"),
-        (lambda news: FollowRequest(0, 0), "not a FollowResponse"),
-        (lambda news: None, "no response in time"),
+        (lambda response: msgspec.structs.replace(response, entries=response.entries[1:]), "entry 2 after 0"),
+        (lambda response: msgspec.structs.replace(response, entries=response.entries[:1] * 2), "entry 1 after 1"),
+        (lambda response: msgspec.structs.replace(response, entries=response.entries[:1]), "end at 1"),
+        (lambda response: msgspec.structs.replace(response, after=5), "entries after 5"),
+        (lambda response: FollowRequest(0, 0), "not a FollowResponse"),
+        (lambda response: None, "no response in time"),
     ],
 )
-def test_news_with_a_gap_or_a_repeat_or_none_are_not_taken_and_another_voter_is_asked(voters, wrong, why, capfd):
-    entries = history(3)
-    right = follows(entries)
+def test_responses_with_gaps_or_repeats_are_rejected_and_another_voter_is_used(voters, wrong, why, capfd):
+    entries = committed_commands(3)
+    right = voter_with_entries(entries)
     made = voters(lambda frame: wrong(right(frame)), right)
     loop = Loop()
-    follow = follower(loop, made, lambda: None)
-    follow.voters = [("n0", made[0].address), ("n1", made[1].address)]
-    assert until(loop, lambda: follow.machine.index == 3 and follow.member == "n1")
+    observer = make_observer(loop, made, lambda: None)
+    observer.voters = [("n0", made[0].address), ("n1", made[1].address)]
+    assert run_until(loop, lambda: observer.machine.index == 3 and observer.member == "n1")
     assert why in capfd.readouterr().err
-    follow.close()
+    observer.close()
 
 
-def test_a_voter_that_is_behind_takes_nothing_back_and_one_that_leads_another_history_does(voters):
-    entries, other = history(5), history(7, "t")
-    behind, ahead = follows(entries[:2], leads=False), follows(entries)
+def test_a_voter_that_is_behind_undoes_nothing_and_a_leader_with_another_history_does(voters):
+    entries, other = committed_commands(5), committed_commands(7, "t")
+    behind, ahead = voter_with_entries(entries[:2], leads=False), voter_with_entries(entries)
     made = voters(behind, ahead)
     loop = Loop()
     least = []
-    follow = follower(loop, made, lambda: least.append(follow.machine.index))
-    follow.voters = [("n1", made[1].address), ("n0", made[0].address)]
-    assert until(loop, lambda: follow.machine.index == 5)
+    observer = make_observer(loop, made, lambda: least.append(observer.machine.index))
+    observer.voters = [("n1", made[1].address), ("n0", made[0].address)]
+    assert run_until(loop, lambda: observer.machine.index == 5)
     made[1].answer = lambda frame: ...
-    assert until(loop, lambda: sum(isinstance(f, FollowRequest) for f in made[0].seen) > 3)
+    assert run_until(loop, lambda: sum(isinstance(f, FollowRequest) for f in made[0].seen) > 3)
     assert (
         min(least) == 5
-        and follow.machine.index == 5
+        and observer.machine.index == 5
         and not any(isinstance(f, wire.FetchSnapshot) for f in made[0].seen)
     )
-    made[0].answer = follows(other, members=("x", "y"))  # begun anew: all members are others
-    assert until(loop, lambda: set(follow.machine.overrides) == {f"t{n}" for n in range(1, 8)})
-    made[0].answer = made[1].answer = follows(history(1, "u"), members=("x", "y"))  # what was promised is gone
-    assert until(loop, lambda: set(follow.machine.overrides) == {"u1"})
-    follow.close()
+    made[0].answer = voter_with_entries(other, members=("x", "y"))  # founded anew: all members differ
+    assert run_until(loop, lambda: set(observer.machine.overrides) == {f"t{n}" for n in range(1, 8)})
+    made[0].answer = made[1].answer = voter_with_entries(
+        committed_commands(1, "u"), members=("x", "y")
+    )  # acknowledged entries are gone
+    assert run_until(loop, lambda: set(observer.machine.overrides) == {"u1"})
+    observer.close()
 
 
 @pytest.mark.parametrize(
     ("wrong", "why"),
     [
-        (lambda whole: msgspec.structs.replace(whole, at=whole.at + 10), "a chunk from byte 10"),
-        (lambda whole: msgspec.structs.replace(whole, data=b""), "a chunk from byte 0"),
-        (lambda whole: msgspec.structs.replace(whole, index=whole.index + 1), "the snapshot is of index 2"),
-        (lambda whole: whole, "the snapshot is of index 2, behind 5"),
+        (lambda chunk: msgspec.structs.replace(chunk, at=chunk.at + 10), "a chunk from byte 10"),
+        (lambda chunk: msgspec.structs.replace(chunk, data=b""), "a chunk from byte 0"),
+        (lambda chunk: msgspec.structs.replace(chunk, index=chunk.index + 1), "the snapshot is of index 2"),
+        (lambda chunk: chunk, "the snapshot is of index 2, behind 5"),
     ],
 )
-def test_a_whole_that_does_not_fit_together_or_is_behind_is_not_taken(voters, wrong, why, monkeypatch):
-    said, entries = [], history(5)
-    monkeypatch.setattr(follower_module, "emit", lambda event, **more: said.append(str(more.get("why"))))
-    old, right = follows(entries[:2]), follows(entries)
+def test_an_inconsistent_or_outdated_snapshot_is_rejected(voters, wrong, why, monkeypatch):
+    reasons, entries = [], committed_commands(5)
+    monkeypatch.setattr(follower_module, "emit", lambda event, **more: reasons.append(str(more.get("why"))))
+    old, right = voter_with_entries(entries[:2]), voter_with_entries(entries)
 
     def answer(frame):
         if isinstance(frame, FollowRequest):
@@ -501,58 +511,63 @@
 
     made = voters(right, answer)
     loop = Loop()
-    follow = follower(loop, made, lambda: None)
-    follow.voters = [("n0", made[0].address), ("n1", made[1].address)]
-    assert until(loop, lambda: follow.machine.index == 5)
-    before, made[0].answer = follow.machine, lambda frame: ...
-    assert until(loop, lambda: any(isinstance(frame, wire.FetchSnapshot) for frame in made[1].seen))
+    observer = make_observer(loop, made, lambda: None)
+    observer.voters = [("n0", made[0].address), ("n1", made[1].address)]
+    assert run_until(loop, lambda: observer.machine.index == 5)
+    before, made[0].answer = observer.machine, lambda frame: ...
+    assert run_until(loop, lambda: any(isinstance(frame, wire.FetchSnapshot) for frame in made[1].seen))
     made[0].answer = right
-    assert until(loop, lambda: follow.member == "n0") and follow.machine is before
-    assert any(why in line for line in said)
-    follow.close()
+    assert run_until(loop, lambda: observer.member == "n0") and observer.machine is before
+    assert any(why in reason for reason in reasons)
+    observer.close()
 
 
-def test_a_voter_without_a_leader_is_left_and_news_are_as_old_as_it_says(voters):
-    made = voters(follows(history(2), age=SECOND, leads=False), follows(history(2), age=20 * MS))
+def test_a_voter_without_a_leader_is_replaced_and_its_reported_age_is_used(voters):
+    made = voters(
+        voter_with_entries(committed_commands(2), age=SECOND, leads=False),
+        voter_with_entries(committed_commands(2), age=20 * MS),
+    )
     loop = Loop()
-    follow = follower(loop, made, lambda: None)
-    follow.voters = [("n0", made[0].address), ("n1", made[1].address)]
-    assert until(loop, lambda: follow.machine.index == 2)
-    assert follow.member == "n0" and follow.age() >= SECOND, "what is committed is taken from any"
-    assert until(loop, lambda: follow.member == "n1" and 20 * MS <= follow.age() < SECOND)
-    follow.close()
+    observer = make_observer(loop, made, lambda: None)
+    observer.voters = [("n0", made[0].address), ("n1", made[1].address)]
+    assert run_until(loop, lambda: observer.machine.index == 2)
+    assert observer.member == "n0" and observer.age() >= SECOND, "committed entries are accepted from any voter"
+    assert run_until(loop, lambda: observer.member == "n1" and 20 * MS <= observer.age() < SECOND)
+    observer.close()
 
 
-def test_an_answer_to_an_earlier_question_is_none_to_this_one_and_of_unsure_ones_the_latest_counts(voters):
-    copies = Machines()
-    made = voters(lambda frame: [CommandOutcome(frame.token - 1, OutcomeCode.NOT_LEADER), copies.apply(frame)])
+def test_responses_to_earlier_requests_are_ignored_and_the_most_recent_uncertain_answer_is_used(voters):
+    state = ReplicatedState()
+    made = voters(lambda frame: [CommandOutcome(frame.token - 1, OutcomeCode.NOT_LEADER), state.apply(frame)])
     loop = Loop()
-    calls = caller(loop, made)
-    assert isinstance(run(loop, calls.write(SetOverride("s", True, 1), SECOND)), Ok) and len(made[0].seen) == 1
-    calls.close()
-    unsure = [
+    proposer = make_proposer(loop, made)
+    assert isinstance(run(loop, proposer.write(SetOverride("s", True, 1), SECOND)), Ok) and len(made[0].seen) == 1
+    proposer.close()
+    uncertain = [
         lambda frame, n=n: wire.QueryResponse(
             frame.token, OutcomeCode.NOT_LEADER, False, n, n, msgspec.msgpack.encode(n)
         )
         for n in (3, 7, 5)
     ]
-    calls = caller(loop, voters(*unsure)[1:])
-    reading = run(loop, calls.read(wire.OverrideQuery("s"), 400 * MS))
+    proposer = make_proposer(loop, voters(*uncertain)[1:])
+    reading = run(loop, proposer.read(wire.OverrideQuery("s"), 400 * MS))
     assert (reading.sure, reading.index, reading.value) == (False, 7, 7)
-    calls.close()
+    proposer.close()
 
 
-def test_a_link_to_one_that_is_down_holds_little():
-    loop, turned = Loop(), []
+def test_a_link_to_a_member_that_is_down_buffers_little():
+    loop, rejections = Loop(), []
     with listener() as sock:
         address = address_of(sock)
-    link = MemberLink(loop, "id", HELLO, lambda: address, lambda *why: turned.append(why))
+    link = MemberLink(loop, "id", HELLO, lambda: address, lambda *why: rejections.append(why))
     for n in range(100):
         link.put(TimeoutNow(sender="a", to="id", term=n))
     assert len(link.queue) == 8 and link.queue[-1].term == 99
-    kept = []
-    link.connection = type("Connection", (), {"put": lambda self, message, may_drop: kept.append(may_drop)})()
+    may_drop_values = []
+    link.connection = type(
+        "Connection", (), {"put": lambda self, message, may_drop: may_drop_values.append(may_drop)}
+    )()
     link.put(TimeoutNow(sender="a", to="id", term=1))
     link.put(AppendEntries(sender="a", to="id", term=1, prev_index=0, prev_term=0, entries=(), commit=0, round=1))
-    assert kept == [False, True], "a vote or an answer is never dropped for entries"
+    assert may_drop_values == [False, True], "a vote or a response is never dropped in favour of entries"
     link.close()
