--- a/loftweir/lease/duty.py
+++ b/loftweir/lease/duty.py
@@ -151,12 +151,12 @@
         self._update()
         self.ticker.wake()
 
-    def _send(self, ask: int, operation: AcquireLease | RenewLease | ReleaseLease) -> Coroutine[None]:
+    def _send(self, request_id: int, operation: AcquireLease | RenewLease | ReleaseLease) -> Coroutine[None]:
         result: AnyResult | None = None
         # the operation may still take effect: the holder tries again, or lets the lease expire
         with suppress(LoftweirError):
             result = yield from self.lease_proposer.write(operation, self.ttl // 2)
-        self._step(ResponseReceived(ask, result))
+        self._step(ResponseReceived(request_id, result))
 
     def _tick(self) -> Coroutine[None]:
         while True:
--- a/loftweir/replication/core.py
+++ b/loftweir/replication/core.py
@@ -79,17 +79,17 @@
 
 
 class Core(Election, Follower, Invariants):
-    """One member. `kept` is the content of its stable storage; empty: the member has not been added to the cluster yet.
-    The state machine is rebuilt by the first actions: a `RestoreSnapshot` if there is a snapshot, then the committed
-    entries after it.
+    """One member. `stored_state` is the content of its stable storage; empty: the member has not been added to the
+    cluster yet. The state machine is rebuilt by the first actions: a `RestoreSnapshot` if there is a snapshot, then the
+    committed entries after it.
     """
 
-    def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
-        super().__init__(me, kept, timing, random, now)
+    def __init__(self, me: str, stored_state: PersistentState, timing: Timing, random: Random, now: int) -> None:
+        super().__init__(me, stored_state, timing, random, now)
         self._membership_changed()
         self._reset_election_timer()
-        if kept.snapshot is not None:
-            self._actions.append(RestoreSnapshot(kept.snapshot))
+        if stored_state.snapshot is not None:
+            self._actions.append(RestoreSnapshot(stored_state.snapshot))
 
     def step(self, now: int, event: Event) -> list[Action]:
         """Handles one event. A time before the latest one counts as the latest. No message of another member raises an
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -139,18 +139,18 @@
     while at < len(data):
         if at + RECORD_HEADER.size > len(data):
             raise Torn("cut short in a record's header", at)
-        length, told = RECORD_HEADER.unpack_from(data, at)
+        length, expected_crc = RECORD_HEADER.unpack_from(data, at)
         end = at + RECORD_HEADER.size + length
         if not length or end > len(data):
             raise Torn(f"a record of {length} bytes, of which {len(data) - at - RECORD_HEADER.size} are there", at)
         body = memoryview(data)[at + RECORD_HEADER.size : end]
-        if _crc(body, crc) != told:
+        if _crc(body, crc) != expected_crc:
             raise Torn("a record has a wrong checksum", at)
         try:
-            yield at, RECORD_DECODERS[body[0]].decode(body[1:]), told, end
+            yield at, RECORD_DECODERS[body[0]].decode(body[1:]), expected_crc, end
         except (KeyError, msgspec.MsgspecError) as error:
             raise Damaged(f"a malformed record: {error!r}", at) from None
-        at, crc = end, told
+        at, crc = end, expected_crc
 
 
 class LogState:
@@ -336,9 +336,9 @@
 
 def decode_mark(data: bytes, identity: Identity) -> Mark:
     """Raises `Damaged` if it is none of this member's."""
-    words = unseal(MARK, VERSION, data).split(b" ")
+    fields = unseal(MARK, VERSION, data).split(b" ")
     try:
-        mark = Mark(int(words[0]), int(words[1]), int(words[2]), int(words[3], 16))
+        mark = Mark(int(fields[0]), int(fields[1]), int(fields[2]), int(fields[3], 16))
     except (ValueError, IndexError) as error:
         raise Damaged(f"malformed: {error!r}") from None
     if data != encode_mark(mark, identity):
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -61,13 +61,13 @@
             self.task.wake()
 
     def _drop(self) -> None:
-        kept: deque[tuple[memoryview, bool]] = deque()
+        remaining: deque[tuple[memoryview, bool]] = deque()
         for number, (data, may_drop) in enumerate(self.unsent):
             if number and may_drop and self.unsent_bytes > self.max_unsent_bytes:  # the first one may be partly sent
                 self.unsent_bytes -= len(data)
             else:
-                kept.append((data, may_drop))
-        self.unsent = kept
+                remaining.append((data, may_drop))
+        self.unsent = remaining
         if self.unsent_bytes > self.max_unsent_bytes:
             self.abort()
 
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -612,7 +612,7 @@
         fenced_values = [(duty, key, fact) for (duty, key), fact in sorted(self.fenced_values.items())]
         overrides, sessions = list(self.overrides.items()), list(self.sessions.items())
         leases = sorted(self.leases.items())
-        kept = (
+        dump = (
             self.index,
             self.overrides_dropped_index,
             self.session_horizon,
@@ -622,9 +622,9 @@
             sessions,
         )
         if self.claims is None or not self.claims.table:
-            return _msgpack_encode(_Dump(VERSION, *kept))
+            return _msgpack_encode(_Dump(VERSION, *dump))
         return _msgpack_encode(
-            _DumpWithClaims(VERSION_WITH_CLAIMS, *kept, msgspec.Raw(_msgpack_encode(self.claims.dump())))
+            _DumpWithClaims(VERSION_WITH_CLAIMS, *dump, msgspec.Raw(_msgpack_encode(self.claims.dump())))
         )
 
     @classmethod
@@ -634,20 +634,20 @@
             version = _version_decoder.decode(data).version
             if version not in _dump_decoders:
                 raise Foreign(f"a snapshot of version {version}; this build reads {VERSION} and {VERSION_WITH_CLAIMS}")
-            kept = _dump_decoders[version].decode(data)
+            dump = _dump_decoders[version].decode(data)
             claimed = None
-            if isinstance(kept, _DumpWithClaims):
+            if isinstance(dump, _DumpWithClaims):
                 from loftweir.catalog import claims
 
-                claimed = claims.Claims.load(claims.decode_table(kept.claims))
+                claimed = claims.Claims.load(claims.decode_table(dump.claims))
         except (ValueError, RecursionError) as error:
             raise Foreign(f"a snapshot that is not in its form: {error}") from None
         machine = cls()
-        machine.index, machine.overrides_dropped_index, machine.session_horizon = kept.index, kept.thinned, kept.horizon
-        machine.overrides, machine.leases, machine.sessions = dict(kept.words), dict(kept.leases), dict(kept.sessions)
+        machine.index, machine.overrides_dropped_index, machine.session_horizon = dump.index, dump.thinned, dump.horizon
+        machine.overrides, machine.leases, machine.sessions = dict(dump.words), dict(dump.leases), dict(dump.sessions)
         machine.claims = claimed
-        machine.fenced_values = {(duty, key): fact for duty, key, fact in kept.facts}
-        machine.fenced_bytes = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in kept.facts)
+        machine.fenced_values = {(duty, key): fact for duty, key, fact in dump.facts}
+        machine.fenced_bytes = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in dump.facts)
         return machine
 
 
--- a/loftweir/replication/member.py
+++ b/loftweir/replication/member.py
@@ -96,17 +96,17 @@
         self.name = name
         self.options = options
         self.slots = slots  # by name: the members' addresses in this sidecar's configuration
-        self.disk, kept = opened
+        self.disk, stored_state = opened
         self.me = self.disk.member
         self.applied = applied
         self.ended = ended
         self.timing = Timing(heartbeat_interval=options.beat, election_timeout=options.election)
         self.random = Random(f"{self.me} {loop.now()}")
-        self.core = Core(self.me, kept, self.timing, self.random, loop.now())
+        self.core = Core(self.me, stored_state, self.timing, self.random, loop.now())
         self.machine = Machine()
         self.lease_expirer = LeaseExpirer()
         # its storage was ever written to, or is being written to for the first time
-        self.has_state = kept != PersistentState()
+        self.has_state = stored_state != PersistentState()
         # files were set aside, which may have contained acknowledged writes
         self.state_may_be_lost = self.disk.state_may_be_lost
         self.founding: PersistentState | None = None  # the founding state while it is not stable yet
@@ -338,9 +338,9 @@
         self.callbacks[self.tokens] = on_result
         return self.tokens
 
-    def write(self, order: bytes, on_result: ResultCallback) -> None:
-        """Submits a command; `answered` gets the outcome, the log index and the result."""
-        self.process(WriteRequest(self._register_callback(on_result), order))
+    def write(self, command: bytes, on_result: ResultCallback) -> None:
+        """Submits a command; `on_result` gets the outcome, the log index and the result."""
+        self.process(WriteRequest(self._register_callback(on_result), command))
 
     def read(self, on_result: ResultCallback) -> None:
         """Confirms the leadership for a linearizable read."""
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -136,7 +136,7 @@
             self._start_observing()
             return False
         try:  # after the address, as reading the disk blocks the event loop
-            disk, kept, report = open_disk(Path(options.folder), options.cluster)
+            disk, stored, report = open_disk(Path(options.folder), options.cluster)
         except FolderInUse as error:
             sock.close()
             emit(REPLICATION_WAITS, why=error)
@@ -146,12 +146,12 @@
             sock.close()
             self._on_voter_ended(error)
             return True
-        index = kept.entries[-1].index if kept.entries else kept.snapshot.index if kept.snapshot else 0
+        index = stored.entries[-1].index if stored.entries else stored.snapshot.index if stored.snapshot else 0
         folder = options.folder
         emit(REPLICATION_OPENED, id=report.member, begun=report.begun, torn=report.torn, index=index, folder=folder)
         if report.damage is not None:
             emit(REPLICATION_DAMAGED, why=report.damage, before=report.before, id=report.member, aside=report.aside)
-        voter = Voter(self.loop, self.name, options, self.slots, (disk, kept), self._applied, self._on_voter_ended)
+        voter = Voter(self.loop, self.name, options, self.slots, (disk, stored), self._applied, self._on_voter_ended)
         listener = ReplicationListener(self.loop, voter, options.callers)
         listener.listen(sock)
         self._stop_observing()
@@ -246,11 +246,11 @@
         self.save_scheduled, self.saved_at = False, self.loop.now()
         if self.folder is None:
             return
-        words = {name: (command.at, command.active) for name, command in self.overrides.items()}
+        overrides = {name: (command.at, command.active) for name, command in self.overrides.items()}
         now = self.loop.now() - (self.age() or 0)
         try:
             remembered.save(
-                self.folder, OverrideCache(self.options.cluster, self.index, now, sorted(self.members), words)
+                self.folder, OverrideCache(self.options.cluster, self.index, now, sorted(self.members), overrides)
             )
         except OSError as error:
             emit(REPLICATION_NOT_REMEMBERED, folder=str(self.folder), why=error)
@@ -280,13 +280,15 @@
                 yield from self.proposer.remove(command.id, self.options.write_within)
                 return "removed"
             if command.verb is Verb.FLEET_ENABLE:
-                held = yield from self.proposer.read(OverrideQuery(command.id), self.options.write_within)
-                if held.sure and not (held.value and held.value[0]):
+                reading = yield from self.proposer.read(OverrideQuery(command.id), self.options.write_within)
+                if reading.sure and not (reading.value and reading.value[0]):
                     # Nobody disabled it, so it must not start cold; this sidecar may not have received the override
                     # yet.
-                    if held.value or command.id in self.disabled_providers():
-                        self._acknowledge(command.id, Override(held.value[2] if held.value else 0, False), held.index)
-                    return f"enabled, at index {held.index}"
+                    if reading.value or command.id in self.disabled_providers():
+                        self._acknowledge(
+                            command.id, Override(reading.value[2] if reading.value else 0, False), reading.index
+                        )
+                    return f"enabled, at index {reading.index}"
             operation = SetOverride(command.id, command.verb is Verb.FLEET_DISABLE, self.loop.now())
             result = yield from self.proposer.write(operation, max(SECOND // 1000, until - self.loop.now()))
         except LoftweirError as error:
@@ -296,11 +298,11 @@
         self._acknowledge(command.id, Override(operation.at, operation.out), result.index)
         return f"{'disabled' if operation.out else 'enabled'}, at index {result.index}"
 
-    def _acknowledge(self, name: str, said: Override, index: int) -> None:
+    def _acknowledge(self, name: str, override: Override, index: int) -> None:
         """What is acknowledged at an index takes effect here before the answer; the state machine follows."""
         if index > max(self.index, self.acknowledged_ahead.get(name, 0)):
             self.acknowledged_ahead[name] = index
-            self.overrides = {**self.overrides, name: said}
+            self.overrides = {**self.overrides, name: override}
             self.on_overrides(self.overrides, False)
 
     def status_line(self) -> str:
--- a/loftweir/replication/raft/invariants.py
+++ b/loftweir/replication/raft/invariants.py
@@ -32,8 +32,10 @@
 
     def _check_members(self) -> None:
         since = self._snapshot_index()
-        said = [(e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS and e.index > since]
-        assert [c for c in self._configurations if c[0] > since] == said and self._configurations[0][0] <= since
+        expected = [
+            (e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS and e.index > since
+        ]
+        assert [c for c in self._configurations if c[0] > since] == expected and self._configurations[0][0] <= since
         assert self.members == self._configurations[-1][1]
         assert [i for i, _ in self._configurations] == sorted({i for i, _ in self._configurations})
 
--- a/loftweir/replication/raft/log_replication.py
+++ b/loftweir/replication/raft/log_replication.py
@@ -74,7 +74,7 @@
             self._send_append(peer, prev, ())
 
     def _send_snapshot(self, peer: Peer) -> None:
-        assert self.snapshot is not None, "entries are let go only behind a snapshot"
+        assert self.snapshot is not None, "entries are compacted only behind a snapshot"
         peer.restart(peer.next, self._round)
         peer.snapshot, peer.snapshot_sent, peer.snapshot_acknowledged, peer.snapshot_progressed = (
             self.snapshot,
--- a/loftweir/replication/raft/quorum.py
+++ b/loftweir/replication/raft/quorum.py
@@ -32,8 +32,8 @@
         return rounds[-needed] if needed <= len(rounds) else 0
 
     def _check_quorum(self) -> None:
-        heard = self.quorum_confirmed_at
-        if self._now - heard >= self.timing.election_timeout:
+        confirmed_at = self.quorum_confirmed_at
+        if self._now - confirmed_at >= self.timing.election_timeout:
             self._step_down()
         else:
-            self._quorum_deadline = heard + self.timing.election_timeout if self._others_needed() else NEVER
+            self._quorum_deadline = confirmed_at + self.timing.election_timeout if self._others_needed() else NEVER
--- a/loftweir/replication/raft/state.py
+++ b/loftweir/replication/raft/state.py
@@ -56,30 +56,32 @@
 class RaftState:
     """One member's state: its storage, its role in the term, and a leader's view of the others."""
 
-    def __init__(self, me: str, kept: PersistentState, timing: Timing, random: Random, now: int) -> None:
+    def __init__(self, me: str, stored_state: PersistentState, timing: Timing, random: Random, now: int) -> None:
         self.me = me
         self.timing = timing
         self._random = random
         self._now = now
         self._actions: list[Action] = []
-        self._init_log(kept)
+        self._init_log(stored_state)
         self._init_storage()
         self._init_role()
         self._init_leadership()
         self._init_membership()
 
-    def _init_log(self, kept: PersistentState) -> None:
-        self.term = kept.hard.term
-        self.vote = kept.hard.vote
-        self.snapshot = kept.snapshot
-        self._base = kept.snapshot.index if kept.snapshot else 0  # entries up to it are no longer in `_log`
-        self._base_term = kept.snapshot.term if kept.snapshot else 0
-        self._log = list(kept.entries)
+    def _init_log(self, stored_state: PersistentState) -> None:
+        self.term = stored_state.hard.term
+        self.vote = stored_state.hard.vote
+        self.snapshot = stored_state.snapshot
+        self._base = (
+            stored_state.snapshot.index if stored_state.snapshot else 0
+        )  # entries up to it are no longer in `_log`
+        self._base_term = stored_state.snapshot.term if stored_state.snapshot else 0
+        self._log = list(stored_state.entries)
         self.last_index = self._base + len(self._log)
         if self._log and self._log[-1].term > self.term:  # a torn batch: no vote in that term can have been sent
             self.term, self.vote = self._log[-1].term, ""
         # The members from each index on, as the log defines them; the first are those of the snapshot.
-        self._configurations = [(self._base, kept.snapshot.members if kept.snapshot else ())]
+        self._configurations = [(self._base, stored_state.snapshot.members if stored_state.snapshot else ())]
         self._configurations += [(e.index, decode_members(e.data)) for e in self._log if e.kind is EntryKind.MEMBERS]
 
     def _init_storage(self) -> None:
--- a/loftweir/replication/raft/storage.py
+++ b/loftweir/replication/raft/storage.py
@@ -11,7 +11,7 @@
 
     def _collect_actions(self) -> list[Action]:
         """The actions of this step. Writing comes first, as all messages depend on it."""
-        out, self._actions = self._actions, []
+        actions, self._actions = self._actions, []
         if (
             self._hard_state_changed
             or self._new_entries
@@ -20,7 +20,7 @@
         ):
             self._batch += 1
             hard = HardState(self.term, self.vote) if self._hard_state_changed else None
-            keep = PersistBatch(
+            batch = PersistBatch(
                 self._batch,
                 hard,
                 self._truncated_from,
@@ -28,16 +28,16 @@
                 self._new_snapshot,
                 self._log_discarded,
             )
-            out.insert(0, keep)
+            actions.insert(0, batch)
             self._unsynced_batches.append([self._batch, self.last_index])
             self._hard_state_changed = self._log_discarded = False
             self._truncated_from = self._new_snapshot = None
             self._new_entries = []
-        stood = (self.role, self.term, self.leader, self.members)
-        if stood != self._reported_status:
-            self._reported_status = stood
-            out.append(StatusChanged(*stood))
-        return out
+        status = (self.role, self.term, self.leader, self.members)
+        if status != self._reported_status:
+            self._reported_status = status
+            actions.append(StatusChanged(*status))
+        return actions
 
     def _set_hard_state(self, term: int, vote: str) -> None:
         self.term, self.vote = term, vote
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -391,70 +391,70 @@
 
 
 def handles_messages_for_any_id(base):
-    def heard(self, event):
+    def handle(self, event):
         me, self.me = self.me, event.message.to
         getattr(self, _MESSAGE_HANDLERS[type(event.message)])(event.message)
         self.me = me
 
-    return heard
+    return handle
 
 
 def commits_the_highest_match(base):
-    def count(self):
+    def advance_commit(self):
         best = max([self.stable_index, *(p.match for p in self._voting_peers)])
         if best > self.commit and self._is_of_current_term(best):
             self._commit_to(best)
 
-    return count
+    return advance_commit
 
 
 def completes_reads_at_once(base):
-    def confirm(self):
+    def complete_reads(self):
         while self._pending_reads and self._pending_reads[0][1] <= self.commit:
             _, index, token = self._pending_reads.popleft()
             self._actions.append(api.RequestCompleted(token, index))
 
-    return confirm
+    return complete_reads
 
 
 def reads_before_own_entry(base):
-    def read(self, event):
+    def on_read(self, event):
         own, self._term_start_index = self._term_start_index, 0
         base._on_read(self, event)
         self._term_start_index = own
 
-    return read
+    return on_read
 
 
 def reports_lost_proposals_as_not_done(base):
-    def give_back(self, reads):
+    def reject_pending(self, reads):
         self._actions += [RequestRejected(token, RejectionReason.NOT_LEADER) for _, token in self._pending_proposals]
         self._pending_proposals.clear()
         base._reject_pending(self, reads)
 
-    return give_back
+    return reject_pending
 
 
 def commits_unmatched_entries(base):
-    def heard(self, m):
+    def handle(self, m):
         base._on_append_entries(self, m)
         if m.term == self.term and self.commit < min(m.commit, self.last_index):
             self._commit_to(min(m.commit, self.last_index))
 
-    return heard
+    return handle
 
 
 def votes_twice(base):
-    def ask_vote(self, m):
+    def on_request_vote(self, m):
         if not m.pre and m.term == self.term:
             self.vote = ""
         base._on_request_vote(self, m)
 
-    return ask_vote
+    return on_request_vote
 
 
 def mixes_chunks_of_snapshots(base):
-    def heard(self, m):
+    def handle(self, m):
         if self._incoming is not None:
             self._incoming.key = (m.sender, m.term, m.index, m.size)
         base._on_install_snapshot(self, m)
@@ -464,33 +464,33 @@
         base._become_follower(self, term, leader)
         self._incoming = incoming
 
-    return {"_on_install_snapshot": heard, "_become_follower": follow}
+    return {"_on_install_snapshot": handle, "_become_follower": follow}
 
 
 def installs_old_snapshots(base):
-    def heard(self, m):
+    def handle(self, m):
         self.commit = min(self.commit, m.index - 1)
         base._on_install_snapshot(self, m)
 
-    return heard
+    return handle
 
 
 def keeps_truncated_members(base):
-    def cut_from(self, index):
+    def truncate_from(self, index):
         configs = self._configurations[:]
         base._truncate_from(self, index)
         self._configurations, self.members = configs, configs[-1][1]
 
-    return cut_from
+    return truncate_from
 
 
 def accepts_terms_of_non_members(base):
-    def answered(self, m):
+    def responding_peer(self, m):
         if m.term > self.term:
             self._become_follower(m.term, "")
         return base._responding_peer(self, m)
 
-    return answered
+    return responding_peer
 
 
 def leads_after_its_removal(base):
@@ -503,17 +503,17 @@
 
 
 def campaigns_only_as_current_voter(base):
-    def placed(self):
+    def update_membership_role(self):
         base._update_membership_role(self)
         self._may_campaign = self.me in self.voters
 
-    return placed
+    return update_membership_role
 
 
 def never_sends_needed_snapshots(base):
     """A member whose missing entries were compacted while its window was full gets heartbeats with entry 0 for ever."""
 
-    def beat(self):
+    def send_heartbeats(self):
         full = [p for p in self._peers.values() if p.snapshot is None and p.next <= self._base]
         for p in full:
             p.snapshot, p.snapshot_progressed = api.Snapshot(1, 1, (), b""), True
@@ -521,7 +521,7 @@
         for p in full:
             p.snapshot = None
 
-    return beat
+    return send_heartbeats
 
 
 def runs_of(kind, count):
