--- a/loftweir/config/model.py
+++ b/loftweir/config/model.py
@@ -25,7 +25,7 @@
     parse_members,
     parse_service,
 )
-from loftweir.listclock import ANEW, LEAST
+from loftweir.listclock import FRESH_CALLS, SHORTEST_FRESH_TIMEOUT
 
 # Durations in nanoseconds.
 MS = 1_000_000
@@ -119,12 +119,13 @@
     linger_for: Annotated[
         int,
         duration(
-            "how long what a client still sends is read after its last answer, so that the connection is not reset",
+            "how long input is read and discarded after a connection's last answer, so that a reset does not destroy "
+            "the answer",
             0,
             MINUTE,
         ),
     ] = SECOND
-    linger_bytes: Annotated[int, size("most bytes read after a connection's last answer", 0, GIB)] = MIB
+    linger_bytes: Annotated[int, size("most bytes read and discarded after a connection's last answer", 0, GIB)] = MIB
     body: Annotated[int, size("largest body of a request; a larger one is answered 413", 1, 64 * MIB)] = 32 * MIB
     body_within: Annotated[
         int, duration("time for a request's body, in addition to what its bytes take at `body_rate`", 10 * MS, HOUR)
@@ -204,7 +205,12 @@
         ),
     ] = 30 * MS
     information: Annotated[
-        int, count("most 1xx responses ahead of one final response; more fail the attempt", 0, 1000)
+        int,
+        count(
+            "most 1xx responses ahead of one final response; a longer series may never end and fails the attempt",
+            0,
+            1000,
+        ),
     ] = 16
 
 
@@ -533,7 +539,7 @@
         yield "partners.site", "empty, or replication.members set, as the cluster stores the partners' routes"
     if not partners.file:
         yield "partners.file", "a file, as partners.site is set"
-    least = partners.wait + partners.silent_after + ANEW * LEAST + REPLICATION_MARGIN
+    least = partners.wait + partners.silent_after + FRESH_CALLS * SHORTEST_FRESH_TIMEOUT + REPLICATION_MARGIN
     if partners.hold < least:
         yield (
             "partners.hold",
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from support import SECOND, attempts, changes, endpoint, full, make, request
+from support import SECOND, attempts, endpoint, full_list, list_changes, make_balancer, request
 
 from loftweir.core.life import TABLE, TRAITS, LifecycleEvent, SidecarLifecycle, State
 from loftweir.interface import Lifecycle, MembershipUpdate, UpdateKind
@@ -96,31 +96,31 @@
 
 def test_a_disabled_provider_drains_whatever_the_list_says_and_returns_cold():
     overlay, record = Overlay(), OverrideRecord().with_override("s-1", True, 50)
-    assert effective(overlay, full(endpoint("s-1"), endpoint("s-2")))["s-1"].lifecycle is Lifecycle.READY
+    assert effective(overlay, full_list(endpoint("s-1"), endpoint("s-2")))["s-1"].lifecycle is Lifecycle.READY
     update, where = overlay.apply_record(record)
     assert [e.lifecycle for e in update.endpoints] == [Lifecycle.DRAINING] and where == {"s-1": "at-s-1"}
-    assert effective(overlay, changes(endpoint("s-1", started_at=60)))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert effective(overlay, list_changes(endpoint("s-1", started_at=60)))["s-1"].lifecycle is Lifecycle.DRAINING
     gone = endpoint("s-1", lifecycle=Lifecycle.GONE)
-    assert effective(overlay, changes(gone))["s-1"].lifecycle is Lifecycle.GONE
+    assert effective(overlay, list_changes(gone))["s-1"].lifecycle is Lifecycle.GONE
     assert overlay.knows("s-1") and not overlay.knows("s-9")
-    assert effective(overlay, changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert effective(overlay, list_changes(endpoint("s-1", started_at=70)))["s-1"].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.apply_record(record.with_override("s-1", False, 99))
     (back,) = update.endpoints
     assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 99, True)
-    assert effective(overlay, full(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
+    assert effective(overlay, full_list(endpoint("s-1", started_at=120)))["s-1"].started_at == 120
 
 
 def test_an_override_of_an_unlisted_provider_reaches_the_balancer_once_it_is_listed():
     overlay = Overlay()
     assert overlay.apply_record(OverrideRecord().with_override("s-1", True, 50)) is None
-    assert effective(overlay, full(endpoint("s-1")))["s-1"].lifecycle is Lifecycle.DRAINING
+    assert effective(overlay, full_list(endpoint("s-1")))["s-1"].lifecycle is Lifecycle.DRAINING
     failed, _ = overlay.update(MembershipUpdate(UpdateKind.FAILED), {})
     assert failed.kind is UpdateKind.FAILED and overlay.listed
 
 
 def test_the_balancer_makes_no_first_attempt_or_retry_at_a_disabled_provider():
-    overlay, balancer = Overlay(), make()
-    balancer.handle(SECOND, [overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
+    overlay, balancer = Overlay(), make_balancer()
+    balancer.handle(SECOND, [overlay.update(full_list(endpoint("s-1"), endpoint("s-2")), {"s-1": "", "s-2": ""})[0]])
     record = OverrideRecord().with_override("s-1", True, SECOND)
     balancer.handle(SECOND, [overlay.apply_record(record)[0]])
     chosen = [attempts(balancer.handle(SECOND + n, [request(str(n))]))[0].provider for n in range(20)]
@@ -151,7 +151,7 @@
 def test_an_override_of_the_fleet_by_a_clock_that_is_ahead_does_not_keep_a_provider_cold():
     loop, updates = Loop(), []
     handler = CommandHandler(loop, SidecarLifecycle(), lambda update, addresses: updates.append(update), lambda: True)
-    handler.update_list(full(endpoint("s0")), {"s0": "a:1"})
+    handler.update_list(full_list(endpoint("s0")), {"s0": "a:1"})
     for _ in range(2):
         handler.apply_fleet({"s0": Override(loop.now() + 3600 * SECOND, False)}, True)
     assert len(updates) == 2 and 0 < updates[1].endpoints[0].started_at <= loop.now()
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from scene import address_of, listener
-from support import changes, endpoint, full
+from support import endpoint, full_list, list_changes
 
 from loftweir.config.model import Replication
 from loftweir.interface import Lifecycle
@@ -189,7 +189,7 @@
 
 def test_a_provider_disabled_by_either_override_is_out_and_returns_as_of_the_later_one():
     overlay = Overlay()
-    overlay.update(full(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
+    overlay.update(full_list(endpoint("s-1"), endpoint("s-2")), {"s-1": "a", "s-2": "b"})
     update, where = overlay.apply_fleet({"s-1": Override(50, True), "s-9": Override(1, True)}, False)
     assert [e.lifecycle for e in update.endpoints] == [Lifecycle.DRAINING] and where == {"s-1": "a"}
     overlay.apply_record(OverrideRecord().with_override("s-1", True, 60))
@@ -198,14 +198,14 @@
     update, _ = overlay.apply_record(OverrideRecord().with_override("s-1", True, 60).with_override("s-1", False, 65))
     back = update.endpoints[0]
     assert (back.lifecycle, back.started_at, back.reenabled) == (Lifecycle.READY, 70, True)
-    later, _ = overlay.update(changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
+    later, _ = overlay.update(list_changes(endpoint("s-1", started_at=80 + HOUR)), {"s-1": "a"})
     back = later.endpoints[0]
     assert (back.started_at, back.reenabled) == (80 + HOUR, False), (
         "a later start, after which it was not enabled again"
     )
-    overlay.update(changes(endpoint("s-1")), {"s-1": "a"})
+    overlay.update(list_changes(endpoint("s-1")), {"s-1": "a"})
     assert overlay.knows("s-9") and overlay.apply_fleet({"s-1": Override(70, False)}, False) is None
-    listed, _ = overlay.update(changes(endpoint("s-9")), {"s-9": "c"})
+    listed, _ = overlay.update(list_changes(endpoint("s-9")), {"s-9": "c"})
     assert listed.endpoints[0].lifecycle is Lifecycle.DRAINING
     update, _ = overlay.apply_fleet({}, True)
     assert {(e.address, e.lifecycle, e.reenabled) for e in update.endpoints} == {
