--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -318,7 +318,7 @@
             sidecar = self.sidecars[name]
             lives = [r for r in map(sidecar.logged, ("replication.opened", "replication.ended")) if r]
             last = max((records[-1] for records in lives), key=lambda record: record["time"], default={})
-            if sidecar.program is not None and "are without" in str(last.get("why", "")):
+            if sidecar.program is not None and "is not among its members" in str(last.get("why", "")):
                 self.kill(name)
                 self.start(name)
                 eventually(sidecar.ready, 20)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -319,7 +319,7 @@
             self.wait(lambda leader=leader: leader.stands()["role"] == "follows")
             (ended,) = leader.logged("replication.ended")
             self.assertRegex(ended["why"], "File too large|Input/output error")
-            self.assertIn("Make room on the volume, or replace the disk", ended["remedy"])
+            self.assertIn("Free space on the volume or replace the disk", ended["remedy"])
             with self.assertRaises((Nothing, Unknown)):
                 self.caller(leader.name).write(FencedWrite(PEN, token, "k", b"x"), 1)
             self.say("f0", f"FLEET-DISABLE s{2 * n}")
