--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -76,7 +76,7 @@
         for who in self.sidecars:
             for whom, seat in self.seats.items():
                 if who != whom:
-                    self.link[who, whom] = link = self.links.link(seat)
+                    self.link[who, whom] = link = self.links.add(seat)
                     self.reach[who, whom] = link.address
         for sidecar in self.sidecars.values():
             sidecar.fault = HOOKS
@@ -171,7 +171,7 @@
             if refused:
                 self.link[pair].refuse()
             else:
-                self.link[pair].silence()
+                self.link[pair].block()
         self.cut |= set(pairs)
         self._changed()
 
--- a/benchmarks/faults/schedule.py
+++ b/benchmarks/faults/schedule.py
@@ -245,19 +245,19 @@
 
 def _cut(play: Play, fault: Fault, who: str) -> None:
     for link in play.links_of(who):
-        link.cut(play.random.randrange(1, 2000), back=play.random.random() < 0.3)
+        link.reset_after(play.random.randrange(1, 2000), backward=play.random.random() < 0.3)
 
 
 def _garble(play: Play, fault: Fault, who: str) -> None:
     for link in play.links_of(who):
-        link.damage(play.random.randrange(1, 2000), back=play.random.random() < 0.3)
+        link.corrupt(play.random.randrange(1, 2000), backward=play.random.random() < 0.3)
 
 
 def _lose_voter(play: Play, fault: Fault, who: str) -> None:
     """The ways of a follower to some voters, and most likely to the one that it follows, fail."""
     for n, link in enumerate(play.links_of(who, into=False)):
         if n % 2 or fault.share < 0.5:
-            (link.refuse if fault.share < 0.3 else link.silence)()
+            (link.refuse if fault.share < 0.3 else link.block)()
 
 
 def _wipe(play: Play, fault: Fault, who: str) -> None:
--- a/benchmarks/rate.py
+++ b/benchmarks/rate.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 
 from benchmarks.rig import ROOT, Load, Program, address_of, cores, listener, offer, program, providers, quantile, ready
-from loftweir.standins.toy import Members
+from loftweir.standins.toy import ProviderList
 
 
 @contextmanager
-def relay(members: Members, on: list[int]) -> Iterator[Program]:
+def relay(members: ProviderList, on: list[int]) -> Iterator[Program]:
     sock = listener()
     address = address_of(sock)
     sock.close()
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from loftweir.standins.toy import SETTINGS, Members
+from loftweir.standins.toy import SETTINGS, ProviderList
 
 ROOT = Path(__file__).parent.parent
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
@@ -231,7 +231,7 @@
 
 
 @contextmanager
-def providers(number: int, on: list[int], delay: float = 0.0) -> Iterator[Members]:
+def providers(number: int, on: list[int], delay: float = 0.0) -> Iterator[ProviderList]:
     """Stand-in providers, a process each, and the list that names them."""
     socks = [listener() for _ in range(number)]
     processes = [
@@ -241,7 +241,7 @@
     for process in processes:
         process.start()
     try:
-        yield Members((f"s-{n}", address_of(sock)) for n, sock in enumerate(socks))
+        yield ProviderList((f"s-{n}", address_of(sock)) for n, sock in enumerate(socks))
     finally:
         for process in processes:
             process.kill()
@@ -252,7 +252,7 @@
 
 @contextmanager
 def program(
-    members: Members,
+    members: ProviderList,
     on: list[int],
     tree: Path = ROOT,
     operator: str = "",
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -16,7 +16,7 @@
 
 from loftweir.net.loop import HUNG_UP, MS, READABLE, SECOND, WOKEN, Coroutine, Loop, Task, Wait
 from loftweir.net.stream import send
-from loftweir.standins.toy import LONGEST_WAIT, Members
+from loftweir.standins.toy import MAX_WATCH_SECONDS, ProviderList
 
 HEAD_END = b"\r\n\r\n"
 BACKLOG = 4096
@@ -42,16 +42,16 @@
     return [f"s-{n:08x}" for n in range(count)]
 
 
-def members(count: int) -> Members:
+def members(count: int) -> ProviderList:
     """As many providers, over six zones; nobody listens there."""
-    listed = Members((name, f"10.{n >> 8}.{n & 255}.18:8081") for n, name in enumerate(entry_names(count)))
+    listed = ProviderList((name, f"10.{n >> 8}.{n & 255}.18:8081") for n, name in enumerate(entry_names(count)))
     for number, entry in enumerate(listed.entries.values()):
         entry["zone"] = ZONES[number % len(ZONES)]
     return listed
 
 
 class Discovery:
-    def __init__(self, loop: Loop, listed: Members, listener: socket.socket, pipe: Pipe) -> None:
+    def __init__(self, loop: Loop, listed: ProviderList, listener: socket.socket, pipe: Pipe) -> None:
         self.loop = loop
         self.listed = listed
         self.listener = listener
@@ -101,7 +101,7 @@
                 data = bytearray(rest)
                 query = parse_qs(urlsplit(head.split(b" ", 2)[1].decode()).query)
                 after = int(query.get("after", ["-1"])[0])
-                until = self.loop.now() + min(int(query.get("wait_ms", ["0"])[0]) * MS, LONGEST_WAIT * SECOND)
+                until = self.loop.now() + min(int(query.get("wait_ms", ["0"])[0]) * MS, MAX_WATCH_SECONDS * SECOND)
                 if after == self.listed.index and self.loop.now() < until:
                     self.waiting[own[0]] = None
                     ended = yield Wait(sock, HUNG_UP, until)
--- a/benchmarks/scale/fleet.py
+++ b/benchmarks/scale/fleet.py
@@ -198,7 +198,7 @@
         self.far_voter = f"n{size.voters - 1}" if size.regions > 1 else ""
         self.links = Links(self.host)
         # Where each voter is reached from the region that it is not in.
-        self.across = {name: self.links.link(seat) for name, seat in self.seats.items()} if self.far_voter else {}
+        self.across = {name: self.links.add(seat) for name, seat in self.seats.items()} if self.far_voter else {}
         self.members = discovery.members(size.listed)
         self.discovery_pipe, self.discovery_process, self.discovery_address = self._start_discovery()
         self.voters = {name: self._sidecar(name) for name in self.seats}
@@ -343,7 +343,7 @@
         """A change of discovery's list, and when all hollow sidecars had it."""
         name = discovery.entry_names(self.size.listed)[number % self.size.listed]
         status = "leaving" if self.members.entries[name]["status"] == "active" else "active"
-        self.members.set(name, status)
+        self.members.set_status(name, status)
         asked_at = time.time()
         self.discovery_pipe.send(Change(name, status, whole))
         changed: Changed = self.discovery_pipe.recv()
@@ -399,7 +399,7 @@
     def part_regions(self) -> None:
         """Nothing passes between the regions, and nobody is told. Discovery is reached from both."""
         for link in self.across.values():
-            link.silence()
+            link.block()
 
     def join_regions(self) -> None:
         for link in self.across.values():
--- a/examples/two-sites/run.py
+++ b/examples/two-sites/run.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT))
 
-from loftweir.standins.toy import Members, configuration, discovery, provider  # noqa: E402
+from loftweir.standins.toy import ProviderList, platform_config, start_discovery, start_provider  # noqa: E402
 
 LONGEST = 90  # seconds for all of it, on a machine that is busy
 OPERATOR = """
@@ -73,9 +73,9 @@
     def __init__(self, name, folder):
         self.name, self.folder = name, folder / name
         self.folder.mkdir()
-        self.provider = provider(f"{name}-1")
-        self.members = Members([(f"{name}-1", self.provider.address)])
-        self.discovery = discovery(self.members)
+        self.provider = start_provider(f"{name}-1")
+        self.members = ProviderList([(f"{name}-1", self.provider.address)])
+        self.discovery = start_discovery(self.members)
         names = [f"{name}-n{n}" for n in range(3)]
         self.listens, self.desks, self.copies, self.offers = ({n: free() for n in names} for _ in range(4))
         self.programs = {}
@@ -96,7 +96,7 @@
         for name, listen in self.listens.items():
             folder = self.folder / name
             (folder / "tmp").mkdir(parents=True)
-            config = configuration(listen, self.members, self.discovery.address) | {"name": name}
+            config = platform_config(listen, self.members, self.discovery.address) | {"name": name}
             config["operator"] = self.desks[name]
             (folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
             text = OPERATOR.format(
@@ -166,7 +166,7 @@
     until("oslo's three sidecars know what bergen offers", lambda: all(map(knows, range(3))))
     print("ROUTES at oslo:", oslo.say("ROUTES orders@shop"))
     print("oslo's own provider serves:", oslo.ask())
-    oslo.members.set("oslo-1", "leaving")
+    oslo.members.set_status("oslo-1", "leaving")
     # At first a part is turned away: what was not known for long counts as cold.
     for n in range(3):
         until(f"it leaves; bergen's serves at oslo-n{n}", lambda n=n: oslo.ask(n) == "bergen-1")
@@ -179,7 +179,7 @@
     print("a request at oslo is answered:", oslo.ask())
     bergen.allow(oslo, '{only = ["oslo"]}')
     until("oslo may again; bergen's serves", lambda: oslo.ask() == "bergen-1")
-    oslo.members.set("oslo-1", "active")
+    oslo.members.set_status("oslo-1", "active")
     until("oslo's own is back; it serves", lambda: oslo.ask() == "oslo-1")
 
 
--- a/loftweir/cli/attempt.py
+++ b/loftweir/cli/attempt.py
@@ -16,7 +16,7 @@
 import click
 
 from loftweir.config.units import split_host_port
-from loftweir.standins.toy import Members, configuration, discovery, provider
+from loftweir.standins.toy import ProviderList, platform_config, start_discovery, start_provider
 
 READY_TIMEOUT = 10.0  # seconds
 STOP_TIMEOUT = 10.0  # seconds
@@ -40,14 +40,14 @@
 def attempt(providers: int, log_format: str, access: bool) -> None:
     """Start a sidecar with stand-in providers and discovery, and print curl commands to try."""
     signal.signal(signal.SIGTERM, interrupt)
-    providers_by_name = {f"toy-{n}": provider(f"toy-{n}") for n in range(1, providers + 1)}
-    members = Members((name, toy.address) for name, toy in providers_by_name.items())
-    catalog = discovery(members)
+    providers_by_name = {f"toy-{n}": start_provider(f"toy-{n}") for n in range(1, providers + 1)}
+    members = ProviderList((name, toy.address) for name, toy in providers_by_name.items())
+    catalog = start_discovery(members)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
     with tempfile.TemporaryDirectory() as folder:
         config, operator = Path(folder, "config.json"), Path(folder, "loftweir.toml")
-        config.write_text(json.dumps(configuration(listen, members, catalog.address)), encoding="utf-8")
+        config.write_text(json.dumps(platform_config(listen, members, catalog.address)), encoding="utf-8")
         operator.write_text(f'[log]\naccess = "{"all" if access else "off"}"\n', encoding="utf-8")
         arguments = ["run", "--config", str(config), "--operator", str(operator), "--log-format", log_format]
         sidecar = subprocess.Popen([sys.executable, "-m", "loftweir", *arguments])
--- a/loftweir/standins/faults.py
+++ b/loftweir/standins/faults.py
@@ -43,7 +43,7 @@
 
     def due(self) -> list[int]:
         """When what is first on each way may arrive."""
-        silent = self.link._silent
+        silent = self.link._blocked
         return [way.queue[0][0] for number, way in enumerate(self.ways) if way.queue and not silent[number]]
 
 
@@ -53,11 +53,11 @@
     def __init__(self, links: Links, to: str, host: str) -> None:
         self.to = to
         self._links = links
-        self._silent = [False, False]  # forth, back
+        self._blocked = [False, False]  # forth, back
         self._delay = 0
         self._refuses = False
-        self._cut: list[int | None] = [None, None]  # bytes that pass until all connections are reset
-        self._damage: list[int | None] = [None, None]  # bytes that pass until one is changed
+        self._reset_after: list[int | None] = [None, None]  # bytes that pass until all connections are reset
+        self._corrupt_after: list[int | None] = [None, None]  # bytes that pass until one is changed
         with socket.create_server((host, 0)) as free:
             port = free.getsockname()[1]
         # By its number, so that the port stays this one's also while it does not listen.
@@ -73,13 +73,13 @@
         with self._links.changes(self):
             if self._refuses:
                 self._listener.listen(BACKLOG)
-            self._silent, self._delay, self._refuses = [False, False], 0, False
-            self._cut, self._damage = [None, None], [None, None]
+            self._blocked, self._delay, self._refuses = [False, False], 0, False
+            self._reset_after, self._corrupt_after = [None, None], [None, None]
 
-    def silence(self, forth: bool = True, back: bool = True) -> None:
+    def block(self, forward: bool = True, backward: bool = True) -> None:
         """Nothing passes on these ways, and nobody is told; one way alone is open if the other is not named."""
         with self._links.changes(self):
-            self._silent = [forth, back]
+            self._blocked = [forward, backward]
 
     def refuse(self) -> None:
         """Open connections are reset, and new ones refused."""
@@ -94,15 +94,15 @@
         with self._links.changes(self):
             self._delay = int(seconds * SECOND)
 
-    def cut(self, after: int = 0, back: bool = False) -> None:
+    def reset_after(self, after: int = 0, backward: bool = False) -> None:
         """Once so many bytes more have passed one way, in the middle of a frame or not, all connections are reset."""
         with self._links.changes(self):
-            self._cut[back] = after
+            self._reset_after[backward] = after
 
-    def damage(self, after: int = 0, back: bool = False) -> None:
+    def corrupt(self, after: int = 0, backward: bool = False) -> None:
         """Of what passes one way, one bit of the byte behind so many more is changed."""
         with self._links.changes(self):
-            self._damage[back] = after
+            self._corrupt_after[backward] = after
 
 
 class Links:
@@ -123,7 +123,7 @@
         self._thread = threading.Thread(target=self._run, name="links", daemon=True)
         self._thread.start()
 
-    def link(self, to: str) -> Link:
+    def add(self, to: str) -> Link:
         """A new link to an address, whole."""
         with self._lock:
             link = Link(self, to, self._host)
@@ -173,7 +173,7 @@
             self._move(self._touched.pop())
         full = len(self._connections) >= 2 * MOST
         for descriptor, link in self._links.items():
-            self._watch(descriptor, 0 if full or link._refuses or any(link._silent) else select.EPOLLIN)
+            self._watch(descriptor, 0 if full or link._refuses or any(link._blocked) else select.EPOLLIN)
         due = [at for connection in self._late for at in connection.due()]
         return max(0.0, (min(due) - time.monotonic_ns()) / SECOND) if due else -1
 
@@ -242,7 +242,7 @@
             masks[connection.far] = select.EPOLLOUT
         late = False
         for number, way in enumerate(connection.ways):
-            if not connection.up or way.done or link._silent[number]:
+            if not connection.up or way.done or link._blocked[number]:
                 continue
             try:
                 self._read(link, number, way)
@@ -252,8 +252,8 @@
                     way.done = True
             except OSError:  # reset by one side, or by a cut
                 self._drop(connection)
-                if link._cut[number] == 0:
-                    link._cut[number] = None
+                if link._reset_after[number] == 0:
+                    link._reset_after[number] = None
                     self.reset(link)
                 return
             late = late or first
@@ -286,7 +286,7 @@
             due, data = way.queue[0]
             if due > time.monotonic_ns():
                 return True, True
-            cut, flip = link._cut[number], link._damage[number]
+            cut, flip = link._reset_after[number], link._corrupt_after[number]
             if cut is not None:
                 if cut == 0:
                     raise ConnectionError("cut")
@@ -298,15 +298,15 @@
             except BlockingIOError:
                 return False, False
             if cut is not None:
-                link._cut[number] = cut - sent
+                link._reset_after[number] = cut - sent
             if flip is not None:
-                link._damage[number] = flip - sent if sent <= flip else None
+                link._corrupt_after[number] = flip - sent if sent <= flip else None
             whole = way.queue.popleft()[1]
             if sent < len(whole):
                 way.queue.appendleft((due, whole[sent:]))
             way.held -= sent
             link.passed[number] += sent
-        if link._cut[number] == 0:
+        if link._reset_after[number] == 0:
             raise ConnectionError("cut")
         return True, False
 
--- a/loftweir/standins/toy.py
+++ b/loftweir/standins/toy.py
@@ -1,4 +1,4 @@
-"""Toy providers and a toy discovery on loopback, to try the sidecar with. Standard library only.
+"""StubServer providers and a toy discovery on loopback, to try the sidecar with. Standard library only.
 
 Run as ``python -m loftweir.standins.toy`` they take the addresses that examples/config.json, or the platform's file
 named behind it, has for providers and discovery.
@@ -16,7 +16,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 MS, SECOND = 1_000_000, 1_000_000_000
-LONGEST_WAIT = 60  # seconds of one watch
+MAX_WATCH_SECONDS = 60  # seconds of one watch
 
 SETTINGS = {
     "zone": "alm-1",
@@ -48,7 +48,7 @@
 }
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def handle(self) -> None:
@@ -74,10 +74,10 @@
         """Nothing: the sidecar's own log is what one came to see."""
 
 
-class Toy:
+class StubServer:
     """A server of its own thread on a loopback port, 0 for a free one."""
 
-    def __init__(self, handler: type[Quiet], port: int = 0) -> None:
+    def __init__(self, handler: type[QuietHandler], port: int = 0) -> None:
         self.server = ThreadingHTTPServer(("127.0.0.1", port), handler)
         self.server.daemon_threads = True
         self.address = f"127.0.0.1:{self.server.server_address[1]}"
@@ -88,19 +88,19 @@
         self.server.server_close()
 
 
-def provider(name: str, port: int = 0) -> Toy:
+def start_provider(name: str, port: int = 0) -> StubServer:
     """Answers every request with its own name and what it was sent."""
 
-    class Provider(Quiet):
+    class Provider(QuietHandler):
         def do_GET(self) -> None:
             self.reply(f"{name} served {self.command} {self.path} {self.body().decode(errors='replace')}\n".encode())
 
         do_POST = do_GET
 
-    return Toy(Provider, port)
+    return StubServer(Provider, port)
 
 
-class Members:
+class ProviderList:
     """Discovery's list; watches wait for its next version."""
 
     def __init__(self, providers: Iterable[tuple[str, str]], zone: str = "alm-1") -> None:
@@ -125,7 +125,7 @@
         entries = [] if known == self.index else list(self.entries.values())
         return {"index": self.index, "snapshot": known != self.index, "endpoints": entries}
 
-    def set(self, name: str, status: str) -> bool:
+    def set_status(self, name: str, status: str) -> bool:
         with self.news:
             if name not in self.entries or status not in ("active", "leaving"):
                 return False
@@ -135,14 +135,14 @@
             return True
 
 
-def discovery(members: Members, port: int = 0) -> Toy:
+def start_discovery(members: ProviderList, port: int = 0) -> StubServer:
     """The list and the watch on it; POST /leaving/NAME and /active/NAME change it."""
 
-    class Discovery(Quiet):
+    class Discovery(QuietHandler):
         def do_GET(self) -> None:
             query = parse_qs(urlsplit(self.path).query)
             after = int(query.get("after", ["-1"])[0])
-            wait = min(int(query.get("wait_ms", ["0"])[0]) / 1000, LONGEST_WAIT)
+            wait = min(int(query.get("wait_ms", ["0"])[0]) / 1000, MAX_WATCH_SECONDS)
             with members.news:
                 members.news.wait_for(lambda: members.index > after, wait)
                 answer = members.snapshot(after)
@@ -151,15 +151,15 @@
         def do_POST(self) -> None:
             _, _, words = self.path.partition("/")
             status, _, name = words.partition("/")
-            if members.set(name, status):
+            if members.set_status(name, status):
                 self.reply(b"told\n")
             else:
                 self.reply(b"POST /leaving/NAME or /active/NAME\n", status=404)
 
-    return Toy(Discovery, port)
+    return StubServer(Discovery, port)
 
 
-def configuration(listen: str, members: Members, discovery_at: str) -> dict[str, Any]:
+def platform_config(listen: str, members: ProviderList, discovery_at: str) -> dict[str, Any]:
     """The platform's file for a sidecar among these."""
     return {
         "name": "n0",
@@ -181,8 +181,8 @@
         config = json.load(opened)
     listed = [(entry["name"], entry["address"]) for entry in config["known"]["endpoints"]]
     for name, address in listed:
-        provider(name, port_of(address))
-    discovery(Members(listed, config["settings"]["zone"]), port_of(config["discovery"]))
+        start_provider(name, port_of(address))
+    start_discovery(ProviderList(listed, config["settings"]["zone"]), port_of(config["discovery"]))
     threading.Event().wait()
 
 
--- a/tests/test_fault_links.py
+++ b/tests/test_fault_links.py
@@ -16,7 +16,7 @@
         self.addCleanup(self.links.close)
         self.server = listener()
         self.addCleanup(self.server.close)
-        self.link = self.links.link(address_of(self.server))
+        self.link = self.links.add(address_of(self.server))
 
     def connect(self):
         host, port = self.link.address.split(":")
@@ -59,7 +59,7 @@
 
     def test_a_silent_link_holds_everything_until_it_is_healed(self):
         near, far = self.pair()
-        self.link.silence()
+        self.link.block()
         near.sendall(b"forth")
         far.sendall(b"back")
         near.shutdown(socket.SHUT_WR)
@@ -74,7 +74,7 @@
 
     def test_one_way_alone_can_be_silent(self):
         near, far = self.pair()
-        self.link.silence(forth=True, back=False)
+        self.link.block(forward=True, backward=False)
         near.sendall(b"forth")
         far.sendall(b"back")
         self.assertEqual(self.take(near, 4), b"back")
@@ -111,7 +111,7 @@
 
     def test_a_cut_comes_after_so_many_bytes_and_resets_all(self):
         (near, far), (other, _) = self.pair(), self.pair()
-        self.link.cut(after=3)
+        self.link.reset_after(after=3)
         near.sendall(b"abcdef")
         self.assertEqual(self.take(far, 3), b"abc")
         for sock in (far, near, other):
@@ -123,14 +123,14 @@
 
     def test_damage_is_of_one_byte(self):
         near, far = self.pair()
-        self.link.damage(after=2, back=True)
+        self.link.corrupt(after=2, backward=True)
         far.sendall(b"abc")
         far.sendall(b"def")
         self.assertEqual(self.take(near, 6), b"ab" + bytes([b"c"[0] ^ 0x10]) + b"def")
 
     def test_an_idle_thread_takes_no_time_whatever_has_ended_behind_a_silent_link(self):
         near, far = self.pair()
-        self.link.silence()
+        self.link.block()
         near.close()
         far.close()
         time.sleep(0.05)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -99,7 +99,7 @@
         link = self.links.link(self.seats[leader.name])
         lost = Line(link.address)
         self.addCleanup(lost.close)
-        link.silence(forth=False, back=True)
+        link.block(forward=False, backward=True)
         lost.say(SubmitCommand(1, first))
         self.wait(lambda: self.held() == b"first")
         self.assertIsInstance(self.caller().write(FencedWrite(PEN, token, "k", b"second"), 10), Ok)
@@ -187,7 +187,7 @@
         leader, load = self.up(), Load(self, 2).start()
         for n in range(6):
             for pair, link in self.link.items():
-                (link.cut if n % 2 else link.damage)(after=100 * n + len(pair[0]), back=n % 3 == 0)
+                (link.reset_after if n % 2 else link.corrupt)(after=100 * n + len(pair[0]), backward=n % 3 == 0)
             before = len(self.oracle.promises)
             self.wait(lambda before=before: len(self.oracle.promises) > before + 5, 20)
         turned = [r for s in self.sidecars.values() for r in s.logged("replication.turned_away")]
@@ -220,7 +220,7 @@
             sidecar = self.sidecars[name]
             at = self.wait(lambda s=sidecar: s.stands().get("follows", "-").strip("-"))
             if name == "f2":
-                self.link[name, at].silence()
+                self.link[name, at].block()
             else:
                 self.kill(at)
             self.wait(lambda s=sidecar, at=at: s.stands().get("follows", "-") not in ("-", at), 20)
