--- a/benchmarks/faults/load.py
+++ b/benchmarks/faults/load.py
@@ -22,7 +22,7 @@
 from benchmarks.faults.client import Caller, Line, Nothing, Unknown, news
 from benchmarks.faults.fleet import PROVIDERS, Fleet, operator_call
 from benchmarks.faults.oracle import MAY_BE_LATE, PROMISED
-from loftweir.emulator.histories import Act as Acted
+from loftweir.emulator.histories import AcceptedOperation as Acted
 from loftweir.emulator.histories import Call
 from loftweir.replication.machine import AcquireLease, FencedWrite, Ok, SetOverride
 from loftweir.replication.wire import ConnectionKind, FencedValueQuery
--- a/benchmarks/faults/oracle.py
+++ b/benchmarks/faults/oracle.py
@@ -27,8 +27,8 @@
 import msgspec
 
 from benchmarks.faults.client import Nothing, Unknown
-from loftweir.emulator.histories import Act as Acted
-from loftweir.emulator.histories import Call, lease, register, two_holders, violations
+from loftweir.emulator.histories import AcceptedOperation as Acted
+from loftweir.emulator.histories import Call, fencing_violations, lease, register, violations
 from loftweir.replication.machine import Command, FencedWrite, SetOverride
 
 ORDERS = msgspec.msgpack.Decoder(Command)
@@ -243,7 +243,7 @@
         ]
 
     def two_holders(self) -> list[str]:
-        return [f"two holders acted: {first}, then {then}" for first, then in two_holders(self.acts)]
+        return [f"two holders acted: {first}, then {then}" for first, then in fencing_violations(self.acts)]
 
     def _judge_holders(self) -> list[str]:
         holders: dict[int, set[str]] = {}
--- a/loftweir/emulator/histories.py
+++ b/loftweir/emulator/histories.py
@@ -253,7 +253,7 @@
 # ---- leases, directly ---------------------------------------------------------------------------
 
 
-class Act(NamedTuple):
+class AcceptedOperation(NamedTuple):
     """An act that was accepted, between two times."""
 
     duty: str
@@ -262,15 +262,15 @@
     end: int
 
 
-def two_holders(acts: Iterable[Act]) -> list[tuple[Act, Act]]:
+def fencing_violations(acts: Iterable[AcceptedOperation]) -> list[tuple[AcceptedOperation, AcceptedOperation]]:
     """Each act that was accepted under a lower token after one under a higher had been, with that one before it."""
-    found: list[tuple[Act, Act]] = []
-    duties: dict[str, list[Act]] = {}
+    found: list[tuple[AcceptedOperation, AcceptedOperation]] = []
+    duties: dict[str, list[AcceptedOperation]] = {}
     for act in acts:
         duties.setdefault(act.duty, []).append(act)
     for _, part in sorted(duties.items()):
         ends = deque(sorted(part, key=lambda act: act.end))
-        highest: Act | None = None  # of those that ended before the one looked at began
+        highest: AcceptedOperation | None = None  # of those that ended before the one looked at began
         for act in sorted(part, key=lambda act: act.start):
             while ends and ends[0].end < act.start:
                 over = ends.popleft()
--- a/tests/test_fault_oracle.py
+++ b/tests/test_fault_oracle.py
@@ -6,7 +6,7 @@
 from benchmarks.faults.client import Nothing, Unknown
 from benchmarks.faults.oracle import Oracle
 from benchmarks.faults.schedule import KINDS, Fault, schedule
-from loftweir.emulator.histories import Act, Call
+from loftweir.emulator.histories import AcceptedOperation, Call
 from loftweir.replication.machine import Command, FencedWrite, SetOverride, encode
 
 OUT, IN = SetOverride("s0", True, 0), SetOverride("s0", False, 0)
@@ -127,7 +127,7 @@
         for name, token in (("h0", 5), ("h1", 5)):
             at = time.monotonic_ns()
             self.oracle.leases.append(Call(name, at, at + 1, ("acquire", name), ("ok", token), "duty"))
-        self.oracle.acts += [Act("duty", 7, 0, 1), Act("duty", 6, 2, 3)]
+        self.oracle.acts += [AcceptedOperation("duty", 7, 0, 1), AcceptedOperation("duty", 6, 2, 3)]
         self.finds("('acquire', 'h1') by h1", "token 5 was granted to", "two holders acted")
 
     def test_time_without_service(self):
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,7 +7,17 @@
 
 import pytest
 
-from loftweir.emulator.histories import OK, Act, Call, Undecided, counter, lease, register, two_holders, violations
+from loftweir.emulator.histories import (
+    OK,
+    AcceptedOperation,
+    Call,
+    Undecided,
+    counter,
+    fencing_violations,
+    lease,
+    register,
+    violations,
+)
 
 
 def made(random, model_of, ops, count, clients=6, keys=("k",), lost=0.0, width=40):
@@ -201,8 +211,15 @@
 
 
 def test_two_holders_are_found_by_their_acts_alone():
-    good = [Act("d", 3, 0, 2), Act("d", 3, 4, 5), Act("d", 8, 5, 9), Act("e", 2, 20, 21)]
-    assert two_holders(good) == []
-    assert two_holders([*good, Act("d", 3, 9, 12)]) == [], "it touches the later one: either may have been first"
-    late = Act("d", 3, 10, 12)
-    assert two_holders([*good, late]) == [(Act("d", 8, 5, 9), late)]
+    good = [
+        AcceptedOperation("d", 3, 0, 2),
+        AcceptedOperation("d", 3, 4, 5),
+        AcceptedOperation("d", 8, 5, 9),
+        AcceptedOperation("e", 2, 20, 21),
+    ]
+    assert fencing_violations(good) == []
+    assert fencing_violations([*good, AcceptedOperation("d", 3, 9, 12)]) == [], (
+        "it touches the later one: either may have been first"
+    )
+    late = AcceptedOperation("d", 3, 10, 12)
+    assert fencing_violations([*good, late]) == [(AcceptedOperation("d", 8, 5, 9), late)]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from loftweir.emulator.histories import Act, two_holders
+from loftweir.emulator.histories import AcceptedOperation, fencing_violations
 from loftweir.lease import holder as holding
 from loftweir.lease.holder import (
     TRAITS,
@@ -154,7 +154,7 @@
         act = order.act
         if isinstance(act, FencedWrite) and isinstance(result, Ok) and result.index == index:
             assert lease.holder == self.holders[n].name and act.token == max(self.grants), "an old act was accepted"
-            self.accepted.append(Act("duty", act.token, sent, self.now))
+            self.accepted.append(AcceptedOperation("duty", act.token, sent, self.now))
         if isinstance(act, AcquireLease) and isinstance(result, Ok) and result.index == index:
             assert result.value > max(self.grants, default=0), "a token that is not higher"
             self.grants.append(result.value)
@@ -202,7 +202,7 @@
 def judged(seed, seconds=8, **parts):
     world = World(seed, **parts)
     world.run(seconds)
-    assert two_holders(world.accepted) == []
+    assert fencing_violations(world.accepted) == []
     world.calm = True
     world.run(5)
     assert any(h.valid_token(c(world.now)) for h, c in zip(world.holders, world.own, strict=True)), "nobody holds"
