--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -26,7 +26,7 @@
 from loftweir.partners.table import Provider, Route
 from loftweir.partners.terms import OPEN
 
-HERE = LocalSite("aa", "z1")
+LOCAL_SITE = LocalSite("aa", "z1")
 MESHES = ("aa", "bb", "cc", "dd")
 SAME = tuple(f"shop@{mesh}" for mesh in MESHES)
 WORDS = (
@@ -37,12 +37,14 @@
 )
 
 
-def own(number: int, declared: Declaration, life: Lifecycle = Lifecycle.READY, zone: str = "z1") -> OwnService:
+def make_own_service(
+    number: int, declared: Declaration, life: Lifecycle = Lifecycle.READY, zone: str = "z1"
+) -> OwnService:
     ends = {f"p{n}": Endpoint(f"p{n}", zone, "plain", n, life) for n in range(number)}
     return OwnService(ends, dict.fromkeys(ends, "10.0.0.1:80"), declared)
 
 
-def used(
+def make_used_route(
     name: str, site: str = "", classes: tuple[str, ...] = ("read",), share: float | None = None, number: int = 2
 ) -> UsedRoute:
     site = site or name.partition("@")[2]
@@ -51,17 +53,17 @@
 
 
 def home(provider: Endpoint) -> str:
-    return provider.address.partition("@")[2] or HERE.mesh
+    return provider.address.partition("@")[2] or LOCAL_SITE.mesh
 
 
 class Car:
     def __init__(self) -> None:
-        self.copies, self.catalog = Claims(), Catalog(HERE)
+        self.copies, self.catalog = Claims(), Catalog(LOCAL_SITE)
         self.done = 0  # entries of the log
         self.begun: list[StartedRequest] = []
 
 
-class World:
+class Simulation:
     def __init__(self, seed: int) -> None:
         self.dice = random.Random(seed)
         self.meshes = MESHES[seed % 2 :]  # every second site has no such service of its own
@@ -129,8 +131,12 @@
             CatalogState(pins={"shop": self.pin})
         ]
         for mesh in MESHES[1:]:
-            changes.append(CatalogState(used={f"shop@{mesh}": used(f"shop@{mesh}") if mesh in self.up else None}))
-        changes.append(CatalogState({"shop@aa": own(2, self._declared("aa")) if "aa" in self.up else None}))
+            changes.append(
+                CatalogState(used={f"shop@{mesh}": make_used_route(f"shop@{mesh}") if mesh in self.up else None})
+            )
+        changes.append(
+            CatalogState({"shop@aa": make_own_service(2, self._declared("aa")) if "aa" in self.up else None})
+        )
         self.dice.shuffle(changes)
         for change in changes:
             car.catalog.update(change)
@@ -151,13 +157,13 @@
                 begun.append(StartedRequest(found.key, found.contract["read"], provider, words))
         return begun
 
-    def faults(self) -> list[str]:
+    def violations(self) -> list[str]:
         """After `run`, with all links up again."""
         found = list(self.oracle.breaches)
         first = self.cars[0].catalog
         if {name: claim.index for name, claim in self.cars[0].copies.table.items()} != self.acked:
             found.append("an acknowledged claim is lost, or is younger than it was")
-        fresh = Catalog(HERE, CatalogState(first.own, first.used, first.left, first.claims, first.pins))
+        fresh = Catalog(LOCAL_SITE, CatalogState(first.own, first.used, first.left, first.claims, first.pins))
         for one in (*(car.catalog for car in self.cars), fresh):
             if (one.entries, one.collisions, one.names_by_short) != (
                 first.entries,
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -33,7 +33,7 @@
 from loftweir.catalog.providers import NO_PROVIDERS, ProviderFeed, build_provider_set
 from loftweir.catalog.shares import SharedLimit
 from loftweir.emulator import meshes
-from loftweir.emulator.meshes import HERE, World, used
+from loftweir.emulator.meshes import LOCAL_SITE, Simulation, make_used_route
 from loftweir.interface import Effect, Endpoint, Lifecycle, RequestClass, Scope, UpdateKind
 from loftweir.partners.merge import Reason, UnusedRoute
 
@@ -47,7 +47,7 @@
 
 
 def own(number=1, declared=FREE, **more):
-    return meshes.own(number, Declaration(declared), **more)
+    return meshes.make_own_service(number, Declaration(declared), **more)
 
 
 def claim(index, declared=FREE, same=()):
@@ -64,8 +64,8 @@
 def test_a_host_selects_its_service_in_every_form_and_an_unknown_one_has_a_reason():
     left = {"in@bb": {"bb": UnusedRoute(Reason.EXCLUDED)}, "old@bb": {"bb": UnusedRoute(Reason.STALE)}}
     left["odd@bb"] = {"bb": UnusedRoute(Reason.LEAKED, "cc")}
-    routes = {name: used(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
-    routes["shop@bb.example"] = used("shop@bb.example", "site-b")
+    routes = {name: make_used_route(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
+    routes["shop@bb.example"] = make_used_route("shop@bb.example", "site-b")
     table = dict.fromkeys(("shop@bb.example", "old@bb", "in@bb", "odd@bb"), claim(1))
     catalog = Catalog(
         LocalSite("aa", "z1", {"site-b": "bb.example"}), CatalogState({"web@aa": own()}, routes, left, table)
@@ -169,10 +169,12 @@
     assert [type(one) for one in answers] == [ClaimAccepted] * 100 + [ClaimRejected] * 200 and "let some" in answers[
         -1
     ].text
-    routes = {f"s{n}@evil": used(f"s{n}@evil") for n in range(300)} | {f"s{n}@bb": used(f"s{n}@bb") for n in range(10)}
-    routes |= {"pay@aa": used("pay@aa", "evil"), "pay@bb": used("pay@bb", "evil")}
+    routes = {f"s{n}@evil": make_used_route(f"s{n}@evil") for n in range(300)} | {
+        f"s{n}@bb": make_used_route(f"s{n}@bb") for n in range(10)
+    }
+    routes |= {"pay@aa": make_used_route("pay@aa", "evil"), "pay@bb": make_used_route("pay@bb", "evil")}
     state = CatalogState({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
-    catalog = Catalog(HERE, state)
+    catalog = Catalog(LOCAL_SITE, state)
     assert all(catalog.find(f"s{n}").key == f"s{n}@bb" for n in range(10)) and catalog.find("s50").key == "s50@evil"
     assert catalog.find("s20").key == "s20@aa" and reason_of(catalog, "s21") is UnknownReason.STALE
     assert catalog.find("s20.evil").key == "s20@evil" and reason_of(catalog, "s200") is UnknownReason.UNHELD
@@ -187,7 +189,7 @@
     again."""
     same = ("shop@bb", "shop@cc", "shop@dd")
     table = {f"shop@{m}": claim(n, d, same) for n, (m, d) in enumerate([("bb", KEYED), ("cc", ONCE), ("dd", FREE)])}
-    catalog = Catalog(HERE, CatalogState({}, {name: used(name) for name in table}, {}, table))
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {name: make_used_route(name) for name in table}, {}, table))
     assert catalog.find("shop").members == ("shop@bb",) and len(catalog.collisions["shop"].lost) == 2
     changed = catalog.update(CatalogState(claims={"shop@cc": claim(1, KEYED, same)}))
     shop = catalog.find("shop")
@@ -206,14 +208,16 @@
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
     table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
     table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
-    catalog = Catalog(HERE, CatalogState({}, {"shop@cc": used("shop@cc")}, {}, table.table))
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {"shop@cc": make_used_route("shop@cc")}, {}, table.table))
     for now in range(100):
         there = now % 2 == 0
         seen = {"shop@bb": ObservedService(Declaration(FREE) if there else None, now, withdrawn=True)}
         writes += pending_commands(table.table, seen, now, damping)
         for act in writes[:]:
             table.apply(10 + now, act)
-        catalog.update(CatalogState(used={"shop@bb": used("shop@bb") if there else None}, claims=table.table))
+        catalog.update(
+            CatalogState(used={"shop@bb": make_used_route("shop@bb") if there else None}, claims=table.table)
+        )
         found = catalog.find("shop")
         assert found.key == "shop@bb" if there else found.reason is UnknownReason.STALE
         assert catalog.find("shop.cc").key == "shop@cc"
@@ -248,8 +252,10 @@
 
 
 def test_a_renamed_service_keeps_both_names_until_the_old_claim_is_released():
-    catalog = Catalog(HERE, CatalogState({}, {"old@bb": used("old@bb")}, {}, {"old@bb": claim(1)}))
-    changed = catalog.update(CatalogState(used={"old@bb": None, "new@bb": used("new@bb")}, claims={"new@bb": claim(2)}))
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {"old@bb": make_used_route("old@bb")}, {}, {"old@bb": claim(1)}))
+    changed = catalog.update(
+        CatalogState(used={"old@bb": None, "new@bb": make_used_route("new@bb")}, claims={"new@bb": claim(2)})
+    )
     assert catalog.find("new").key == "new@bb" and catalog.find("old").reason is UnknownReason.STALE
     assert changed.ended == {"old@bb"} and changed.keys == {"new@bb"} and not changed.events
     catalog.update(CatalogState(claims={"old@bb": None}))
@@ -260,13 +266,13 @@
 
 
 def test_partners_are_used_only_without_ready_own_providers_or_for_remote_services():
-    catalog = Catalog(HERE, CatalogState({"web@aa": own(2)}, {"web@aa": used("web@aa", "s2")}, {}, {}))
-    catalog.site = HERE._replace(meshes={"s2": "aa"})
+    catalog = Catalog(LOCAL_SITE, CatalogState({"web@aa": own(2)}, {"web@aa": make_used_route("web@aa", "s2")}, {}, {}))
+    catalog.site = LOCAL_SITE._replace(meshes={"s2": "aa"})
     web = catalog.find("web")
     assert list(catalog.providers(web).endpoints) == ["p0", "p1"]
     catalog.update(CatalogState({"web@aa": own(2, life=Lifecycle.DRAINING)}))
     assert list(catalog.providers(catalog.find("web")).endpoints) == ["p0", "p1", "p0@s2", "p1@s2"]
-    routes = {"far@bb": used("far@bb", share=0.1)}
+    routes = {"far@bb": make_used_route("far@bb", share=0.1)}
     there = catalog.update(CatalogState({"far@bb": own(1, zone="z2")}, routes, {}, {"far@bb": claim(1)}))
     found = catalog.providers(catalog.find("far"))
     assert there.keys == {"far@bb"} and list(found.endpoints) == ["p0", "p0@bb", "p1@bb"] and found.fraction == 1.0
@@ -279,7 +285,10 @@
 @given(st.lists(st.tuples(st.sets(st.sampled_from("rwx"), min_size=1), SHARES), max_size=4), st.booleans())
 def test_provider_sets_respect_the_classes_and_shares_of_every_partner(partners, ready):
     classes = frozenset("rw")
-    routes = [used(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1) for n, (c, s) in enumerate(partners)]
+    routes = [
+        make_used_route(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1)
+        for n, (c, s) in enumerate(partners)
+    ]
     ends = [({"p": Endpoint("p", "z1", "plain", 1, Lifecycle.READY)}, {"p": "h:1"})] if ready else []
     found = build_provider_set(ends, routes, True, "z1", classes)
     assert found == build_provider_set(ends, routes[::-1], True, "z1", classes) and set(found.addresses) >= set(
@@ -294,7 +303,10 @@
 
 
 def test_updates_are_incremental_and_removed_providers_drain_first():
-    catalog = Catalog(HERE, CatalogState({"shop@aa": own(1)}, {"shop@bb": used("shop@bb")}, {}, {"shop@bb": claim(1)}))
+    catalog = Catalog(
+        LOCAL_SITE,
+        CatalogState({"shop@aa": own(1)}, {"shop@bb": make_used_route("shop@bb")}, {}, {"shop@bb": claim(1)}),
+    )
     feed, shop = ProviderFeed(10), catalog.find("shop")
     first = feed.step(0, catalog.providers(shop))
     assert first.update.kind is UpdateKind.FULL and first.addresses == {"p0": "10.0.0.1:80"} and not first.draining
@@ -346,9 +358,9 @@
 def check_simulations():
     repeats = 0
     for seed in range(12):
-        simulation = World(seed)
+        simulation = Simulation(seed)
         simulation.run(60)
-        assert not simulation.faults(), seed
+        assert not simulation.violations(), seed
         repeats += simulation.oracle.retries
     return repeats
 
