--- a/benchmarks/partners_virtual.py
+++ b/benchmarks/partners_virtual.py
@@ -12,12 +12,12 @@
 from collections import Counter
 from multiprocessing import Pool
 
-from loftweir.emulator.sites import play
+from loftweir.emulator.sites import simulate
 
 
 def one(seed: int) -> tuple[int, list[str], Counter[str], int]:
-    world = play(seed)
-    return seed, world.found(), world.seen, world.oracle.acts
+    world = simulate(seed)
+    return seed, world.violations(), world.event_counts, world.oracle.acts
 
 
 def main() -> int:
--- a/loftweir/cli/emulate.py
+++ b/loftweir/cli/emulate.py
@@ -11,7 +11,7 @@
 from loftweir.cli.common import as_json, exit_with_faults, print_json, print_table
 from loftweir.config.faults import Fault, Faulty
 from loftweir.emulator.baselines import BALANCERS
-from loftweir.emulator.emulation import play
+from loftweir.emulator.emulation import simulate
 from loftweir.emulator.result import Result
 from loftweir.emulator.scenario import Scenario, decode
 
@@ -61,7 +61,7 @@
     results = []
     for scenario in decoded:
         began = time.perf_counter()
-        results.append((play(scenario, seed, BALANCERS[balancer]), time.perf_counter() - began))
+        results.append((simulate(scenario, seed, BALANCERS[balancer]), time.perf_counter() - began))
     if as_json:
         print_json([result._asdict() for result, _ in results])
     else:
--- a/loftweir/emulator/emulation.py
+++ b/loftweir/emulator/emulation.py
@@ -34,7 +34,7 @@
                 self.instances.append(Instance(self.context, self.clients, self.lists, number, make, spec))
         FaultInjector(self.context, fleet, self.lists, self.clients, self.instances).schedule()
 
-    def play(self) -> Result:
+    def run(self) -> Result:
         """Plays the run to its end, which is when the last request has its answer."""
         context, scenario = self.context, self.scenario
         remembered = self.lists.whole()
@@ -80,6 +80,6 @@
         )
 
 
-def play(scenario: Scenario, seed: int, make: Make = Balancer) -> Result:
+def simulate(scenario: Scenario, seed: int, make: Make = Balancer) -> Result:
     """Plays a scenario once; equal arguments give equal results."""
-    return Emulation(scenario, seed, make).play()
+    return Emulation(scenario, seed, make).run()
--- a/loftweir/emulator/sites.py
+++ b/loftweir/emulator/sites.py
@@ -36,13 +36,13 @@
 )  # fmt: skip
 DELAY = 50 * MS  # of a message, at most
 TICK = 500 * MS  # between two looks at what each site uses
-HOP = TIMING.hold + TIMING.gone + 2 * DELAY + TICK
+MAX_HOP_DELAY = TIMING.hold + TIMING.gone + 2 * DELAY + TICK
 LIVES = 40 * SECOND  # of the time in which things happen
 SETTLES = 35 * SECOND  # ... and in which nothing does
-BEGIN = 1_700_000_000 * SECOND
+START_TIME = 1_700_000_000 * SECOND
 
 
-class Faults(msgspec.Struct, frozen=True):
+class LinkFaults(msgspec.Struct, frozen=True):
     """Of a message, each a probability."""
 
     lost: float = 0.0
@@ -61,7 +61,7 @@
 class Site:
     """One site: its sessions, its merge, what it offers; `disk` is what its copies keep over a restart."""
 
-    def __init__(self, world: World, name: str, honest: bool) -> None:
+    def __init__(self, world: Simulation, name: str, honest: bool) -> None:
         self.world, self.name, self.honest = world, name, honest
         self.neighbours: list[str] = []
         self.own: dict[str, Terms] = {}  # by service; what is withdrawn is not in it
@@ -76,7 +76,7 @@
         self.merger = Merger(self.policy())
 
     def policy(self) -> Policy:
-        routes = {s: route(s, self.name, terms) for s, terms in self.own.items()}
+        routes = {s: make_route(s, self.name, terms) for s, terms in self.own.items()}
         roles = dict.fromkeys(self.neighbours, self.world.role)
         return Policy(self.name, roles, offers=routes, restrictions=dict(self.words), gone_after=TIMING.gone)
 
@@ -113,10 +113,10 @@
             if isinstance(action, SendRequest):
                 world.ask(self, partner, action)
             elif isinstance(action, ResponseRejected):
-                world.seen[type(action.error).__name__] += 1
+                world.event_counts[type(action.error).__name__] += 1
             elif isinstance(action, SessionChanged):
                 if action.before is not session.state:
-                    world.seen[session.state.value] += 1
+                    world.event_counts[session.state.value] += 1
                 held = self.disk[partner] = session.partner_state()
                 for service, found in (held.table.routes if held.table is not None else {}).items():
                     self.hoard[service] = found
@@ -188,26 +188,26 @@
             self.world.oracle.used(now, self.name, service, used.route.path)
         for left in self.merger.merged.left.values():
             for why in left.values():
-                self.world.seen[why.reason.name] += 1
+                self.world.event_counts[why.reason.name] += 1
                 if why.reason is Reason.LEAKED:
-                    self.world.leakers[why.who] += 1
+                    self.world.leak_counts[why.who] += 1
 
 
-def route(service: str, site: str, terms: Terms) -> Route:
+def make_route(service: str, site: str, terms: Terms) -> Route:
     border = Provider(f"border.{site}", "127.0.0.1:80", "a", "plain")
     # Valid for longer than the session's own times: the bound is to hold by these.
     return Route(service, (site,), (border,), ("read",), 0.5, None, 60 * SECOND, terms)
 
 
-class World:
+class Simulation:
     def __init__(self, seed: int, names: Sequence[str], links: Sequence[tuple[str, str]], dishonest: str = "") -> None:
         self.random = random.Random(seed)
-        self.clock = Clock(BEGIN)
+        self.clock = Clock(START_TIME)
         self.role = Role.NONE
-        self.oracle = Oracle(HOP, frozenset((dishonest,)) - {""})
-        self.seen: Counter[str] = Counter()
-        self.leakers: Counter[str] = Counter()
-        self.faults = Faults()
+        self.oracle = Oracle(MAX_HOP_DELAY, frozenset((dishonest,)) - {""})
+        self.event_counts: Counter[str] = Counter()
+        self.leak_counts: Counter[str] = Counter()
+        self.faults = LinkFaults()
         self.down: set[frozenset[str]] = set()
         self.before: dict[tuple[str, str], list[bytes]] = {}  # answers that went over a link
         self.sites = {name: Site(self, name, name != dishonest) for name in names}
@@ -284,9 +284,9 @@
 
     # ---- at the end -----------------------------------------------------------------------------
 
-    def settle(self) -> None:
+    def heal_and_check(self) -> None:
         """Everything heals; then each site uses what a neighbour offers it, and all is as if merged anew."""
-        self.faults = Faults()
+        self.faults = LinkFaults()
         self.down.clear()
         self.run(SETTLES)
         now = self.clock.now
@@ -304,7 +304,7 @@
             if any(s.state is not SessionState.HOLDING for s in site.sessions.values()):
                 self.wrong.append(f"{site.name}: not all sessions came back")
 
-    def found(self) -> list[str]:
+    def violations(self) -> list[str]:
         return [*map(str, self.oracle.breaches), *self.wrong]
 
 
@@ -319,24 +319,24 @@
     return Terms(random_sites(draw, names), random_sites(draw, names), draw.randrange(4), until, unknown)
 
 
-def play(seed: int) -> World:
+def simulate(seed: int) -> Simulation:
     """One run of random sites, links, faults and words; read `found()` and `seen`."""
     draw = random.Random(f"sites {seed}")
     names = ["aa", "bb", "cc", "dd", "ee"][: draw.randrange(3, 6)]
     links = [(one, draw.choice(names[:number])) for number, one in enumerate(names) if number]
     links += [pair for pair in zip(names, names[2:], strict=False) if draw.random() < 0.6 and pair[::-1] not in links]
     dishonest = draw.choice(names) if draw.random() < 0.35 else ""
-    world = World(draw.getrandbits(32), names, links, dishonest)
+    world = Simulation(draw.getrandbits(32), names, links, dishonest)
     if draw.random() < 0.7:
-        world.faults = Faults(*(draw.random() * draw.choice((0, 0.05, 0.3)) for _ in range(3)))
+        world.faults = LinkFaults(*(draw.random() * draw.choice((0, 0.05, 0.3)) for _ in range(3)))
     services = [(name, f"s{number}@{name}") for name in names for number in range(draw.randrange(1, 3))]
     for name, service in services:
-        world.declare(name, service, OPEN if draw.random() < 0.5 else random_terms(draw, names, BEGIN))
+        world.declare(name, service, OPEN if draw.random() < 0.5 else random_terms(draw, names, START_TIME))
     world.start()
-    at = BEGIN
+    at = START_TIME
     while True:
         at += draw.randrange(100 * MS, 4 * SECOND)
-        if at > BEGIN + LIVES:
+        if at > START_TIME + LIVES:
             break
         world.clock.run(at)
         kind = draw.choice(("say", "say", "say", "withdraw", "word", "link", "link", "restart", "lost", "flap"))
@@ -358,5 +358,5 @@
         else:
             both = (one, other) if draw.random() < 0.3 else (one,)
             world.restart(both, kind == "lost", draw.randrange(10 * MS, 6 * SECOND))
-    world.settle()
+    world.heal_and_check()
     return world
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 from loftweir.emulator.baselines import BALANCERS, BROKEN, Baseline
 from loftweir.emulator.clock import Clock
 from loftweir.emulator.context import BEGAN
-from loftweir.emulator.emulation import play
+from loftweir.emulator.emulation import simulate
 from loftweir.emulator.node import Job, Node
 from loftweir.emulator.scenario import World, decode
 from loftweir.emulator.streams import Streams
@@ -156,21 +156,21 @@
     scenario = world(TROUBLES[name], rate=8.0 if "once" in name else 20.0)
     if "once" in name:  # seldom: in 20 s it is seen in 7 plays of 12
         crashes = [TROUBLES[name][0] | {"at": f"{n}s"} for n in range(3, 75, 3)]
-        plays = [play(world(crashes, 80, 8.0), seed, BROKEN[name]) for seed in range(3, 6)]
-        assert play(world(crashes, 80, 8.0), 3).breaches["effects"] == 0
+        plays = [simulate(world(crashes, 80, 8.0), seed, BROKEN[name]) for seed in range(3, 6)]
+        assert simulate(world(crashes, 80, 8.0), 3).breaches["effects"] == 0
     else:
-        plays = [play(scenario, 3, BROKEN[name])]
+        plays = [simulate(scenario, 3, BROKEN[name])]
     rule = name.partition(":")[0]
     for broken in plays:
         assert broken.breaches[rule] > 0, broken.breaches
         assert any(breach.rule == rule for breach in broken.shown)
-    sound = play(scenario, 3)
+    sound = simulate(scenario, 3)
     assert sound.sound(), sound.shown
 
 
 @pytest.mark.parametrize("name", ["calm", "hang", "zone-loss", "rolling-deploy", "mixed"])
 def test_the_sound_balancer_keeps_the_rules(name):
-    result = play(decode(read(name)), 1)
+    result = simulate(decode(read(name)), 1)
     assert result.sound(), result.shown
     assert result.asked == result.served + result.refused + result.failed + result.unanswered
     if name == "calm":
@@ -179,7 +179,7 @@
 
 def test_the_baselines_play_the_same_days():
     scenario = world(rate=10.0)
-    found = {name: play(scenario, 1, make) for name, make in BALANCERS.items()}
+    found = {name: simulate(scenario, 1, make) for name, make in BALANCERS.items()}
     assert len({result.asked for result in found.values()}) == 1, "the clients' draws are their own"
     assert all(result.goodput > 0.6 for result in found.values())
     assert found["loftweir"].sound()
@@ -201,9 +201,9 @@
     one, *others = [run.communicate()[0] for run in runs]
     assert others == [one] * 2
     found = json.loads(one)
-    here = play(decode(read("calm")), 5)
+    here = simulate(decode(read("calm")), 5)
     assert found[0]["goodput"] == pytest.approx(here.goodput, abs=1e-12) and found[0]["events"] == here.events
-    assert play(decode(read("calm")), 6).events != here.events
+    assert simulate(decode(read("calm")), 6).events != here.events
 
 
 # ---- scenario files ---------------------------------------------------------------------------------
--- a/tests/test_overdriven.py
+++ b/tests/test_overdriven.py
@@ -14,7 +14,7 @@
 from loftweir.emulator.clock import Clock
 from loftweir.emulator.connections import ConnectionTable
 from loftweir.emulator.context import BEGAN
-from loftweir.emulator.emulation import Emulation, play
+from loftweir.emulator.emulation import Emulation, simulate
 from loftweir.emulator.node import Costs, Node
 from loftweir.emulator.overdrive import OverdriveState
 from loftweir.emulator.processor import DedicatedCores, Job, SharedCores
@@ -40,7 +40,7 @@
     scenario = decode(tomllib.loads((ROOT / "scenarios" / f"{name}.toml").read_text(encoding="utf-8")))
     (burst,) = scenario.troubles
     begins, ends = burst.at // SECOND, (burst.at + burst.lasts) // SECOND
-    result = play(scenario, seed)
+    result = simulate(scenario, seed)
     assert result.sound(), result.shown
     return goodput(result.seconds[WARM_UP:begins]), goodput(
         result.seconds[ends + RECOVERY : scenario.seconds - WIND_DOWN]
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -11,7 +11,17 @@
 from hypothesis import strategies as st
 
 from loftweir.emulator import sites
-from loftweir.emulator.sites import BEGIN, HOP, MS, SECOND, TIMING, Faults, World, play, route
+from loftweir.emulator.sites import (
+    MAX_HOP_DELAY,
+    MS,
+    SECOND,
+    START_TIME,
+    TIMING,
+    LinkFaults,
+    Simulation,
+    make_route,
+    simulate,
+)
 from loftweir.errors import LoftweirError
 from loftweir.interface import SettingsError
 from loftweir.partners import merge as merge_module
@@ -102,7 +112,7 @@
         found = parse_terms({**good, name: value})
         assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
     assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(terms_module.FIELDS)
-    held = {"bb": fresh("bb", {SERVICE: route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
+    held = {"bb": fresh("bb", {SERVICE: make_route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
     assert str(merge(held, Policy("aa"), 0).left[SERVICE]["bb"]) == "unknown term price"
 
 
@@ -121,7 +131,7 @@
 
 def offer(site="bb", epoch=1, number=3):
     found = Offer(site, epoch)
-    found.replace({f"s{n}@{site}": route(f"s{n}@{site}", site, OPEN) for n in range(number)})
+    found.replace({f"s{n}@{site}": make_route(f"s{n}@{site}", site, OPEN) for n in range(number)})
     return found
 
 
@@ -180,7 +190,7 @@
     assert [fault.place for fault in caught.value.faults] == ["routes.0.share", "routes.2.path"]
     many, three = offer(number=3), Limits(routes=3)
     held = apply_response(None, parse_response(many.response(None), "bb"))
-    many.replace({**many.routes, "x@bb": route("x@bb", "bb", OPEN)})
+    many.replace({**many.routes, "x@bb": make_route("x@bb", "bb", OPEN)})
     for rejected in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
                     lambda: parse_response(many.response(None), "bb", three),
                     lambda: parse_response(many.response(None), "bb", Limits(bytes=100))):  # fmt: skip
@@ -199,7 +209,7 @@
             name = f"s{number}@bb"
             routes.pop(name, None)
             if there:
-                routes[name] = route(name, "bb", terms(passes=passes))
+                routes[name] = make_route(name, "bb", terms(passes=passes))
         source.replace(dict(routes))
         data = source.response(held.position if held else None, "q")
         for at in range(0, len(data), 97):
@@ -225,7 +235,7 @@
         merged = merge(partner_states, Policy("aa", **policy), 10)
         return merged.used["x@m"].partner, str(merged.left["x@m"]["cc" if merged.used["x@m"].partner == "bb" else "bb"])
 
-    one, other = ({"x@m": route("x@m", site, OPEN)} for site in ("bb", "cc"))
+    one, other = ({"x@m": make_route("x@m", site, OPEN)} for site in ("bb", "cc"))
     far = {"x@m": msgspec.structs.replace(one["x@m"], path=("bb", "dd"))}
     assert two(fresh("bb", one), fresh("cc", other)) == ("bb", "worse than bb (name)")
     assert two(fresh("bb", far), fresh("cc", other)) == ("cc", "worse than cc (shorter path)")
@@ -238,7 +248,7 @@
     assert last.reason is Reason.STALE
     away = merge({"bb": msgspec.structs.replace(stale, freshness=Freshness.GONE)}, Policy("aa"), 10)
     assert away.left["x@m"]["bb"].reason is Reason.AWAY
-    excluded = {"x@m": route("x@m", "bb", terms(use=only("cc")))}
+    excluded = {"x@m": make_route("x@m", "bb", terms(use=only("cc")))}
     assert merge({"bb": fresh("bb", excluded)}, Policy("aa"), 10).left["x@m"]["bb"].reason is Reason.EXCLUDED
     limited = Policy("aa", limits=Limits(path=1))
     assert merge({"bb": fresh("bb", far)}, limited, 10).left["x@m"]["bb"] == (Reason.LIMIT, "path", "")
@@ -247,12 +257,12 @@
 def test_routes_of_upstream_sites_and_peers_go_only_downstream():
     """RFC 9234, section 5: the four relations, and a leak by a downstream site that the mark reveals."""
     roles = {"up": Role.UPSTREAM, "peer": Role.PEER, "down": Role.DOWNSTREAM, "any": Role.NONE, "low": Role.DOWNSTREAM}
-    partner_states = {n: fresh(n, {f"x@{n}": route(f"x@{n}", n, OPEN)}) for n in roles}
+    partner_states = {n: fresh(n, {f"x@{n}": make_route(f"x@{n}", n, OPEN)}) for n in roles}
     shown = merge(partner_states, Policy("aa", roles), 1).shown
     assert set(shown["down"]) == {"x@up", "x@peer", "x@low", "x@any"}
     assert set(shown["up"]) == {"x@down", "x@low", "x@any"} and set(shown["peer"]) == {"x@down", "x@low", "x@any"}
     assert {n: r.marked for n, r in shown["down"].items()}["x@up"] == "up" and shown["peer"]["x@down"].marked == "aa"
-    marked = {"y@m": msgspec.structs.replace(route("y@m", "down", OPEN), path=("down", "zz"), marked="zz")}
+    marked = {"y@m": msgspec.structs.replace(make_route("y@m", "down", OPEN), path=("down", "zz"), marked="zz")}
     assert merge({"down": fresh("down", marked)}, Policy("aa", roles), 1).left["y@m"]["down"].who == "down"
 
 
@@ -267,7 +277,7 @@
 def routes_of(partner, drawn):
     found = {}
     for number, (declared, path, valid) in drawn.items():
-        partner_route = route(f"s{number}@m", partner, declared)
+        partner_route = make_route(f"s{number}@m", partner, declared)
         found[partner_route.service] = msgspec.structs.replace(partner_route, path=(partner, *path), valid_for=valid)
     return found
 
@@ -275,7 +285,7 @@
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS, TERMS)
 def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, restriction):
-    own = {"s3@m": route("s3@m", "aa", terms(show=only("bb"), until=20))}
+    own = {"s3@m": make_route("s3@m", "aa", terms(show=only("bb"), until=20))}
     policy = Policy("aa", {"bb": Role.NONE, "cc": Role.PEER, "ff": Role.DOWNSTREAM}, offers=own, gone_after=9,
                     restrictions={"s1@m": restriction})  # fmt: skip
     merger, now, partner_states = Merger(policy), 0, {}
@@ -321,7 +331,7 @@
     """A session whose partner responds at once while `up`. A request without changes takes its whole wait."""
 
     def __init__(self, timing=TIMING, limits=table_module.DEFAULT_LIMITS):
-        self.now, self.up, self.source, self.edit = BEGIN, True, offer(), lambda data: data
+        self.now, self.up, self.source, self.edit = START_TIME, True, offer(), lambda data: data
         self.session = Session("bb", "life", lambda: 0.5, timing, limits)
         self.seen, self.errors = [], []
         self.do(self.session.start(self.now))
@@ -383,7 +393,7 @@
     ages = [aged_state(held, held.confirmed_at + later, TIMING).freshness for later in after]
     assert ages == [Freshness.FRESH, Freshness.STALE, Freshness.GONE]  # as an observer that is cut off computes it
     late = Session("bb", "third", lambda: 0.5, TIMING)
-    late.start(partner.now + HOP, held)
+    late.start(partner.now + MAX_HOP_DELAY, held)
     assert late.state is SessionState.GONE
 
 
@@ -391,7 +401,7 @@
     for edit, what in ((lambda data: data[:-20], "truncated"), (lambda data: data + b" " * 9000, "at most")):
         partner = Partner(limits=Limits(bytes=8000))
         before = partner.session.table
-        partner.source.replace({SERVICE.replace("aa", "bb"): route(SERVICE.replace("aa", "bb"), "bb", CLOSED)})
+        partner.source.replace({SERVICE.replace("aa", "bb"): make_route(SERVICE.replace("aa", "bb"), "bb", CLOSED)})
         partner.edit = edit
         assert partner.run(TIMING.hold - 2 * SECOND) is SessionState.HOLDING and partner.session.table is before
         assert partner.errors and what in str(partner.errors[0]) and partner.errors[0].partner == "bb"
@@ -416,7 +426,7 @@
     assert (
         partner.session.table.position == (2, 1) and all(type(e) is OldTable for e in partner.errors) and partner.errors
     )
-    partner.run(HOP)
+    partner.run(MAX_HOP_DELAY)
     assert partner.session.table.position == (1, 1)
     first = partner.source.response(None, "life.1")  # a cached response
     partner.source, partner.edit = offer(epoch=3), lambda data: first
@@ -445,7 +455,7 @@
         partner.run(TIMING.damped_most) is SessionState.HOLDING
         and ramp_factor(partner.session.partner_state(), partner.now, TIMING) <= 1
     )
-    assert partner.session.partner_state().back_at > BEGIN + SECOND
+    assert partner.session.partner_state().back_at > START_TIME + SECOND
 
 
 # ---- several sites -------------------------------------------------------------------------------
@@ -453,7 +463,7 @@
 
 def simulated_sites(links, dishonest="", seed=1, declared=OPEN):
     pairs = [pair.split("-") for pair in links.split()]
-    simulation = World(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
+    simulation = Simulation(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
     simulation.declare("aa", SERVICE, declared)
     simulation.start()
     simulation.run(5 * SECOND)
@@ -471,8 +481,8 @@
     simulation.link("aa", "bb", False)
     simulation.run(SECOND)
     simulation.declare("aa", SERVICE, new_terms)
-    simulation.run(3 * HOP)
-    assert simulation.found() or (used_path(simulation, "bb"), used_path(simulation, "cc")) == (None, None)
+    simulation.run(3 * MAX_HOP_DELAY)
+    assert simulation.violations() or (used_path(simulation, "bb"), used_path(simulation, "cc")) == (None, None)
     simulation.link("aa", "bb", True)
     simulation.run(5 * SECOND)
     return simulation
@@ -482,10 +492,10 @@
 def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(new_terms):
     simulation = tightened_while_a_link_is_down(new_terms)
     assert (
-        not simulation.found()
+        not simulation.violations()
         and used_path(simulation, "bb") is None
-        and simulation.seen["stale"]
-        and simulation.seen["gone"]
+        and simulation.event_counts["stale"]
+        and simulation.event_counts["gone"]
     )
 
 
@@ -494,8 +504,10 @@
     assert used_path(simulation, "bb") == ("aa",) and used_path(simulation, "dd") == ("cc", "aa")
     simulation.declare("aa", SERVICE, None)
     simulation.run(SECOND)
-    assert [used_path(simulation, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not simulation.found()
-    loop = {"bb": fresh("bb", {SERVICE: msgspec.structs.replace(route(SERVICE, "bb", OPEN), path=("bb", "cc", "aa"))})}
+    assert [used_path(simulation, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not simulation.violations()
+    loop = {
+        "bb": fresh("bb", {SERVICE: msgspec.structs.replace(make_route(SERVICE, "bb", OPEN), path=("bb", "cc", "aa"))})
+    }
     assert merge(loop, Policy("cc"), 0).left[SERVICE]["bb"].reason is Reason.LOOP
 
 
@@ -505,8 +517,8 @@
     assert (
         used_path(simulation, "cc") is None
         and used_path(simulation, "dd") is None
-        and simulation.leakers["bb"]
-        and not simulation.found()
+        and simulation.leak_counts["bb"]
+        and not simulation.violations()
     )
     assert str(simulation.sites["cc"].merger.merged.left[SERVICE]["bb"]) == "leaked by bb"
     assert SERVICE not in simulation.sites["cc"].merger.merged.shown["dd"]
@@ -516,11 +528,11 @@
     simulation = simulated_sites("aa-bb")
     simulation.declare("aa", SERVICE, terms(use=NO_SITES))
     simulation.run(SECOND)
-    simulation.faults = Faults(repeated=0.7)
+    simulation.faults = LinkFaults(repeated=0.7)
     simulation.run(20 * SECOND)
-    assert simulation.seen["OldTable"] and used_path(simulation, "bb") is None
-    simulation.settle()
-    assert not simulation.found()
+    assert simulation.event_counts["OldTable"] and used_path(simulation, "bb") is None
+    simulation.heal_and_check()
+    assert not simulation.violations()
 
 
 def test_two_sites_restarted_without_data_return_by_the_ramp_and_others_are_not_affected():
@@ -531,28 +543,30 @@
     simulation.run(1500 * MS)
     held = simulation.sites["bb"].disk["aa"]
     assert used_path(simulation, "bb") == ("aa",) and ramp_factor(held, simulation.clock.now, TIMING) < 0.3
-    simulation.faults = Faults(cut=1.0)
-    simulation.settle()
-    assert not simulation.found()
+    simulation.faults = LinkFaults(cut=1.0)
+    simulation.heal_and_check()
+    assert not simulation.violations()
     before = simulation.sites["cc"].sessions["bb"].since
     for number in range(12):
         simulation.link("aa", "bb", number % 2 == 0)
         simulation.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
     assert (
-        simulation.seen["damped"] and simulation.sites["cc"].sessions["bb"].since == before and not simulation.found()
+        simulation.event_counts["damped"]
+        and simulation.sites["cc"].sessions["bb"].since == before
+        and not simulation.violations()
     )
     assert simulation.sites["bb"].sessions["cc"].state is SessionState.HOLDING and used_path(simulation, "bb") is None
-    simulation.settle()
-    assert not simulation.found() and used_path(simulation, "bb") == ("aa",)
+    simulation.heal_and_check()
+    assert not simulation.violations() and used_path(simulation, "bb") == ("aa",)
 
 
 def test_random_sites_never_use_or_show_a_route_against_its_terms():
     seen, acts = {}, 0
     for seed in range(200):
-        simulation = play(seed)
-        assert not simulation.found(), (seed, simulation.found()[0])
+        simulation = simulate(seed)
+        assert not simulation.violations(), (seed, simulation.violations()[0])
         acts += simulation.oracle.acts
-        for name in simulation.seen:
+        for name in simulation.event_counts:
             seen[name] = seen.get(name, 0) + 1
     assert acts > 50_000
     for name in ("BadTable", "OldTable", "LEAKED", "EXPIRED", "EXCLUDED", "WORSE", "stale", "gone", "damped"):
@@ -611,13 +625,13 @@
 
 def check_holds(check):
     try:
-        return not check().found()
+        return not check().violations()
     except AssertionError:
         return False
 
 
 class NoFindings:
-    def found(self):
+    def violations(self):
         return []
 
 
@@ -629,7 +643,7 @@
 
 
 def random_days():
-    return next((simulation for simulation in map(play, range(40)) if simulation.found()), NoFindings())
+    return next((simulation for simulation in map(simulate, range(40)) if simulation.violations()), NoFindings())
 
 
 def leak():
@@ -641,13 +655,13 @@
 def replay():
     simulation = simulated_sites("aa-bb")
     simulation.declare("aa", SERVICE, CLOSED)
-    simulation.faults = Faults(repeated=0.7)
-    simulation.run(3 * HOP)
+    simulation.faults = LinkFaults(repeated=0.7)
+    simulation.run(3 * MAX_HOP_DELAY)
     return simulation
 
 
 def unknown_term():
-    simulation = World(1, ["aa", "bb"], [("aa", "bb")])
+    simulation = Simulation(1, ["aa", "bb"], [("aa", "bb")])
     simulation.declare("aa", SERVICE, OPEN)
     simulation.start()
     simulation.run(2 * SECOND)
@@ -655,12 +669,12 @@
         simulation.declare("aa", SERVICE, terms(passes=7))  # is sent with a term that no site knows
     # The meaning of that term is that no site may use the route.
     simulation.oracle.declare(simulation.clock.now, "aa", SERVICE, terms(use=NO_SITES))
-    simulation.run(2 * HOP)
+    simulation.run(2 * MAX_HOP_DELAY)
     return simulation
 
 
 def expired_terms():
-    simulation = simulated_sites("aa-bb", declared=terms(until=BEGIN + 8 * SECOND))
+    simulation = simulated_sites("aa-bb", declared=terms(until=START_TIME + 8 * SECOND))
     assert used_path(simulation, "bb")
     simulation.link("aa", "bb", False)
     simulation.run(4 * SECOND)
