--- a/loftweir/explain.py
+++ b/loftweir/explain.py
@@ -1,7 +1,8 @@
-"""Where a balancer would send a run of requests, and why it would not use the others. No I/O, no wall clock.
+"""Where a balancer would send a series of requests, and why it would not use the other providers.
 
-It hosts the real `Balancer` in virtual time: requests come at a steady rate, providers answer as they are said to,
-and what the balancer itself says of each provider (`why_not`) is kept beside every decision.
+It hosts the real `Balancer` in virtual time: requests arrive at a steady rate, and providers answer as configured. For
+each decision it records why the balancer excluded each of the other providers (`exclusion_reasons`). There is no I/O
+and no wall clock.
 """
 
 from __future__ import annotations
@@ -13,10 +14,12 @@
 from typing import Any, NamedTuple
 
 from loftweir import interface as api
-from loftweir.balance import AILING, Balancer, ProviderState
+from loftweir.balance import MAX_FAILURE_RATE, Balancer, ProviderState
 
+# Nanoseconds.
 MS, SECOND = 1_000_000, 1_000_000_000
-CALM = 10 * SECOND  # from the list to the first request
+# From the list to the first request.
+FIRST_REQUEST_AFTER = 10 * SECOND
 
 # How a provider that does not simply answer ends an attempt: the outcome, and whether it comes at once.
 BEHAVIOURS = {
@@ -29,12 +32,12 @@
 
 
 class Traffic(NamedTuple):
-    """What comes: `requests` of one class, `gap` ns apart, each answered after `answer` ns."""
+    """The requests to simulate, all of one class."""
 
     class_name: str
     requests: int
-    gap: int = 100 * MS
-    answer: int = 50 * MS
+    gap: int = 100 * MS  # ns from one request to the next
+    answer: int = 50 * MS  # ns from an attempt to its answer
 
 
 class Decision(NamedTuple):
@@ -42,17 +45,20 @@
 
     request: int
     at_ms: float
-    what: str  # attempt, rejected, failed, held
+    what: str  # attempt, rejected or failed
     provider: str
     others: dict[str, list[str]]
 
 
 class Explanation(NamedTuple):
+    """All decisions for the simulated requests, with totals."""
+
     decisions: list[Decision]
     attempts: dict[str, int]  # by provider, those never chosen included
-    outcomes: dict[str, int]  # of requests: served, rejected, failed, and none where it is still held
+    outcomes: dict[str, int]  # of requests: served, rejected, failed, and none for those without a final answer
 
     def as_dict(self) -> dict[str, Any]:
+        """Return it as it is printed in JSON."""
         return {
             "attempts": self.attempts,
             "outcomes": self.outcomes,
@@ -60,82 +66,89 @@
         }
 
 
-def why_not(balancer: Balancer, server: ProviderState, cls: api.RequestClass) -> list[str]:
-    """Why a first attempt of this class would not go there now; empty: it may. What the decisions are made of, asked
-    of the balancer's own parts; it decides nothing."""
-    now, near = balancer.now, balancer.near.providers
-    far = server.zone != balancer.settings.zone
+def exclusion_reasons(balancer: Balancer, provider: ProviderState, cls: api.RequestClass) -> list[str]:
+    """Return why a first attempt of this class would not go to the provider now; empty if it may.
+
+    It calls the balancer's own checks and decides nothing itself.
+    """
+    now, local = balancer.now, balancer.local.providers
+    remote = provider.zone != balancer.settings.zone
     reasons = {
-        "drains": not server.ready,
-        "set aside": server.out_until > now,
-        "turned a call away": server.full_until > now,
-        "no room": server.full_until <= now and not balancer._has_room(server, cls),
-        "fails the class": balancer._fails(server, cls.name) >= AILING,
-        "cold": far and bool(near) and balancer._frail(server),
-        "other zone": far and any(not why_not(balancer, s, cls) for s in near),
+        "drains": not provider.ready,
+        "set aside": provider.ejected_until > now,
+        "turned a call away": provider.skipped_until > now,
+        "no room": provider.skipped_until <= now and not balancer._has_room(provider, cls),
+        "fails the class": balancer._failure_rate(provider, cls.name) >= MAX_FAILURE_RATE,
+        "cold": remote and bool(local) and balancer._is_cold(provider),
+        "other zone": remote and any(not exclusion_reasons(balancer, p, cls) for p in local),
     }
-    return [reason for reason, holds in reasons.items() if holds]
+    return [reason for reason, applies in reasons.items() if applies]
 
 
-class Run:
-    """One balancer in virtual time."""
+class Simulation:
+    """One balancer and its providers in virtual time."""
 
     def __init__(
         self, settings: api.Settings, known: api.MembershipUpdate, seed: int, behaves: Mapping[str, str], began: int
     ) -> None:
         self.balancer = Balancer(settings, seed)
         self.behaves = behaves
-        self.began = began  # the list's own clock, ns: servers of the list are as old as it says
+        self.began = began  # ns on the list's own clock, so that providers have the age that the list says
         self.order = count()  # of events at one moment
         self.queue: list[tuple[int, int, api.Event]] = []
         self.decisions: list[Decision] = []
-        self.over: dict[str, str] = {}
-        self.tries: Counter[str] = Counter()
-        self.put(began, known)
+        self.final_answers: dict[str, str] = {}  # by request
+        self.attempts: Counter[str] = Counter()  # by request
+        self.schedule(began, known)
 
-    def put(self, at: int, event: api.Event) -> None:
+    def schedule(self, at: int, event: api.Event) -> None:
+        """Add an event at a time in ns."""
         heapq.heappush(self.queue, (at, next(self.order), event))
 
-    def play(self, traffic: Traffic) -> None:
+    def run(self, traffic: Traffic) -> None:
+        """Simulate the traffic until every request has its final answer or no event is left."""
         cls = self.balancer.settings.classes[traffic.class_name]
-        first = self.began + CALM
+        first = self.began + FIRST_REQUEST_AFTER
         for number in range(traffic.requests):
             request = api.Request(str(number), cls.name, cls.deadline, key=f"key-{number}")
-            self.put(first + number * traffic.gap, request)
-        while self.queue and len(self.over) < traffic.requests:
+            self.schedule(first + number * traffic.gap, request)
+        while self.queue and len(self.final_answers) < traffic.requests:
             now, _, event = heapq.heappop(self.queue)
             for action in self.balancer.handle(now, [event]):
                 self.carry_out(now, action, cls, traffic)
 
     def carry_out(self, now: int, action: api.Action, cls: api.RequestClass, traffic: Traffic) -> None:
+        """Carry out one action of the balancer and record attempts and final answers."""
         if isinstance(action, api.Timer):
-            self.put(now + action.delay, api.TimerFired(action.tag))
+            self.schedule(now + action.delay, api.TimerFired(action.tag))
         elif isinstance(action, api.Attempt):
-            self.decide(now, action.request_id, "attempt", action.provider, cls)
+            self.record(now, action.request_id, "attempt", action.provider, cls)
             outcome, at_once = BEHAVIOURS.get(self.behaves.get(action.provider, ""), (api.Outcome.OK, False))
             silent = outcome is api.Outcome.TIMED_OUT
             ends = action.give_up_at if silent else now + (MS if at_once else traffic.answer)
             late = ends >= action.give_up_at
-            number = self.tries[action.request_id]
-            self.tries[action.request_id] += 1
+            number = self.attempts[action.request_id]
+            self.attempts[action.request_id] += 1
             if late:
                 ends, outcome = action.give_up_at, api.Outcome.TIMED_OUT
             served = outcome is api.Outcome.OK
-            self.put(ends, api.AttemptEnded(action.request_id, number, action.provider, outcome, ends - now, served))
+            ended = api.AttemptEnded(action.request_id, number, action.provider, outcome, ends - now, served)
+            self.schedule(ends, ended)
             if served:
-                self.over[action.request_id] = "served"
+                self.final_answers[action.request_id] = "served"
         elif isinstance(action, api.Reject | api.Fail):
             what = "rejected" if isinstance(action, api.Reject) else "failed"
-            self.over[action.request_id] = what
-            self.decide(now, action.request_id, what, "", cls)
+            self.final_answers[action.request_id] = what
+            self.record(now, action.request_id, what, "", cls)
 
-    def decide(self, now: int, request_id: str, what: str, provider: str, cls: api.RequestClass) -> None:
+    def record(self, now: int, request_id: str, what: str, provider: str, cls: api.RequestClass) -> None:
+        """Record a decision with the reasons against all other providers."""
         others = {
-            name: why_not(self.balancer, server, cls)
-            for name, server in self.balancer.providers.items()
+            name: exclusion_reasons(self.balancer, state, cls)
+            for name, state in self.balancer.providers.items()
             if name != provider
         }
-        at_ms = (now - self.began - CALM) / MS
+        at_ms = (now - self.began - FIRST_REQUEST_AFTER) / MS
         self.decisions.append(Decision(int(request_id), at_ms, what, provider, others))
 
 
@@ -145,19 +158,19 @@
     traffic: Traffic,
     seed: int = 1,
     behaves: Mapping[str, str] | None = None,
-    began: int = CALM,
+    began: int = FIRST_REQUEST_AFTER,
 ) -> Explanation:
-    """Plays the traffic against a fresh balancer that holds `known`; equal seeds give equal explanations.
+    """Simulate the traffic with a new balancer that knows the list `known`; equal seeds give equal explanations.
 
-    `behaves` names, for a provider, one of BEHAVIOURS; `began` is the list's clock in ns. A KeyError where the
-    class is not one of the settings'.
+    `behaves` gives one of BEHAVIOURS for some providers, by name; `began` is the time in ns on the list's clock. Raises
+    KeyError if the class is not one of the settings'.
     """
-    run = Run(settings, known, seed, behaves or {}, began)
-    run.play(traffic)
+    simulation = Simulation(settings, known, seed, behaves or {}, began)
+    simulation.run(traffic)
     attempts = dict.fromkeys((e.address for e in known.endpoints if e.lifecycle is not api.Lifecycle.GONE), 0)
-    for decision in run.decisions:
+    for decision in simulation.decisions:
         if decision.what == "attempt":
             attempts[decision.provider] += 1
-    outcomes = Counter(run.over.values())
-    outcomes["none"] = traffic.requests - len(run.over)
-    return Explanation(run.decisions, attempts, {k: v for k, v in outcomes.items() if v})
+    outcomes = Counter(simulation.final_answers.values())
+    outcomes["none"] = traffic.requests - len(simulation.final_answers)
+    return Explanation(simulation.decisions, attempts, {k: v for k, v in outcomes.items() if v})
--- a/loftweir/settings.py
+++ b/loftweir/settings.py
@@ -1,6 +1,6 @@
-"""The one reader of the platform's settings, for both programs: path=value pairs or JSON to `interface.Settings`.
+"""Parses the platform's settings, path=value pairs or JSON, to `interface.Settings`. Both programs use it.
 
-It reads on past a fault, so that all of them are known at once.
+Parsing continues after a fault, so that all faults are reported at once.
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
 
 
 class WireError(LoftweirError):
-    """A line is not of the simulator's wire, and `loftweir.adapter` ends with 1: which line and field, and why."""
+    """A line does not follow the simulator's protocol; it names the line, the field and the reason. `loftweir.adapter`
+    exits with 1."""
 
-    remedy = "Mend that line where it is written, in what drives `python -m loftweir.adapter`, and start both again."
+    remedy = "Correct that line in the program that drives `python -m loftweir.adapter`, and start both again."
 
 
-def integer(field: str, text: str) -> int:
+def parse_integer(field: str, text: str) -> int:
+    """Parse a whole number; `-` is 0."""
     if text == "-":
         return 0
     try:
@@ -30,7 +32,8 @@
         raise WireError(f"field {field}: {text!r} is not a whole number") from None
 
 
-def number(field: str, text: str) -> float:
+def parse_number(field: str, text: str) -> float:
+    """Parse a finite number; `-` is 0."""
     if text == "-":
         return 0.0
     try:
@@ -42,7 +45,8 @@
     return value
 
 
-def choice(field: str, text: str, known: dict[str, T]) -> T:
+def parse_choice(field: str, text: str, known: dict[str, T]) -> T:
+    """Return the value that a word stands for."""
     try:
         return known[text]
     except KeyError:
@@ -50,88 +54,104 @@
 
 
 class ValueFault(NamedTuple):
-    """One fault of the settings: where, what stood there (None: nothing) and what was expected."""
+    """A value of the settings that can't be used."""
 
     path: str
-    value: str | None
+    value: str | None  # None: there is no value
     expected: str
 
 
-MOST_FAULTS = 100  # a count that lies must not make a list of its own length
+# The most faults that are reported: a wrong count of objects must not result in as many faults.
+MAX_FAULTS = 100
 
 
 class Values(ABC):
-    """Settings by their paths, wherever they stand; what is not looked for is never looked at.
+    """Settings by path, in any format. Unknown paths are ignored.
 
-    What can't be read is kept in `wrong`, and something of its type is given back in its place: reading goes on.
+    A value that can't be read is added to `faults`, and a placeholder of its type is returned, so that parsing
+    continues.
     """
 
     def __init__(self) -> None:
-        self.wrong: list[ValueFault] = []
+        self.faults: list[ValueFault] = []
 
     @abstractmethod
     def get(self, path: str) -> Any:
-        """What stands there; None: nothing."""
+        """Return the value at a path; None: there is none."""
 
     @abstractmethod
-    def as_integer(self, path: str, value: Any) -> int: ...
+    def as_integer(self, path: str, value: Any) -> int:
+        """Convert a value, or raise WireError."""
 
     @abstractmethod
-    def as_number(self, path: str, value: Any) -> float: ...
+    def as_number(self, path: str, value: Any) -> float:
+        """Convert a value, or raise WireError."""
 
     @abstractmethod
-    def as_text(self, path: str, value: Any) -> str: ...
+    def as_text(self, path: str, value: Any) -> str:
+        """Convert a value, or raise WireError."""
 
     @abstractmethod
-    def as_flag(self, path: str, value: Any) -> bool: ...
+    def as_flag(self, path: str, value: Any) -> bool:
+        """Convert a value, or raise WireError."""
 
     @abstractmethod
-    def as_texts(self, path: str, value: Any) -> tuple[str, ...]: ...
+    def as_texts(self, path: str, value: Any) -> tuple[str, ...]:
+        """Convert a value, or raise WireError."""
 
     @abstractmethod
     def count(self, path: str) -> int | None:
-        """How many objects a list has; None: there is none."""
+        """Return how many objects a list has; None: there is no list."""
 
-    def fault(self, path: str, value: Any, expected: str) -> None:
-        if len(self.wrong) < MOST_FAULTS:
-            self.wrong.append(ValueFault(path, None if value is None else str(value), expected))
+    def add_fault(self, path: str, value: Any, expected: str) -> None:
+        """Record a value that can't be used; `value` None: there is no value."""
+        if len(self.faults) < MAX_FAULTS:
+            self.faults.append(ValueFault(path, None if value is None else str(value), expected))
 
-    def read(self, path: str, default: T | None, read: Callable[[str, Any], T], instead: T, expected: str) -> T:
+    def read(self, path: str, default: T | None, convert: Callable[[str, Any], T], placeholder: T, expected: str) -> T:
+        """Return the value at a path, its default, or the placeholder after a fault; `default` None: it is required."""
         value = self.get(path)
         if value is None and default is not None:
             return default
         try:
             if value is not None:
-                return read(path, value)
+                return convert(path, value)
         except WireError:
             pass
-        self.fault(path, value, expected)
-        return instead
+        self.add_fault(path, value, expected)
+        return placeholder
 
     def text(self, path: str) -> str:
+        """Read a required text."""
         return self.read(path, None, self.as_text, "", "text")
 
     def integer(self, path: str, default: int | None = None) -> int:
+        """Read a whole number."""
         return self.read(path, default, self.as_integer, 0, "a whole number")
 
     def number(self, path: str, default: float | None = None) -> float:
+        """Read a finite number."""
         return self.read(path, default, self.as_number, 0.0, "a finite number")
 
     def flag(self, path: str) -> bool:
+        """Read a flag, which is false by default."""
         return self.read(path, False, self.as_flag, False, "true or false")
 
     def texts(self, path: str) -> tuple[str, ...]:
+        """Read a required list of texts."""
         return self.read(path, None, self.as_texts, (), "at least one name")
 
-    def member(self, path: str, known: dict[str, T], default: T | None = None) -> T:
-        def read(path: str, value: Any) -> T:
-            return choice(path, self.as_text(path, value), known)
+    def choice(self, path: str, known: dict[str, T], default: T | None = None) -> T:
+        """Read a word, and return the value that it stands for."""
 
-        return self.read(path, default, read, next(iter(known.values())), f"one of {', '.join(known)}")
+        def convert(path: str, value: Any) -> T:
+            return parse_choice(path, self.as_text(path, value), known)
+
+        return self.read(path, default, convert, next(iter(known.values())), f"one of {', '.join(known)}")
 
 
 class PathValues(Values):
-    """The path=value pairs of a LAUNCH line; `-` is an absent one."""
+    """The path=value pairs of a LAUNCH line; `-` stands for an absent value."""
 
     def __init__(self, parts: Iterable[str]) -> None:
         super().__init__()
@@ -139,7 +159,7 @@
         for part in parts:
             path, sign, value = part.partition("=")
             if not sign:
-                self.fault("", part, "path=value")
+                self.add_fault("", part, "path=value")
             self.values[path] = value
 
     def get(self, path: str) -> Any:
@@ -147,10 +167,10 @@
         return None if value == "-" else value
 
     def as_integer(self, path: str, value: str) -> int:
-        return integer(path, value)
+        return parse_integer(path, value)
 
     def as_number(self, path: str, value: str) -> float:
-        return number(path, value)
+        return parse_number(path, value)
 
     def as_text(self, path: str, value: str) -> str:
         if not value:
@@ -158,7 +178,7 @@
         return value
 
     def as_flag(self, path: str, value: str) -> bool:
-        return choice(path, value, {"true": True, "false": False, "1": True, "0": False})
+        return parse_choice(path, value, {"true": True, "false": False, "1": True, "0": False})
 
     def as_texts(self, path: str, value: str) -> tuple[str, ...]:
         return tuple(self.as_text(path, part) for part in value.split(","))
@@ -170,20 +190,22 @@
 
 
 class Null:
-    """What stands in JSON as null: nothing can be read from it."""
+    """A JSON null, which can't be converted to any type."""
 
     def __str__(self) -> str:
         return "null"
 
 
 class JsonValues(Values):
-    """The same as an object of JSON, each value of its own kind: no number from the same digits as text. A null is no
-    default: where a key is said, its value is due."""
+    """Settings as a JSON object, in which each value has its own type: a text with digits is no number.
+
+    A null does not stand for the default: a key that is present needs a value.
+    """
 
     def __init__(self, data: Mapping[str, Any]) -> None:
         super().__init__()
         self.data = data
-        self.told: set[str] = set()  # places that are no objects, and stand in the paths of others
+        self.not_objects: set[str] = set()  # reported paths whose values should be objects and are not
 
     def get(self, path: str) -> Any:
         value: Any = self.data
@@ -192,10 +214,10 @@
             if isinstance(value, list) and name.isdigit():
                 value = value[int(name)]
             elif not isinstance(value, dict):
-                at = ".".join(names[:depth])
-                if at not in self.told:
-                    self.fault(at, value, "an object")
-                    self.told.add(at)
+                parent = ".".join(names[:depth])
+                if parent not in self.not_objects:
+                    self.add_fault(parent, value, "an object")
+                    self.not_objects.add(parent)
                 return None
             elif name not in value:
                 return None
@@ -203,9 +225,10 @@
                 value = value[name]
         return Null() if value is None else value
 
-    def fault(self, path: str, value: Any, expected: str) -> None:
-        if not any(path.startswith(f"{at}.") for at in self.told):  # told already, by what it was to be in
-            super().fault(path, value, expected)
+    def add_fault(self, path: str, value: Any, expected: str) -> None:
+        """Record a fault, unless one of the objects that should contain the value was reported."""
+        if not any(path.startswith(f"{parent}.") for parent in self.not_objects):
+            super().add_fault(path, value, expected)
 
     def as_integer(self, path: str, value: Any) -> int:
         number = self.as_number(path, value)
@@ -216,7 +239,7 @@
     def as_number(self, path: str, value: Any) -> float:
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise WireError(f"field {path}: {value!r} is not a number")
-        return number(path, str(value))
+        return parse_number(path, str(value))
 
     def as_text(self, path: str, value: Any) -> str:
         if not isinstance(value, str) or not value:
@@ -238,30 +261,30 @@
         if value is None or isinstance(value, Null):
             return None
         if not isinstance(value, list):
-            self.fault(path, value, "a list of objects")
+            self.add_fault(path, value, "a list of objects")
             return 0
         return len(value)
 
 
 def read_settings(parts: Iterable[str]) -> api.Settings:
-    """The settings; a WireError names the first fault."""
-    settings, wrong = settings_and_faults(PathValues(parts))
+    """Parse path=value pairs; raise WireError with the first fault."""
+    settings, faults = settings_and_faults(PathValues(parts))
     if settings is None:
-        path, value, expected = wrong[0]
+        path, value, expected = faults[0]
         what = f"required key {path} is missing" if value is None else f"{path}: {value!r} is not {expected}"
         raise WireError(f"field settings: {what}")
     return settings
 
 
 def settings_and_faults(p: Values) -> tuple[api.Settings | None, list[ValueFault]]:
-    """The settings, or None and all that is wrong with them."""
+    """Return the settings and no faults, or None and all faults."""
     classes, tenants = read_classes(p), read_tenants(p)
-    pushed = p.member("discovery", {"push": True, "ask": False})
+    pushed = p.choice("discovery", {"push": True, "ask": False})
     safety = api.Safety(
         answer_grace=p.integer("safety.graceToAnswer"),
         drain_grace=p.integer("safety.stopSendingWithin"),
         cold_from=p.number("safety.coldFrom"),
-        warm_within=p.integer("safety.warmWithin") or 1,  # 0: warm at once
+        warm_within=p.integer("safety.warmWithin") or 1,  # 0: a provider is warm at once
         fall_multiple=p.number("safety.fallMultiple"),
         fall_after=p.integer("safety.fall"),
         ask_within=p.integer("safety.askWithin", 0 if pushed else None),
@@ -276,7 +299,7 @@
             me=p.integer("me", 0),
             tenants=tenants,
             discovery_pushes=pushed,
-            capacity_known=p.member("weights", WEIGHTS, False),
+            capacity_known=p.choice("weights", WEIGHTS, False),
             warm_keys=p.flag("familyInfo.warmKeys"),
             max_attempts=p.integer("allowed.maxAttempts", 1),
             second_copies=p.flag("allowed.secondCopies"),
@@ -292,33 +315,36 @@
             conn_idle=p.integer("allowed.connIdle", 5_000_000_000),
         )
     except api.SettingsError as error:
-        if p.wrong:  # what stands in for values that can't be read is no fault of its own
-            return None, p.wrong
+        if p.faults:  # the error may be about the placeholder of a value that can't be read
+            return None, p.faults
         places = {f"classes.{name}": f"profiles.{i}" for i, name in enumerate(classes)}
         places |= {f"tenants.{name}": f"accounts.{i}" for i, name in enumerate(tenants)}
         return None, [ValueFault(path_of(name, places), value, expected) for name, value, expected in error.faults]
-    return (None, p.wrong) if p.wrong else (settings, [])
+    return (None, p.faults) if p.faults else (settings, [])
 
 
 def read_classes(p: Values) -> dict[str, api.RequestClass]:
-    """Classes by name. Where a repeat is dropped, and for how long, is told of each keyed class: the widest scope as a
-    default would let a request run twice."""
+    """Read the request classes, by name.
+
+    Scope and window of duplicate detection are required for each keyed class: with the widest scope as a default a
+    request could run twice.
+    """
     effects = {effect.value: effect for effect in api.Effect}
     scopes = {scope.value: scope for scope in api.Scope}
     classes: dict[str, api.RequestClass] = {}
     count = p.count("profiles")
-    if not count and not p.wrong:
-        p.fault("profiles", count, "at least one class")
+    if not count and not p.faults:
+        p.add_fault("profiles", count, "at least one class")
     for i in range(count or 0):
         at = f"profiles.{i}"
-        effect = p.member(f"{at}.effect", effects)
+        effect = p.choice(f"{at}.effect", effects)
         keyed = effect is api.Effect.BY_KEY
         c = api.RequestClass(
             name=p.text(f"{at}.name"),
             effect=effect,
             aim=p.integer(f"{at}.target"),
             deadline=p.integer(f"{at}.hardLimit"),
-            scope=p.member(f"{at}.dedupScope", scopes, None if keyed else api.Scope.ALL),
+            scope=p.choice(f"{at}.dedupScope", scopes, None if keyed else api.Scope.ALL),
             window=p.integer(f"{at}.window", None if keyed else 0),
             worth=p.number(f"{at}.worth", 1.0),
             late_worth=p.number(f"{at}.lateWorth", 1.0),
@@ -326,26 +352,27 @@
             stream=p.flag(f"{at}.stream"),
         )
         if c.name and c.name in classes:
-            p.fault(f"{at}.name", c.name, "a name that no other class has")
+            p.add_fault(f"{at}.name", c.name, "a name that no other class has")
         classes[c.name] = c
     return classes
 
 
 def read_tenants(p: Values) -> dict[str, api.Tenant]:
+    """Read the tenants, by name."""
     tenants: dict[str, api.Tenant] = {}
     for i in range(p.count("accounts") or 0):
         at = f"accounts.{i}"
         t = api.Tenant(p.text(f"{at}.name"), p.number(f"{at}.share", 0.0), p.number(f"{at}.quotaPerS", 0.0))
         if t.name and t.name in tenants:
-            p.fault(f"{at}.name", t.name, "a name that no other tenant has")
+            p.add_fault(f"{at}.name", t.name, "a name that no other tenant has")
         tenants[t.name] = t
     return tenants
 
 
-# Whether a weight is a size: `live` is the size over what the server holds.
+# Whether weights are capacities. `live` is the capacity divided by the provider's requests in flight.
 WEIGHTS = {"silent": False, "nominal": True, "rough": True, "live": False}
 
-# The paths of what `interface.Settings` checks by itself.
+# The paths of the settings that `interface.Settings` checks itself, by their names there.
 PATHS = {
     "zones": "dcs",
     "classes": "profiles",
@@ -372,8 +399,8 @@
 
 
 def path_of(name: str, places: dict[str, str]) -> str:
-    """The path of a figure by its name in `Settings`; `places` has those of classes and tenants."""
-    of, _, field = name.rpartition(".")
-    if of in places:
-        return f"{places[of]}.{PATHS.get(field, field)}"
+    """Return the path of a setting by its name in `Settings`; `places` has the paths of classes and tenants."""
+    parent, _, field = name.rpartition(".")
+    if parent in places:
+        return f"{places[parent]}.{PATHS.get(field, field)}"
     return PATHS.get(name, name)
--- a/loftweir/start_times.py
+++ b/loftweir/start_times.py
@@ -1,22 +1,25 @@
-"""When a server was started, on this process's clock. Pure; all times in nanoseconds.
+"""When a provider was started, on this process's clock. Pure; all times are in nanoseconds.
 
-A list tells starts by a wall clock, which may have been stepped, as this process's may have been when it read it: a
-server then seems to be started in the future, or to be warm though it has only just been started again. What this
-process has seen itself bounds a start on both sides, whatever the clocks say.
+A list gives start times by a wall clock, which may have been stepped, and this process's own clock may have been
+stepped before the process read it. A provider may then seem to start in the future, or to be warm though it was
+restarted a moment ago. What this process has observed itself bounds a start on both sides, whatever the clocks say.
 """
 
 SECOND = 1_000_000_000
-LISTED_LATE = 30 * SECOND  # after its start, that a server may be listed
+# A provider is listed at most this long after its start.
+MAX_LISTING_DELAY = 30 * SECOND
 
 
-def start(listed: int, now: int, restarted_since: int | None) -> int:
-    """The start of a process that a list tells now, for the first time. `restarted_since`: when the list was heard that
-    still had the process before it; None: it had none. A start that can't be is taken for one of now: a cold server
-    taken for warm would be the worse mistake. 0 or less is long ago."""
+def effective_start(listed: int, now: int, restarted_since: int | None) -> int:
+    """Return the start of a process that a list now names for the first time; 0 or less: long ago.
+
+    `restarted_since` is when the list was received that still had the previous process; None: there was none. A start
+    that is impossible is taken for now: to treat a cold provider as warm would be the worse mistake.
+    """
     if listed <= 0:
         return listed
     if listed > now:
         return now
-    if restarted_since is not None and listed < restarted_since - LISTED_LATE:
+    if restarted_since is not None and listed < restarted_since - MAX_LISTING_DELAY:
         return now
     return listed
--- a/tests/cold_scene.py
+++ b/tests/cold_scene.py
@@ -1,8 +1,9 @@
-"""A fleet of balancers before servers of one known rate, in virtual time: what reaches each cold server is counted.
+"""Simulation of many balancers that send to providers of a known rate, in virtual time.
 
-Nothing falls over here, so that the whole of an excess is seen: at each request that arrives at a cold server, how many
-came within `fall_after`, less the budget `N` (fall_multiple x what it can do now x fall_after) and less 2 x root of N
-+ 2 for chance. What it rejects counts, and so do repeats. Only balancers that have been told of the start send to it.
+It counts the attempts that reach each cold provider. No provider fails from overload here, so that the whole excess is
+seen. At each attempt that reaches a cold provider, the excess is the number of attempts within `fall_after`, less the
+budget N (fall_multiple x the provider's current rate x fall_after) and less 2 x the root of N + 2 for chance. Attempts
+that the provider rejects count, and so do retries. Only balancers that were notified of a start send to the provider.
 """
 
 import heapq
@@ -15,10 +16,10 @@
 from loftweir.balance import Balancer
 
 MS, SECOND = 1_000_000, 1_000_000_000
-BEGAN = 1_700_000_000 * SECOND
-TROUBLE = BEGAN + 5 * SECOND  # servers start cold from then on
-COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL = 0.14, 24 * SECOND, 2.5, SECOND
-SAFETY = api.Safety(20 * MS, 750 * MS, COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL, 10 * SECOND)
+START = 1_700_000_000 * SECOND  # of the simulation, on all clocks
+FAULT_AT = START + 5 * SECOND  # providers start cold from then on
+COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL_AFTER = 0.14, 24 * SECOND, 2.5, SECOND
+SAFETY = api.Safety(20 * MS, 750 * MS, COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL_AFTER, 10 * SECOND)
 CLASSES = {
     "read": api.RequestClass("read", api.Effect.REPEATABLE, 600 * MS, 3 * SECOND, late_worth=0.2),
     "submit": api.RequestClass("submit", api.Effect.ONCE, SECOND, 3 * SECOND, worth=5.0, late_worth=0.3),
@@ -26,268 +27,279 @@
         "confirm", api.Effect.BY_KEY, SECOND, 2500 * MS, api.Scope.ZONE, 12 * SECOND, 10.0, 0.25
     ),
 }
-PARTS = {"read": 0.47, "submit": 0.43, "confirm": 0.1}
+CLASS_SHARES = {"read": 0.47, "submit": 0.43, "confirm": 0.1}  # of the requests
 
 
 @dataclass
-class Case:
-    """What befalls the servers, and who asks. `load` is of what all servers can do warm."""
+class Scenario:
+    """The fleet, its traffic and which providers start cold."""
 
-    trouble: str = "one"  # one, quarter, release, zone, fleet
+    # "one", "quarter": so many are replaced at once; "release": six in ten are replaced within 7 s; "zone", "fleet":
+    # all of the first zone, or all, are down for 3 s.
+    fault: str = "one"
     balancers: int = 20
-    servers: int = 12
+    providers: int = 12
     zones: int = 1
-    load: float = 0.6
-    rate: float = 25.0  # what a warm server can do in a second
-    uneven: bool = False  # one balancer has five times the mean, the others some tenths to twice
-    restarted: str = ""  # "", "one", "all": balancers that start anew beside the cold servers
-    again: bool = False  # clients come again for what was refused
-    seconds: int = 8  # from the trouble on
+    load: float = 0.6  # of what all providers can handle when warm
+    rate: float = 25.0  # what a warm provider can handle per second
+    uneven: bool = False  # one balancer gets five times the mean of the others, whose shares vary as well
+    restarted: str = ""  # "", "one", "all": which balancers restart shortly after the providers started
+    client_retries: bool = False  # clients retry rejected requests
+    seconds: int = 8  # from the fault on
 
 
 @dataclass
-class Cold:
-    """One server, cold or not."""
+class SimulatedProvider:
+    """A provider with a queue, whose rate grows while it is cold."""
 
     name: str
     zone: str
-    rate: float
+    rate: float  # when warm, per second
     cores: int = 4
-    room: int = 64
-    started_at: int = 0
+    queue_size: int = 64
+    started_at: int = 0  # 0: warm
     up: bool = True
-    busy: int = 0
-    waiting: deque = field(default_factory=deque)
-    came: deque = field(default_factory=deque)
-    count: int = 0  # all that came while it was cold
+    busy: int = 0  # cores
+    queue: deque = field(default_factory=deque)
+    arrivals: deque = field(default_factory=deque)  # within `fall_after`, while it was cold
+    count: int = 0  # all arrivals while it was cold
     excess: float = -math.inf
     excess_at: int = 0
-    busiest: int = 0  # the most that came within `fall_after`
+    busiest: int = 0  # the most arrivals within `fall_after`
 
-    def able(self, now):
+    def capacity(self, now):
+        """The share of its rate that it has now."""
         if not self.started_at:
             return 1.0
         return min(1.0, COLD_FROM + (1 - COLD_FROM) * max(0, now - self.started_at) / WARM_WITHIN)
 
 
-class Fleet:
-    def __init__(self, case, seed, make=Balancer):
-        self.case, self.seed, self.make = case, seed, make
+class FleetSimulation:
+    """Balancers, their clients and providers, in virtual time."""
+
+    def __init__(self, scenario, seed, make_balancer=Balancer):
+        self.scenario, self.seed, self.make_balancer = scenario, seed, make_balancer
         self.random = Random(f"{seed} of the fleet")
-        self.now, self.queue, self.order = BEGAN, [], 0
-        self.zones = [f"z{n}" for n in range(case.zones)]
-        self.servers = {}
-        for n in range(case.servers):
-            self.add(f"s{n}", self.zones[n % case.zones])
+        self.now, self.queue, self.order = START, [], 0
+        self.zones = [f"z{n}" for n in range(scenario.zones)]
+        self.providers = {}
+        for n in range(scenario.providers):
+            self.add(f"s{n}", self.zones[n % scenario.zones])
         self.balancers = {}
-        self.calls = {}  # by balancer's life and request: class, end, tries, servers of its attempts
-        self.lives = dict.fromkeys(range(case.balancers), 0)
-        self.asked = self.served = self.in_time = self.refused = self.sent = 0
-        weights = [self.random.lognormvariate(0, 0.5) if case.uneven else 1.0 for _ in range(case.balancers)]
-        if case.uneven:
+        # By balancer, its instance and the request: class, deadline, begin, retries by the client, attempts.
+        self.requests = {}
+        self.instances = dict.fromkeys(range(scenario.balancers), 0)  # grows with each restart of the balancer
+        self.requested = self.served = self.in_time = self.rejected = self.sent = 0
+        weights = [self.random.lognormvariate(0, 0.5) if scenario.uneven else 1.0 for _ in range(scenario.balancers)]
+        if scenario.uneven:
             weights[0] = 5 * sum(weights[1:]) / (len(weights) - 1)
-        whole = case.load * case.rate * case.servers
+        whole = scenario.load * scenario.rate * scenario.providers
         self.rates = [whole * w / sum(weights) for w in weights]
 
     def add(self, name, zone, started_at=0):
-        self.servers[name] = Cold(name, zone, self.case.rate, started_at=started_at)
-        return self.servers[name]
+        self.providers[name] = SimulatedProvider(name, zone, self.scenario.rate, started_at=started_at)
+        return self.providers[name]
 
     # ---- the clock ------------------------------------------------------------------------------
 
-    def after(self, delay, do, *arguments):
+    def after(self, delay, handler, *arguments):
         self.order += 1
-        heapq.heappush(self.queue, (self.now + int(delay), self.order, do, arguments))
+        heapq.heappush(self.queue, (self.now + int(delay), self.order, handler, arguments))
 
-    def play(self):
-        for n in self.lives:
+    def run(self):
+        for n in self.instances:
             self.start(n)
             self.arrival(n, True)
-        self.after(TROUBLE - BEGAN, self.trouble)
-        end = TROUBLE + self.case.seconds * SECOND
+        self.after(FAULT_AT - START, self.inject_fault)
+        end = FAULT_AT + self.scenario.seconds * SECOND
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, do, arguments = heapq.heappop(self.queue)
-            do(*arguments)
+            self.now, _, handler, arguments = heapq.heappop(self.queue)
+            handler(*arguments)
         return self
 
     def cold(self):
-        return [s for s in self.servers.values() if s.started_at]
+        """All providers that started cold."""
+        return [p for p in self.providers.values() if p.started_at]
 
     def excess(self):
-        """The most that any cold server got beyond its budget and chance, in requests; at most 0: none did."""
-        return max((s.excess for s in self.cold()), default=-math.inf)
+        """The most attempts that any cold provider got beyond its budget and chance; at most 0 if none did."""
+        return max((p.excess for p in self.cold()), default=-math.inf)
 
-    # ---- what befalls it ------------------------------------------------------------------------
+    # ---- injected faults ------------------------------------------------------------------------
 
-    def trouble(self):
-        case = self.case
-        old = list(self.servers.values())
-        if case.trouble == "one":
+    def inject_fault(self):
+        scenario = self.scenario
+        old = list(self.providers.values())
+        if scenario.fault == "one":
             self.replace(old[0])
-        elif case.trouble == "quarter":
-            for server in old[: len(old) // 4]:
-                self.replace(server)
-        elif case.trouble == "release":
-            going = old[: len(old) * 6 // 10]
-            for place, server in enumerate(going):
-                self.after(place * 7 * SECOND // len(going), self.replace, server)
-        elif case.trouble in ("zone", "fleet"):
-            lost = [s for s in old if case.trouble == "fleet" or s.zone == self.zones[0]]
-            for server in lost:
-                self.leaves(server)
-                self.after(3 * SECOND, self.returns, server)
-        if case.restarted:
-            beside = 3 * SECOND if case.trouble in ("zone", "fleet") else 0
-            for n in self.lives:
-                if case.restarted == "all" or n == 0:
-                    self.after(beside + 500 * MS + self.random.random() * 100 * MS, self.restart, n)
+        elif scenario.fault == "quarter":
+            for provider in old[: len(old) // 4]:
+                self.replace(provider)
+        elif scenario.fault == "release":
+            replaced = old[: len(old) * 6 // 10]
+            for position, provider in enumerate(replaced):
+                self.after(position * 7 * SECOND // len(replaced), self.replace, provider)
+        elif scenario.fault in ("zone", "fleet"):
+            lost = [p for p in old if scenario.fault == "fleet" or p.zone == self.zones[0]]
+            for provider in lost:
+                self.take_down(provider)
+                self.after(3 * SECOND, self.bring_up, provider)
+        if scenario.restarted:
+            outage = 3 * SECOND if scenario.fault in ("zone", "fleet") else 0
+            for n in self.instances:
+                if scenario.restarted == "all" or n == 0:
+                    self.after(outage + 500 * MS + self.random.random() * 100 * MS, self.restart, n)
 
     def replace(self, old):
         new = self.add(f"{old.name}'", old.zone, self.now)
-        self.tell(new, api.Lifecycle.READY)
-        self.tell(old, api.Lifecycle.DRAINING)
+        self.publish(new, api.Lifecycle.READY)
+        self.publish(old, api.Lifecycle.DRAINING)
 
-    def leaves(self, server):
-        server.up = False
-        self.tell(server, api.Lifecycle.GONE)
+    def take_down(self, provider):
+        provider.up = False
+        self.publish(provider, api.Lifecycle.GONE)
 
-    def returns(self, server):
-        server.up, server.started_at, server.busy = True, self.now, 0
-        server.waiting.clear()
-        self.tell(server, api.Lifecycle.READY)
+    def bring_up(self, provider):
+        provider.up, provider.started_at, provider.busy = True, self.now, 0
+        provider.queue.clear()
+        self.publish(provider, api.Lifecycle.READY)
 
-    def entry(self, server, lifecycle):
-        return api.Endpoint(server.name, server.zone, "m", 0, lifecycle, 1.0, server.started_at)
+    def endpoint(self, provider, lifecycle):
+        return api.Endpoint(provider.name, provider.zone, "m", 0, lifecycle, 1.0, provider.started_at)
 
-    def tell(self, server, lifecycle):
-        entry = self.entry(server, lifecycle)
-        server.lifecycle = lifecycle
-        for n in self.lives:
-            self.after(self.random.random() * 300 * MS, self.told, n, self.lives[n], entry)
+    def publish(self, provider, lifecycle):
+        """Notify each balancer of the change within 300 ms."""
+        endpoint = self.endpoint(provider, lifecycle)
+        provider.lifecycle = lifecycle
+        for n in self.instances:
+            self.after(self.random.random() * 300 * MS, self.notify, n, self.instances[n], endpoint)
 
-    def told(self, n, life, entry):
-        if life == self.lives[n]:
-            self.feed(n, api.MembershipUpdate(api.UpdateKind.CHANGES, (entry,), 1))
+    def notify(self, n, instance, endpoint):
+        if instance == self.instances[n]:
+            self.handle(n, api.MembershipUpdate(api.UpdateKind.CHANGES, (endpoint,), 1))
 
     def start(self, n):
         settings = api.Settings(
-            self.zones[n % len(self.zones)], tuple(self.zones), CLASSES, SAFETY, balancers=self.case.balancers, me=n,
-            discovery_pushes=True, capacity_known=False, max_attempts=3, retry_after=True,
+            self.zones[n % len(self.zones)], tuple(self.zones), CLASSES, SAFETY, balancers=self.scenario.balancers,
+            me=n, discovery_pushes=True, capacity_known=False, max_attempts=3, retry_after=True,
             max_retry_after=1500 * MS,
         )  # fmt: skip
-        self.balancers[n] = self.make(settings, hash((self.seed, n, self.lives[n])))
+        self.balancers[n] = self.make_balancer(settings, hash((self.seed, n, self.instances[n])))
         ready = api.Lifecycle.READY
-        entries = tuple(
-            self.entry(s, getattr(s, "lifecycle", ready))
-            for s in self.servers.values()
-            if s.up and getattr(s, "lifecycle", ready) is ready
+        endpoints = tuple(
+            self.endpoint(p, getattr(p, "lifecycle", ready))
+            for p in self.providers.values()
+            if p.up and getattr(p, "lifecycle", ready) is ready
         )
-        self.feed(n, api.MembershipUpdate(api.UpdateKind.FULL, entries, 1))
+        self.handle(n, api.MembershipUpdate(api.UpdateKind.FULL, endpoints, 1))
 
     def restart(self, n):
-        self.lives[n] += 1
+        self.instances[n] += 1
         self.start(n)
 
     # ---- clients --------------------------------------------------------------------------------
 
     def arrival(self, n, first=False):
         if not first:
-            self.asked += 1
-            name = self.random.choices(list(PARTS), list(PARTS.values()))[0]
+            self.requested += 1
+            name = self.random.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
             self.request(n, name, self.now + CLASSES[name].deadline, self.now, 0)
         self.after(self.random.expovariate(self.rates[n]) * SECOND, self.arrival, n)
 
-    def request(self, n, name, end, begun, tries):
-        if end <= self.now:
+    def request(self, n, name, deadline, begun, retries):
+        if deadline <= self.now:
             return
         self.order += 1
         request = f"r{self.order}"
-        self.calls[n, self.lives[n], request] = [name, end, begun, tries, 0]
-        self.feed(n, api.Request(request, name, end - self.now))
+        self.requests[n, self.instances[n], request] = [name, deadline, begun, retries, 0]
+        self.handle(n, api.Request(request, name, deadline - self.now))
 
-    def feed(self, n, event):
-        life = self.lives[n]
+    def handle(self, n, event):
+        instance = self.instances[n]
         for action in self.balancers[n].handle(self.now, [event]):
             if isinstance(action, api.Attempt):
-                self.attempt(n, life, action)
+                self.attempt(n, instance, action)
             elif isinstance(action, api.Timer):
-                if not action.request_id or (n, life, action.request_id) in self.calls:
-                    self.after(action.delay, self.timer, n, life, action)
+                if not action.request_id or (n, instance, action.request_id) in self.requests:
+                    self.after(action.delay, self.timer, n, instance, action)
             elif isinstance(action, api.Reject | api.Fail):
-                self.answered(n, life, action)
+                self.unserved(n, instance, action)
 
-    def timer(self, n, life, action):
-        if life == self.lives[n] and (not action.request_id or (n, life, action.request_id) in self.calls):
-            self.feed(n, api.TimerFired(action.tag))
+    def timer(self, n, instance, action):
+        current = instance == self.instances[n]
+        if current and (not action.request_id or (n, instance, action.request_id) in self.requests):
+            self.handle(n, api.TimerFired(action.tag))
 
-    def answered(self, n, life, action):
-        name, end, begun, tries, _ = self.calls.pop((n, life, action.request_id))
-        self.refused += 1
-        if self.case.again and isinstance(action, api.Reject) and tries < 4:
-            away = max(action.retry_after, 100 * MS) * (1 + 0.3 * self.random.random())
-            self.after(away, self.request, n, name, end, begun, tries + 1)
+    def unserved(self, n, instance, action):
+        """A request was rejected or failed; its client may retry it."""
+        name, deadline, begun, retries, _ = self.requests.pop((n, instance, action.request_id))
+        self.rejected += 1
+        if self.scenario.client_retries and isinstance(action, api.Reject) and retries < 4:
+            delay = max(action.retry_after, 100 * MS) * (1 + 0.3 * self.random.random())
+            self.after(delay, self.request, n, name, deadline, begun, retries + 1)
 
     # ---- attempts -------------------------------------------------------------------------------
 
-    def attempt(self, n, life, action):
-        call = self.calls[n, life, action.request_id]
-        number, server = call[4], self.servers[action.provider]
-        call[4] += 1
+    def attempt(self, n, instance, action):
+        request = self.requests[n, instance, action.request_id]
+        number, provider = request[4], self.providers[action.provider]
+        request[4] += 1
         self.sent += 1
-        near = server.zone == self.zones[n % len(self.zones)]
-        self.after((1 if near else 8) * MS, self.comes, n, life, action.request_id, number, server, self.now)
-
-    def comes(self, n, life, request, number, server, began):
-        self.count(server)
-        job = (n, life, request, number, server, began)
-        if not server.up:
+        local = provider.zone == self.zones[n % len(self.zones)]
+        delay = (1 if local else 8) * MS
+        self.after(delay, self.arrive, n, instance, action.request_id, number, provider, self.now)
+
+    def arrive(self, n, instance, request, number, provider, sent_at):
+        self.count(provider)
+        job = (n, instance, request, number, provider, sent_at)
+        if not provider.up:
             self.after(MS, self.ended, *job, api.Outcome.CONNECT_FAILED)
-        elif server.busy >= server.cores and len(server.waiting) >= server.room:
+        elif provider.busy >= provider.cores and len(provider.queue) >= provider.queue_size:
             self.after(MS, self.ended, *job, api.Outcome.FULL)
         else:
-            server.waiting.append(job)
-            self.work(server)
+            provider.queue.append(job)
+            self.work(provider)
 
-    def count(self, server):
-        """One more has come to it: how far that is over the budget for the time now behind it."""
-        able = server.able(self.now)
-        if able >= 1:
+    def count(self, provider):
+        """Count an arrival at a cold provider and update how far it is above the budget for `fall_after`."""
+        capacity = provider.capacity(self.now)
+        if capacity >= 1:
             return
-        server.count += 1
-        server.came.append(self.now)
-        while server.came[0] <= self.now - FALL:
-            server.came.popleft()
-        allowed = FALL_MULTIPLE * able * server.rate * FALL / SECOND
-        excess = len(server.came) - allowed - 2 * math.sqrt(allowed) - 2
-        server.busiest = max(server.busiest, len(server.came))
-        if excess > server.excess:
-            server.excess, server.excess_at = excess, self.now
-
-    def work(self, server):
-        while server.waiting and server.busy < server.cores:
-            server.busy += 1
-            job = server.waiting.popleft()
-            took = self.random.expovariate(server.rate * server.able(self.now) / server.cores) * SECOND
-            self.after(took, self.done, server, job)
-
-    def done(self, server, job):
-        server.busy = max(0, server.busy - 1)
-        self.work(server)
-        self.after(MS, self.ended, *job, api.Outcome.OK if server.up else api.Outcome.RESET)
-
-    def ended(self, n, life, request, number, server, began, outcome):
-        call = self.calls.get((n, life, request))
-        if life != self.lives[n]:
+        provider.count += 1
+        provider.arrivals.append(self.now)
+        while provider.arrivals[0] <= self.now - FALL_AFTER:
+            provider.arrivals.popleft()
+        budget = FALL_MULTIPLE * capacity * provider.rate * FALL_AFTER / SECOND
+        excess = len(provider.arrivals) - budget - 2 * math.sqrt(budget) - 2
+        provider.busiest = max(provider.busiest, len(provider.arrivals))
+        if excess > provider.excess:
+            provider.excess, provider.excess_at = excess, self.now
+
+    def work(self, provider):
+        while provider.queue and provider.busy < provider.cores:
+            provider.busy += 1
+            job = provider.queue.popleft()
+            rate_of_core = provider.rate * provider.capacity(self.now) / provider.cores
+            self.after(self.random.expovariate(rate_of_core) * SECOND, self.done, provider, job)
+
+    def done(self, provider, job):
+        provider.busy = max(0, provider.busy - 1)
+        self.work(provider)
+        self.after(MS, self.ended, *job, api.Outcome.OK if provider.up else api.Outcome.RESET)
+
+    def ended(self, n, instance, request_id, number, provider, sent_at, outcome):
+        request = self.requests.get((n, instance, request_id))
+        if instance != self.instances[n]:
             return
-        over = call is not None and outcome is api.Outcome.OK
+        over = request is not None and outcome is api.Outcome.OK
         if over:
-            del self.calls[n, life, request]
+            del self.requests[n, instance, request_id]
             self.served += 1
-            self.in_time += self.now - call[2] <= CLASSES[call[0]].aim
-        if call is not None and not over and call[1] <= self.now:
-            del self.calls[n, life, request]
+            self.in_time += self.now - request[2] <= CLASSES[request[0]].aim
+        if request is not None and not over and request[1] <= self.now:
+            del self.requests[n, instance, request_id]
             over = True
-        self.feed(n, api.AttemptEnded(request, number, server.name, outcome, self.now - began, over))
+        self.handle(n, api.AttemptEnded(request_id, number, provider.name, outcome, self.now - sent_at, over))
 
 
 if __name__ == "__main__":
@@ -295,20 +307,23 @@
     import sys
 
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    only = sys.argv[2:] if len(sys.argv) > 2 else ["one", "quarter", "release", "zone", "fleet"]
-    head = "trouble zones servers balancers load uneven restarted again"
-    print(f"{head:64} cold over worst mean(excess) in_time")
-    for trouble, again, restarted in itertools.product(only, (False, True), ("", "one", "all")):
-        for zones, servers, balancers, load, uneven in (
+    faults = sys.argv[2:] if len(sys.argv) > 2 else ["one", "quarter", "release", "zone", "fleet"]
+    columns = "fault zones providers balancers load uneven restarted client_retries"
+    print(f"{columns:64} cold over worst mean(excess) in_time")
+    for fault, client_retries, restarted in itertools.product(faults, (False, True), ("", "one", "all")):
+        for zones, providers, balancers, load, uneven in (
             (1, 12, 3, 0.6, False), (1, 12, 20, 0.6, True), (1, 12, 30, 0.9, True), (3, 12, 20, 0.9, False),
             (4, 60, 30, 0.9, True), (3, 60, 200, 0.6, True), (3, 12, 200, 0.9, True),
         ):  # fmt: skip
-            case = Case(trouble, balancers, servers, zones, load, uneven=uneven, restarted=restarted, again=again)
-            plays = [Fleet(case, s).play() for s in range(seeds)]
-            cold = [s for p in plays for s in p.cold()]
-            over = [s for s in cold if s.excess > 0]
-            worst = max((s.excess for s in cold), default=0)
-            mean = sum(s.excess for s in cold) / max(1, len(cold))
-            served = sum(p.in_time for p in plays) / sum(p.asked for p in plays)
-            name = f"{trouble} {zones} {servers} {balancers} {load} {uneven} {restarted or '-'} {again}"
-            print(f"{name:64} {len(cold):4} {len(over):4} {worst:6.1f} {mean:6.1f} {served:.3f}", flush=True)
+            scenario = Scenario(
+                fault, balancers, providers, zones, load, uneven=uneven, restarted=restarted,
+                client_retries=client_retries,
+            )  # fmt: skip
+            runs = [FleetSimulation(scenario, seed).run() for seed in range(seeds)]
+            cold = [p for run in runs for p in run.cold()]
+            over = [p for p in cold if p.excess > 0]
+            worst = max((p.excess for p in cold), default=0)
+            mean = sum(p.excess for p in cold) / max(1, len(cold))
+            in_time = sum(run.in_time for run in runs) / sum(run.requested for run in runs)
+            name = f"{fault} {zones} {providers} {balancers} {load} {uneven} {restarted or '-'} {client_retries}"
+            print(f"{name:64} {len(cold):4} {len(over):4} {worst:6.1f} {mean:6.1f} {in_time:.3f}", flush=True)
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Small makers of settings, servers and requests for the tests."""
+"""Builders of settings, providers, requests and events for the balancer's tests."""
 
 from loftweir.balance import Balancer
 from loftweir.interface import (
@@ -30,6 +30,7 @@
 
 
 def settings(**changes):
+    """Three zones, one class of each effect and scope, three attempts and hedging, with changes."""
     values = {
         "zone": "a",
         "zones": ("a", "b", "c"),
@@ -70,13 +71,13 @@
 
 
 def attempt_ended(attempt, outcome, number=0, over=False, elapsed=10 * MS):
-    """The outcome of an Attempt action."""
+    """The event that an attempt ended; `over`: its request needs no further attempt, as after a good answer."""
     over = over or outcome is Outcome.OK
     return AttemptEnded(attempt.request_id, number, attempt.provider, outcome, elapsed, over)
 
 
-def of_type(kind, actions):
-    return [a for a in actions if isinstance(a, kind)]
+def of_type(action_type, actions):
+    return [a for a in actions if isinstance(a, action_type)]
 
 
 def attempts(actions):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,7 @@
-"""The wire: round trips, what is malformed, and independence of hash seeds and of who shares the process."""
+"""The simulator's protocol: round trips, malformed input, and that equal input gives equal actions.
+
+The actions must depend neither on the hash seed nor on the other instances of the process.
+"""
 
 import io
 import os
@@ -19,25 +22,25 @@
 safety.warmWithin=20000000000 safety.fallMultiple=3 safety.fall=3000000000 safety.askWithin=10000000000
 allowed.maxAttempts=3
 """
-SERVERS = ["M\t10.0.0.1:1\ta\tstd\t0\tlive\t1\t-", "M\t10.0.0.2:1\ta\tstd\t0\tlive\t1.5\t-"]
+ENDPOINT_LINES = ["M\t10.0.0.1:1\ta\tstd\t0\tlive\t1\t-", "M\t10.0.0.2:1\ta\tstd\t0\tlive\t1.5\t-"]
 
 
 def batch(*lines, now=1000):
     return "\n".join([f"TURN\t{now}", *lines, "GO"]) + "\n"
 
 
-def launch(who, seed=5, settings=SETTINGS):
-    return [f"TO\t{who}", "\t".join(["LAUNCH", str(seed), *settings.split()])]
+def launch(instance, seed=5, settings=SETTINGS):
+    return [f"TO\t{instance}", "\t".join(["LAUNCH", str(seed), *settings.split()])]
 
 
-def hello(*whos):
+def launch_with_list(*instances):
     lines = []
-    for who in whos:
-        lines += launch(who, seed=who) + ["ROSTER\t0\t2", *SERVERS, "TARGETS\t1\tPersisted\t0"]
+    for instance in instances:
+        lines += launch(instance, seed=instance) + ["ROSTER\t0\t2", *ENDPOINT_LINES, "TARGETS\t1\tPersisted\t0"]
     return batch(*lines)
 
 
-def ask(request_id="rq_1", name="read"):
+def request_line(request_id="rq_1", name="read"):
     return f"REQUEST\t{request_id}\t{name}\t-\t-\t900000000\t-\t0"
 
 
@@ -52,109 +55,114 @@
 
 
 def test_a_request_is_sent_and_its_outcome_ends_it():
-    reply = run(hello(3) + batch("TO\t3", ask(), now=2000))
+    reply = run(launch_with_list(3) + batch("TO\t3", request_line(), now=2000))
     sent = [line.split("\t") for line in reply.splitlines() if line.startswith("ATTEMPT")]
     assert [line[1] for line in sent] == ["rq_1"]
     assert sent[0][2] in ("10.0.0.1:1", "10.0.0.2:1")
     done = f"DONE\trq_1\t5000\tdone\t1\t{sent[0][2]}\t0\t-"
-    asked = hello(3) + batch("TO\t3", ask(), now=2000)
+    asked = launch_with_list(3) + batch("TO\t3", request_line(), now=2000)
     assert run(asked + batch("TO\t3", done, now=9000)).endswith("CONTEXT\t3\nREADY\n")
 
 
-def test_a_list_number_is_bound_where_it_is_read():
-    """Two lists under one number in one batch: each TARGETS means the list that came before it."""
+def test_a_list_number_refers_to_the_latest_list_with_that_number():
+    """Two lists with one number in one batch: each TARGETS means the list before it."""
     other = "M\t10.0.9.9:1\ta\tstd\t0\tlive\t1\t-"
     text = batch(
-        *launch(1), "ROSTER\t0\t2", *SERVERS, "TARGETS\t1\tComplete\t0",
+        *launch(1), "ROSTER\t0\t2", *ENDPOINT_LINES, "TARGETS\t1\tComplete\t0",
         *launch(2), "ROSTER\t0\t1", other, "TARGETS\t1\tComplete\t0",
-    ) + batch("TO\t1", ask("rq_a"), "TO\t2", ask("rq_b"), now=2000)  # fmt: skip
+    ) + batch("TO\t1", request_line("rq_a"), "TO\t2", request_line("rq_b"), now=2000)  # fmt: skip
     sent = dict(line.split("\t")[1:3] for line in run(text).splitlines() if line.startswith("ATTEMPT"))
     assert sent["rq_a"] != "10.0.9.9:1"
     assert sent["rq_b"] == "10.0.9.9:1"
 
 
-def test_retire_and_launch_in_one_batch_forget_all():
-    text = hello(1) + batch("TO\t1", "RETIRE", *launch(1), now=2000) + batch("TO\t1", ask(), now=3000)
+def test_retire_and_launch_in_one_batch_start_a_new_instance():
+    text = (
+        launch_with_list(1) + batch("TO\t1", "RETIRE", *launch(1), now=2000) + batch("TO\t1", request_line(), now=3000)
+    )
     assert "ATTEMPT" not in run(text), "the new instance has no list yet"
 
 
-def test_an_unknown_outcome_counts_as_may_have_run():
-    text = hello(1) + batch("TO\t1", ask(), now=2000)
+def test_after_an_unknown_outcome_a_request_may_have_run():
+    text = launch_with_list(1) + batch("TO\t1", request_line(), now=2000)
     server = next(line.split("\t")[2] for line in run(text).splitlines() if line.startswith("ATTEMPT"))
     reply = run(text + batch("TO\t1", f"DONE\trq_1\t9\tnew_code\t0\t{server}\t0\t-", now=3000))
     assert reply.splitlines()[-2:] == ["SURRENDER\trq_1", "READY"]
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         (batch("TO\t1", "NONSENSE\t1"), "line 3: NONSENSE: instance 1 was never launched"),
-        (hello(1) + batch("TO\t1", "NONSENSE\t1"), "NONSENSE: unknown message"),
-        (hello(1) + batch("TO\t1", "REQUEST\trq\tread"), "REQUEST: has 2 fields, needs 7"),
-        (hello(1) + batch("TO\t1", ask().replace("900000000", "soon")), "field patienceLeft: 'soon' is not"),
-        (hello(1) + batch("TO\t1", "TARGETS\t1\tComplete\t7"), "field setId: no ROSTER 7"),
-        (hello(1) + batch("TO\t1", "TARGETS\t1\tSome\t0"), "field mode: 'Some' is none of"),
-        (batch(ask()), "REQUEST comes before any TO"),
+        (launch_with_list(1) + batch("TO\t1", "NONSENSE\t1"), "NONSENSE: unknown message"),
+        (launch_with_list(1) + batch("TO\t1", "REQUEST\trq\tread"), "REQUEST: has 2 fields, needs 7"),
+        (
+            launch_with_list(1) + batch("TO\t1", request_line().replace("900000000", "soon")),
+            "field patienceLeft: 'soon' is not",
+        ),
+        (launch_with_list(1) + batch("TO\t1", "TARGETS\t1\tComplete\t7"), "field setId: no ROSTER 7"),
+        (launch_with_list(1) + batch("TO\t1", "TARGETS\t1\tSome\t0"), "field mode: 'Some' is none of"),
+        (batch(request_line()), "REQUEST comes before any TO"),
         ("TURN\t5\nTO\t1\n", "ended inside a batch"),
         ("HELLO\nGO\n", "expected TURN"),
-        (batch("ROSTER\t0\t3", *SERVERS), "expected an M line"),
+        (batch("ROSTER\t0\t3", *ENDPOINT_LINES), "expected an M line"),
         (batch(*launch(1, settings=SETTINGS.replace("zone=a", ""))), "required key zone is missing"),
         (batch(*launch(1, settings=SETTINGS + "safety.coldFrom=7")), "safety.coldFrom: '7.0' is not above 0"),
         (batch(*launch(1, settings=SETTINGS + "profiles.0.effect=maybe")), "profiles.0.effect: 'maybe'"),
     ],
 )
-def test_what_is_malformed_is_named(text, says):
+def test_a_message_names_what_is_malformed(text, message):
     with pytest.raises(WireError, match="line ") as caught:
         run(text)
-    assert says in str(caught.value)
+    assert message in str(caught.value)
 
 
-def test_an_exception_in_the_module_becomes_give_in(capsys):
-    reply = run(hello(1) + batch("TO\t1", ask(name="unheard"), now=2000))
+def test_an_exception_in_the_balancer_becomes_give_in(capsys):
+    reply = run(launch_with_list(1) + batch("TO\t1", request_line(name="unheard"), now=2000))
     assert "GIVE_IN\t" in reply
     assert "unheard" in reply
 
 
-def process(text, hash_seed="0"):
+def run_process(text, hash_seed="0"):
     env = dict(os.environ, PYTHONHASHSEED=hash_seed)
     command = [sys.executable, "-m", "loftweir.adapter"]
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, env=env, check=False)
 
 
-def test_malformed_input_exits_non_zero_with_nothing_but_the_wire_on_standard_output():
-    result = process(batch("TO\t1", "NONSENSE"))
+def test_malformed_input_exits_non_zero_with_only_the_protocol_on_standard_output():
+    result = run_process(batch("TO\t1", "NONSENSE"))
     assert result.returncode != 0
     assert result.stdout == ""
     assert "NONSENSE" in result.stderr
 
 
 def test_the_end_of_input_ends_the_process():
-    result = process(batch())
+    result = run_process(batch())
     assert (result.returncode, result.stdout, result.stderr) == (0, "READY\n", "")
 
 
-def session(*whos):
-    text = hello(*whos)
+def thirty_requests(*instances):
+    text = launch_with_list(*instances)
     for i in range(30):
-        lines = [line for who in whos for line in (f"TO\t{who}", ask(f"rq_{who}_{i}"))]
+        lines = [line for instance in instances for line in (f"TO\t{instance}", request_line(f"rq_{instance}_{i}"))]
         text += batch(*lines, now=2000 + i)
     return text
 
 
 def test_actions_do_not_depend_on_the_hash_seed():
-    assert len({process(session(1, 2), seed).stdout for seed in ("0", "1", "2")}) == 1
+    assert len({run_process(thirty_requests(1, 2), seed).stdout for seed in ("0", "1", "2")}) == 1
 
 
-def test_actions_do_not_depend_on_who_shares_the_process():
-    def of(who, reply):
-        mine, lines = False, []
+def test_actions_do_not_depend_on_other_instances_in_the_process():
+    def actions_of(instance, reply):
+        is_own, lines = False, []
         for line in reply.splitlines():
             if line.startswith("CONTEXT"):
-                mine = line == f"CONTEXT\t{who}"
-            elif mine and line != "READY":
+                is_own = line == f"CONTEXT\t{instance}"
+            elif is_own and line != "READY":
                 lines.append(line)
         return lines
 
-    together = run(session(1, 2, 3))
-    for who in (1, 2, 3):
-        assert of(who, together) == of(who, run(session(who)))
+    together = run(thirty_requests(1, 2, 3))
+    for instance in (1, 2, 3):
+        assert actions_of(instance, together) == actions_of(instance, run(thirty_requests(instance)))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Following a list that must be asked for: jitter, backoff, and no ask where changes are pushed."""
+"""Calls to discovery: jitter and backoff where the list has to be fetched, and no calls where changes are pushed."""
 
 from support import SECOND, endpoint, make_balancer, of_type
 
@@ -9,20 +9,21 @@
 FAILED = MembershipUpdate(UpdateKind.FAILED)
 
 
-def first_ask(seed):
+def start_balancer(seed):
+    """Return a balancer that has started with a remembered list, and the timer of its first call."""
     balancer = make_balancer(seed, discovery_pushes=False)
     (timer,) = of_type(Timer, balancer.handle(0, [REMEMBERED]))
     return balancer, timer
 
 
-def test_first_asks_are_spread_and_in_time():
-    delays = [first_ask(seed)[1].delay for seed in range(40)]
+def test_first_calls_are_spread_and_in_time():
+    delays = [start_balancer(seed)[1].delay for seed in range(40)]
     assert max(delays) <= ASK_WITHIN
     assert max(delays) - min(delays) > ASK_WITHIN // 4
 
 
-def test_a_lost_watch_is_asked_for_again_within_the_rule():
-    balancer, timer = first_ask(1)
+def test_a_failed_watch_is_requested_again_within_ask_within():
+    balancer, timer = start_balancer(1)
     now = timer.delay
     assert of_type(Watch, balancer.handle(now, [TimerFired(timer.tag)])) == [Watch(True)]
     for _ in range(8):
@@ -32,5 +33,5 @@
         assert of_type(Watch, balancer.handle(now, [TimerFired(timer.tag)])) == [Watch(True)]
 
 
-def test_nothing_is_asked_where_changes_are_pushed():
+def test_nothing_is_requested_where_changes_are_pushed():
     assert make_balancer().handle(0, [REMEMBERED, FAILED]) == []
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal histories against an oracle that knows the rules and nothing of the module."""
+"""Random legal event histories, checked by an oracle that knows the safety rules and nothing of the balancer."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -30,27 +30,26 @@
 STEP = st.tuples(
     st.sampled_from(["request", "request", "request", "end", "end", "end", "list", "fail", "gone"]),
     st.integers(0, 400),  # milliseconds since the step before
-    st.integers(0, 1_000_000),  # what the step picks among its choices
+    st.integers(0, 1_000_000),  # selects among the step's choices
 )
 
 
-def build(seed, second_copies):
+def new_balancer(seed, second_copies):
     return make_balancer(seed, second_copies=second_copies, max_attempts=MAX_ATTEMPTS)
 
 
 class Oracle:
-    """Plays the world: keeps time, ends attempts, fires timers, and checks every action."""
+    """Simulates the host: keeps time, ends attempts, fires timers, and checks every action."""
 
     def __init__(self, seed, second_copies):
-        self.balancer = build(seed, second_copies)
+        self.balancer = new_balancer(seed, second_copies)
         self.second_copies = second_copies
         self.now = 5 * SECOND
-        self.open = {}  # id: [class, deadline, attempts as [server, sent, outcome or None]]
+        self.open = {}  # by id: [class, deadline, attempts as [provider, sent at, outcome or None]]
         self.over = set()
         self.timers = []
         self.ready = set()
-        self.named = set()
-        self.out = []  # (id, number, give up at)
+        self.in_flight = []  # attempts in flight: (id, number, give up at)
         self.log = []
 
     def feed(self, *events):
@@ -65,51 +64,51 @@
             self.timers.append((self.now + action.delay, action.tag))
         elif isinstance(action, Attempt):
             assert action.request_id in self.open, "an attempt for a request that is over"
-            cls, deadline, tries = self.open[action.request_id]
-            assert action.provider in self.ready, "an attempt to a server not listed as ready"
-            assert len(tries) < MAX_ATTEMPTS
-            assert self.second_copies or all(t[2] is not None for t in tries)
-            ran = [t for t in tries if t[2] not in NEVER_RAN]
+            cls, deadline, attempts = self.open[action.request_id]
+            assert action.provider in self.ready, "an attempt to a provider that is not listed as ready"
+            assert len(attempts) < MAX_ATTEMPTS
+            assert self.second_copies or all(a[2] is not None for a in attempts)
+            ran = [a for a in attempts if a[2] not in NEVER_RAN]
             if cls.effect is Effect.ONCE:
                 assert not ran, "an effect could happen twice"
             if cls.effect is Effect.BY_KEY:
-                for server, sent, _ in ran:
+                for provider, sent, _ in ran:
                     assert self.now < sent + cls.window
-                    mine, theirs = ADDRESSES[action.provider], ADDRESSES[server]
-                    assert cls.scope is not Scope.ZONE or mine[0] == theirs[0]
-                    assert cls.scope is not Scope.CELL or mine[1] == theirs[1]
-            tries.append([action.provider, self.now, None])
-            give_up = min(action.give_up_at or deadline, deadline)
-            self.out.append((action.request_id, len(tries) - 1, give_up))
+                    chosen, previous = ADDRESSES[action.provider], ADDRESSES[provider]
+                    assert cls.scope is not Scope.ZONE or chosen[0] == previous[0]
+                    assert cls.scope is not Scope.CELL or chosen[1] == previous[1]
+            attempts.append([action.provider, self.now, None])
+            give_up_at = min(action.give_up_at or deadline, deadline)
+            self.in_flight.append((action.request_id, len(attempts) - 1, give_up_at))
         elif isinstance(action, Reject):
-            cls, _, tries = self.open.pop(action.request_id)
+            cls, _, attempts = self.open.pop(action.request_id)
             self.over.add(action.request_id)
-            ran = [t for t in tries if t[2] not in NEVER_RAN]
+            ran = [a for a in attempts if a[2] not in NEVER_RAN]
             if cls.effect is Effect.ONCE or (cls.effect is Effect.BY_KEY and cls.scope is not Scope.ALL):
-                assert not ran, "a refusal of what may have run"
+                assert not ran, "a rejection of a request that may have run"
         elif isinstance(action, Fail):
             self.open.pop(action.request_id)
             self.over.add(action.request_id)
         elif isinstance(action, Cancel):
-            raise AssertionError("cancelling is not allowed in these settings")
+            raise AssertionError("the settings do not allow Cancel")
 
     def end(self, request_id, number, outcome):
-        self.out = [o for o in self.out if o[:2] != (request_id, number)]
-        server = ""
+        self.in_flight = [o for o in self.in_flight if o[:2] != (request_id, number)]
+        provider = ""
         if request_id in self.open:
             entry = self.open[request_id][2][number]
             entry[2] = outcome
-            server = entry[0]
+            provider = entry[0]
         over = outcome is Outcome.OK or request_id in self.over
         if over:
             self.open.pop(request_id, None)
             self.over.add(request_id)
-        self.feed(AttemptEnded(request_id, number, server, outcome, 10 * MS, over))
+        self.feed(AttemptEnded(request_id, number, provider, outcome, 10 * MS, over))
 
     def advance(self, until):
-        """Time passes: attempts time out and timers fire, each in its turn."""
+        """Advance the time: attempts time out and timers fire, each at its time."""
         while True:
-            due = [(at, 0, (i, n)) for i, n, at in self.out] + [(at, 1, (tag,)) for at, tag in self.timers]
+            due = [(at, 0, (i, n)) for i, n, at in self.in_flight] + [(at, 1, (tag,)) for at, tag in self.timers]
             due = [d for d in due if d[0] <= until]
             if not due:
                 break
@@ -122,18 +121,18 @@
                 self.end(*what, Outcome.TIMED_OUT)
         self.now = max(self.now, until)
         for request_id, (_, deadline, _) in self.open.items():
-            assert self.now <= deadline + 20 * MS, f"{request_id} has no answer at its deadline"
+            assert self.now <= deadline + 20 * MS, f"{request_id} has no final answer at its deadline"
 
     def step(self, kind, wait, pick):
         self.advance(self.now + wait * MS)
         if kind == "request":
             cls = CLASSES[pick % len(CLASSES)]
             request_id = f"r{len(self.log)}"
-            patience = (100 + pick % 900) * MS
-            self.open[request_id] = [cls, self.now + patience, []]
-            self.feed(Request(request_id, cls.name, patience))
-        elif kind == "end" and self.out:
-            request_id, number, _ = self.out[pick % len(self.out)]
+            time_left = (100 + pick % 900) * MS
+            self.open[request_id] = [cls, self.now + time_left, []]
+            self.feed(Request(request_id, cls.name, time_left))
+        elif kind == "end" and self.in_flight:
+            request_id, number, _ = self.in_flight[pick % len(self.in_flight)]
             outcomes = [o for o in Outcome if o is not Outcome.NOT_SENT]
             self.end(request_id, number, outcomes[pick // 7 % len(outcomes)])
         elif kind == "list":
@@ -157,16 +156,18 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.booleans(), st.lists(STEP, max_size=60))
-def test_no_rule_is_broken_on_any_legal_history(seed, second_copies, steps):
+def test_no_safety_rule_is_broken_in_any_legal_history(seed, second_copies, steps):
     oracle = Oracle(seed, second_copies)
-    if seed % 2:  # else no server is known at first
+    if seed % 2:  # else no provider is known at first
         listed = tuple(endpoint(a, zone, cell) for a, (zone, cell) in ADDRESSES.items())
         oracle.ready = set(ADDRESSES)
         oracle.feed(MembershipUpdate(UpdateKind.REMEMBERED, listed))
     for step in steps:
         oracle.step(*step)
     oracle.advance(oracle.now + 2 * SECOND)
-    assert not oracle.open, "every request has had its one answer"
-    replay, fresh = build(seed, second_copies), build(seed, second_copies)
-    again = [replay.handle(now, events) for now, events in oracle.log]
-    assert again == [fresh.handle(now, events) for now, events in oracle.log], "equal events, equal actions"
+    assert not oracle.open, "every request has its final answer"
+    first, second = new_balancer(seed, second_copies), new_balancer(seed, second_copies)
+    replayed = [first.handle(now, events) for now, events in oracle.log]
+    assert replayed == [second.handle(now, events) for now, events in oracle.log], (
+        "equal events and seeds must give equal actions"
+    )
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Slow start where the wall clock was stepped before this process read it."""
+"""Slow start where the wall clock or this process's clock is off: how cold a provider is taken to be."""
 
 import pytest
 from support import SECOND, endpoint, make_balancer
@@ -7,55 +7,55 @@
 
 HOUR = 3600 * SECOND
 NOW = 1_000_000 * SECOND  # on the list's clock
-COLD, WARM = 0.2, 1.0  # parts of its capacity that a server can do
+COLD, WARM = 0.2, 1.0  # capacities of a provider, as shares of the full one
 
 
-def balancer():
+def new_balancer():
     return make_balancer(1, discovery_pushes=True)
 
 
 def listed(*ages, kind=UpdateKind.FULL, at=NOW):
-    """A list of servers, each started so long before `at`."""
-    entries = tuple(endpoint(f"s{number}", started_at=at - age) for number, age in enumerate(ages))
-    return MembershipUpdate(kind, entries, 1)
+    """A list of providers that started the given times before `at`."""
+    endpoints = tuple(endpoint(f"s{number}", started_at=at - age) for number, age in enumerate(ages))
+    return MembershipUpdate(kind, endpoints, 1)
 
 
-def able(balancer):
-    return [round(balancer._able(server), 2) for server in balancer.providers.values()]
+def capacities(balancer):
+    return [round(balancer._capacity(provider), 2) for provider in balancer.providers.values()]
 
 
 @pytest.mark.parametrize("behind", [5 * SECOND, HOUR])
-def test_a_clock_that_is_behind_the_lists_does_not_keep_a_fleet_cold(behind):
-    sidecar, now = balancer(), NOW - behind
-    sidecar.handle(now, [listed(2 * SECOND, 100 * SECOND, 200 * SECOND, kind=UpdateKind.REMEMBERED)])
-    assert able(sidecar)[0] == COLD
-    sidecar.handle(now + 20 * SECOND, [])
-    assert able(sidecar) == [WARM, WARM, WARM]
-
-
-def test_a_clock_that_is_ahead_of_the_lists_does_not_take_a_restarted_server_for_warm():
-    sidecar, now = balancer(), NOW + HOUR
-    sidecar.handle(now, [listed(100 * SECOND, 200 * SECOND)])
-    again = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s1", started_at=NOW + 39 * SECOND),), 2)
-    sidecar.handle(now + 40 * SECOND, [again])
-    assert able(sidecar)[0] == WARM and able(sidecar)[1] == COLD
-
-
-def test_starts_on_one_clock_are_taken_as_they_are():
-    sidecar = balancer()
-    sidecar.handle(NOW, [listed(0, 10 * SECOND, 30 * SECOND, kind=UpdateKind.REMEMBERED)])
-    assert able(sidecar) == [COLD, 0.6, WARM]
-    late = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s2", started_at=NOW + 10 * SECOND),), 2)
-    sidecar.handle(NOW + 15 * SECOND, [MembershipUpdate(UpdateKind.CHANGES, (), 1)])
-    sidecar.handle(NOW + 20 * SECOND, [late])
-    assert able(sidecar) == [WARM, WARM, 0.6]
-
-
-def test_a_server_started_long_ago_that_comes_back_is_taken_as_it_is():
-    sidecar = balancer()
-    sidecar.handle(NOW, [listed(100 * SECOND, 200 * SECOND)])
+def test_a_clock_behind_that_of_the_list_does_not_keep_a_fleet_cold(behind):
+    balancer, now = new_balancer(), NOW - behind
+    balancer.handle(now, [listed(2 * SECOND, 100 * SECOND, 200 * SECOND, kind=UpdateKind.REMEMBERED)])
+    assert capacities(balancer)[0] == COLD
+    balancer.handle(now + 20 * SECOND, [])
+    assert capacities(balancer) == [WARM, WARM, WARM]
+
+
+def test_a_clock_ahead_of_that_of_the_list_does_not_make_a_restarted_provider_warm():
+    balancer, now = new_balancer(), NOW + HOUR
+    balancer.handle(now, [listed(100 * SECOND, 200 * SECOND)])
+    restarted = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s1", started_at=NOW + 39 * SECOND),), 2)
+    balancer.handle(now + 40 * SECOND, [restarted])
+    assert capacities(balancer)[0] == WARM and capacities(balancer)[1] == COLD
+
+
+def test_start_times_are_used_unchanged_if_the_clocks_agree():
+    balancer = new_balancer()
+    balancer.handle(NOW, [listed(0, 10 * SECOND, 30 * SECOND, kind=UpdateKind.REMEMBERED)])
+    assert capacities(balancer) == [COLD, 0.6, WARM]
+    restarted = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s2", started_at=NOW + 10 * SECOND),), 2)
+    balancer.handle(NOW + 15 * SECOND, [MembershipUpdate(UpdateKind.CHANGES, (), 1)])
+    balancer.handle(NOW + 20 * SECOND, [restarted])
+    assert capacities(balancer) == [WARM, WARM, 0.6]
+
+
+def test_the_start_time_of_a_provider_that_is_listed_again_is_used_unchanged():
+    balancer = new_balancer()
+    balancer.handle(NOW, [listed(100 * SECOND, 200 * SECOND)])
     gone = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s1", lifecycle=Lifecycle.GONE),), 2)
     back = MembershipUpdate(UpdateKind.CHANGES, (endpoint("s1", started_at=NOW - 200 * SECOND),), 3)
-    sidecar.handle(NOW + SECOND, [gone])
-    sidecar.handle(NOW + 60 * SECOND, [back])
-    assert able(sidecar) == [WARM, WARM]
+    balancer.handle(NOW + SECOND, [gone])
+    balancer.handle(NOW + 60 * SECOND, [back])
+    assert capacities(balancer) == [WARM, WARM]
--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -1,5 +1,8 @@
-"""A keyed request's repeats are dropped for a while only, by the servers of one group: what counts is when a repeat is
-written and where the first attempt went, not what was so when the repeat was decided."""
+"""The window of keyed requests: the providers of one group drop duplicates of a request, but only for some time.
+
+What counts is when a retry is written to its connection and to which group the first attempt went, not the time and
+the groups when the balancer decided on the retry.
+"""
 
 import socket
 import threading
@@ -12,11 +15,11 @@
 
 from loftweir.interface import Fail, Outcome
 
-CONNECTING = "02"  # TCP_SYN_SENT, as /proc/net/tcp has it
+SYN_SENT = "02"  # the TCP state in /proc/net/tcp
 
 
-class SlowToAccept:
-    """A server whose queue of connections is full: one more comes up once the test lets it, up to a second later."""
+class FullListener:
+    """A provider whose accept queue is full: a further connection is established up to 1 s after `start_accepting`."""
 
     def __init__(self, scene):
         self.seen = []
@@ -32,16 +35,16 @@
             filler.settimeout(0.3)
             self.fillers.append(filler)
             if filler.connect_ex((self.host, self.port)):
-                break  # this one waits, and so will the next
+                break  # this one waits, and so will every further one
 
-    def called(self):
-        """Whether somebody else's connection is waiting to come up."""
+    def has_connecting_client(self):
+        """Return whether a connection that is not one of the fillers is waiting."""
         remote = f"0100007F:{self.port:04X}"
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         ours = {f"{f.getsockname()[1]:04X}" for f in self.fillers}
-        return any(r[2] == remote and r[3] == CONNECTING and r[1].split(":")[1] not in ours for r in rows)
+        return any(r[2] == remote and r[3] == SYN_SENT and r[1].split(":")[1] not in ours for r in rows)
 
-    def let_in(self):
+    def start_accepting(self):
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self):
@@ -64,8 +67,11 @@
 class WindowTest(SidecarTest):
     operator = '[log]\nlevel = "debug"\n'
 
-    def repeat(self, window):
-        """The first attempt may have run; the connection for the second comes up a second later."""
+    def retry_within(self, window):
+        """Return the client's status and the second provider, for a first attempt that may have run.
+
+        The connection for the second attempt is established a second later.
+        """
         gate = threading.Event()
         self.addCleanup(gate.set)
 
@@ -77,39 +83,39 @@
         allowed = SETTINGS["allowed"] | {"connectTimeout": 2500 * MS}
         self.start(first, settings=SETTINGS | {"profiles": classes, "allowed": allowed})
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
-        second = SlowToAccept(self)
+        second = FullListener(self)
         answers = []
-        asking = threading.Thread(target=lambda: answers.append(self.invoke(KEYED, deadline_ms=2800)))
-        asking.start()
+        client = threading.Thread(target=lambda: answers.append(self.invoke(KEYED, deadline_ms=2800)))
+        client.start()
         self.assertTrue(eventually(lambda: self.providers[0].seen), self.log())
         self.catalog.change(entry("s1", second.address))
         self.assertTrue(eventually(lambda: self.logged("discovery.list")[-1]["providers"] == 2), self.log())
         gate.set()
-        self.assertTrue(eventually(second.called), self.log())
-        second.let_in()
-        asking.join(10)
+        self.assertTrue(eventually(second.has_connecting_client), self.log())
+        second.start_accepting()
+        client.join(10)
         return answers[0][0], second
 
-    def test_a_repeat_whose_connection_comes_up_past_the_window_is_not_written(self):
-        status, second = self.repeat(window=400 * MS)
+    def test_a_retry_whose_connection_is_established_after_the_window_is_not_written(self):
+        status, second = self.retry_within(window=400 * MS)
         self.assertEqual((status, second.seen), (502, []))
 
-    def test_one_whose_connection_comes_up_within_it_is(self):
-        status, second = self.repeat(window=12 * SECOND)
+    def test_a_retry_whose_connection_is_established_within_the_window_is_written(self):
+        status, second = self.retry_within(window=12 * SECOND)
         self.assertEqual((status, len(second.seen)), (200, 1))
 
 
-def test_a_repeat_is_written_within_the_window_of_the_first_attempt_that_may_have_run():
+def test_a_retry_has_to_be_written_within_the_window_of_the_first_attempt_that_may_have_run():
     balancer = make_balancer()
     balancer.handle(0, [full_list(*(endpoint(f"a{n}") for n in range(3)))])
     (first,) = attempts(balancer.handle(SECOND, [request("r", "log-zone")]))
     (second,) = attempts(balancer.handle(SECOND + 100 * MS, [attempt_ended(first, Outcome.CONNECT_FAILED)]))
     (third,) = attempts(balancer.handle(SECOND + 300 * MS, [attempt_ended(second, Outcome.RESET, number=1)]))
-    # Of 500 ms: from the second one's sending on, the first proved that it never ran.
+    # The window of 500 ms starts when the second attempt is sent, as the first one never ran.
     assert [a.send_by for a in (first, second, third)] == [2 * SECOND, 2 * SECOND, SECOND + 600 * MS]
 
 
-def test_the_group_is_that_of_the_first_attempts_time():
+def test_the_group_is_that_of_the_time_when_the_first_attempt_was_sent():
     balancer = make_balancer()
     balancer.handle(0, [full_list(endpoint("a1", cell=1))])
     (first,) = attempts(balancer.handle(SECOND, [request("r", "log-cell")]))
