--- a/loftweir/balance.py
+++ b/loftweir/balance.py
@@ -59,7 +59,8 @@
 FAILURE_MEMORY = 10
 # The failure rate from which a provider gets no more requests of that class.
 MAX_FAILURE_RATE = 0.25
-# The most failures in a row that count; each doubles the half-life of the failure rate.
+# The most failures in a row that count. Each doubles the half-life of the failure rate, and the time in which only
+# repeatable requests try the provider.
 MAX_FAILURE_STREAK = 5
 
 # ---- latency and concurrency ---------------------------------------------------------------------
@@ -104,7 +105,7 @@
 
 # Retries that each request adds to the retry budget.
 RETRIES_PER_REQUEST = 0.25
-# The most retries that the budget holds.
+# The most retries that the budget can contain.
 RETRY_BURST = 5.0
 # The advised time until a client's retry while all requests are rejected, as a share of the aim.
 RETRY_AFTER_SHARE = 0.25
--- a/loftweir/listclock.py
+++ b/loftweir/listclock.py
@@ -67,7 +67,7 @@
 LONGEST_BACKOFF = 2 * SECOND
 # The longest delay from a process's start to its first call.
 FIRST_CALL_WITHIN = 3 * SECOND
-# The most sidecars that call one discovery as a small fleet.
+# A fleet is small if up to this many sidecars call one discovery.
 SMALL_FLEET = 16
 # Replaces FIRST_CALL_WITHIN in a larger fleet.
 FIRST_CALL_WITHIN_LARGE_FLEET = 4500 * MS
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -60,8 +60,8 @@
     assert [line[1] for line in sent] == ["rq_1"]
     assert sent[0][2] in ("10.0.0.1:1", "10.0.0.2:1")
     done = f"DONE\trq_1\t5000\tdone\t1\t{sent[0][2]}\t0\t-"
-    asked = launch_with_list(3) + batch("TO\t3", request_line(), now=2000)
-    assert run(asked + batch("TO\t3", done, now=9000)).endswith("CONTEXT\t3\nREADY\n")
+    before = launch_with_list(3) + batch("TO\t3", request_line(), now=2000)
+    assert run(before + batch("TO\t3", done, now=9000)).endswith("CONTEXT\t3\nREADY\n")
 
 
 def test_a_list_number_refers_to_the_latest_list_with_that_number():
@@ -85,8 +85,8 @@
 
 def test_after_an_unknown_outcome_a_request_may_have_run():
     text = launch_with_list(1) + batch("TO\t1", request_line(), now=2000)
-    server = next(line.split("\t")[2] for line in run(text).splitlines() if line.startswith("ATTEMPT"))
-    reply = run(text + batch("TO\t1", f"DONE\trq_1\t9\tnew_code\t0\t{server}\t0\t-", now=3000))
+    provider = next(line.split("\t")[2] for line in run(text).splitlines() if line.startswith("ATTEMPT"))
+    reply = run(text + batch("TO\t1", f"DONE\trq_1\t9\tnew_code\t0\t{provider}\t0\t-", now=3000))
     assert reply.splitlines()[-2:] == ["SURRENDER\trq_1", "READY"]
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -109,28 +109,28 @@
 
 def test_requests_of_little_worth_are_rejected_first():
     classes = {
-        "cheap": RequestClass("cheap", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=1.0),
-        "dear": RequestClass("dear", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=10.0),
+        "low": RequestClass("low", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=1.0),
+        "high": RequestClass("high", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=10.0),
     }
     traffic = Traffic(lambda provider: Outcome.FULL, classes=classes)
-    cheap = dear = 0
+    low = high = 0
     for _ in range(100):
-        cheap += len(traffic.run(1, class_name="cheap"))
-        dear += len(traffic.run(1, class_name="dear"))
-    assert dear > 2 * cheap
+        low += len(traffic.run(1, class_name="low"))
+        high += len(traffic.run(1, class_name="high"))
+    assert high > 2 * low
 
 
 def test_during_lasting_overload_valuable_classes_are_rejected_too():
     """Rejected in proportion to worth, they kept a third of their traffic and so kept up the overload."""
     classes = {
-        "cheap": RequestClass("cheap", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=3.0),
-        "dear": RequestClass("dear", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=8.0),
+        "low": RequestClass("low", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=3.0),
+        "high": RequestClass("high", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=8.0),
     }
     traffic = Traffic(lambda provider: Outcome.FULL, classes=classes)
     for _ in range(200):
-        traffic.run(1, gap=200 * MS, class_name="cheap")
-        traffic.run(1, gap=200 * MS, class_name="dear")
-    assert len(traffic.run(200, gap=200 * MS, class_name="dear")) < 0.25 * 200
+        traffic.run(1, gap=200 * MS, class_name="low")
+        traffic.run(1, gap=200 * MS, class_name="high")
+    assert len(traffic.run(200, gap=200 * MS, class_name="high")) < 0.25 * 200
 
 
 def test_the_traffic_of_a_zone_whose_providers_all_fail_goes_to_other_zones():
@@ -173,15 +173,15 @@
     queue that answers them only at the end of their aim: a provider with far more attempts than cores becomes slow,
     and its whole queue is late."""
     classes = {
-        "cheap": RequestClass("cheap", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=1.0),
-        "dear": RequestClass("dear", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=10.0),
+        "low": RequestClass("low", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=1.0),
+        "high": RequestClass("high", Effect.REPEATABLE, 200 * MS, 1000 * MS, worth=10.0),
     }
     balancer = make_balancer(zones=("a",), classes=classes)
     now = SECOND
     balancer.handle(now, [full_list(endpoint("a1"))])
-    (first,) = attempts(balancer.handle(now, [request("r0", "dear")]))
+    (first,) = attempts(balancer.handle(now, [request("r0", "high")]))
     balancer.handle(now + 40 * MS, [attempt_ended(first, Outcome.OK, elapsed=40 * MS)])  # one more in flight adds 40 ms
     sent = []
     for number in range(1, 9):
-        sent += attempts(balancer.handle(now + (40 + number) * MS, [request(f"r{number}", "dear")]))
+        sent += attempts(balancer.handle(now + (40 + number) * MS, [request(f"r{number}", "high")]))
     assert len(sent) == 3  # 3 x 40 ms are within 0.6 of the aim; the others are rejected, not queued
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -26,7 +26,7 @@
 
 WORTHS = {
     name: RequestClass(name, Effect.REPEATABLE, 200 * MS, SECOND, worth=worth)
-    for name, worth in (("cheap", 1.0), ("dear", 10.0))
+    for name, worth in (("low", 1.0), ("high", 10.0))
 }
 
 
@@ -138,9 +138,7 @@
     """Where all providers were slow, a fifth of the reads was rejected though nothing failed (reload, on sockets)."""
     balancer = make_balancer(classes=WORTHS)
     balancer.handle(START, [full_list(*LOCAL)])
-    sent = [
-        send_requests(balancer, START + i * 250 * MS, slow, 1, MS, "cheap" if i % 2 else "dear") for i in range(100)
-    ]
+    sent = [send_requests(balancer, START + i * 250 * MS, slow, 1, MS, "low" if i % 2 else "high") for i in range(100)]
     assert all(sent)
 
 
@@ -150,13 +148,13 @@
     balancer.handle(START, [full_list(*LOCAL)])
     rejected = Counter()
     for i in range(2000):
-        name = "cheap" if i % 2 else "dear"
+        name = "low" if i % 2 else "high"
         actions = balancer.handle(START + i * MS, [request(f"r{i}", name, reject_share=0.1)])
         rejected[name] += len(of_type(Reject, actions))
         for attempt in attempts(actions):
             balancer.handle(START + i * MS, [attempt_ended(attempt, Outcome.OK)])
-    assert rejected["dear"] == 0
-    assert 140 < rejected["cheap"] < 260
+    assert rejected["high"] == 0
+    assert 140 < rejected["low"] < 260
 
 
 def test_a_cold_provider_of_another_zone_gets_requests_only_after_operators_reenabled_it():
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -52,7 +52,7 @@
         self.in_flight = []  # attempts in flight: (id, number, give up at)
         self.log = []
 
-    def feed(self, *events):
+    def handle(self, *events):
         batch = list(events)
         self.log.append((self.now, batch))
         for action in self.balancer.handle(self.now, batch):
@@ -103,7 +103,7 @@
         if over:
             self.open.pop(request_id, None)
             self.over.add(request_id)
-        self.feed(AttemptEnded(request_id, number, provider, outcome, 10 * MS, over))
+        self.handle(AttemptEnded(request_id, number, provider, outcome, 10 * MS, over))
 
     def advance(self, until):
         """Advance the time: attempts time out and timers fire, each at its time."""
@@ -116,7 +116,7 @@
             self.now = max(self.now + (1 if kind else 0), at)
             if kind:
                 self.timers.remove((at, what[0]))
-                self.feed(TimerFired(what[0]))
+                self.handle(TimerFired(what[0]))
             else:
                 self.end(*what, Outcome.TIMED_OUT)
         self.now = max(self.now, until)
@@ -130,7 +130,7 @@
             request_id = f"r{len(self.log)}"
             time_left = (100 + pick % 900) * MS
             self.open[request_id] = [cls, self.now + time_left, []]
-            self.feed(Request(request_id, cls.name, time_left))
+            self.handle(Request(request_id, cls.name, time_left))
         elif kind == "end" and self.in_flight:
             request_id, number, _ = self.in_flight[pick % len(self.in_flight)]
             outcomes = [o for o in Outcome if o is not Outcome.NOT_SENT]
@@ -144,14 +144,14 @@
                 if state is Lifecycle.READY:
                     ready.add(address)
             self.ready = ready
-            self.feed(MembershipUpdate(UpdateKind.FULL if pick % 2 else UpdateKind.CHANGES, tuple(entries)))
+            self.handle(MembershipUpdate(UpdateKind.FULL if pick % 2 else UpdateKind.CHANGES, tuple(entries)))
         elif kind == "fail":
-            self.feed(MembershipUpdate(UpdateKind.FAILED))
+            self.handle(MembershipUpdate(UpdateKind.FAILED))
         elif kind == "gone" and self.open:
             request_id = list(self.open)[pick % len(self.open)]
             del self.open[request_id]
             self.over.add(request_id)
-            self.feed(RequestCancelled(request_id))
+            self.handle(RequestCancelled(request_id))
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -161,7 +161,7 @@
     if seed % 2:  # else no provider is known at first
         listed = tuple(endpoint(a, zone, cell) for a, (zone, cell) in ADDRESSES.items())
         oracle.ready = set(ADDRESSES)
-        oracle.feed(MembershipUpdate(UpdateKind.REMEMBERED, listed))
+        oracle.handle(MembershipUpdate(UpdateKind.REMEMBERED, listed))
     for step in steps:
         oracle.step(*step)
     oracle.advance(oracle.now + 2 * SECOND)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -245,9 +245,9 @@
     """The whole program with settings that differ from those of the site almaty."""
 
     def start_with(self, settings, since_ms=0):
-        self.server = StubServer(ok)
-        self.addCleanup(self.server.close)
-        self.start(settings=settings, known=[entry("s0", self.server.address, settings["zone"], since_ms=since_ms)])
+        self.provider = StubServer(ok)
+        self.addCleanup(self.provider.close)
+        self.start(settings=settings, known=[entry("s0", self.provider.address, settings["zone"], since_ms=since_ms)])
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
 
     def send(self, name, client=None, method="POST", **more):
@@ -319,9 +319,9 @@
             method = "GET" if name == "q" else "POST"
             headers = {field.replace("-", "_"): value for field, value in headers.items()}
             self.assertEqual(self.send(name, client, method, **headers), 200)
-        seen = self.server.seen
-        self.assertEqual({number for _, _, number in seen}, {1}, "all on one connection to the provider")
-        for (name, tenant, more, most), (head, _, _) in zip(plan, seen, strict=True):
+        received = self.provider.seen
+        self.assertEqual({number for _, _, number in received}, {1}, "all on one connection to the provider")
+        for (name, tenant, more, most), (head, _, _) in zip(plan, received, strict=True):
             fields = dict(line.lower().split(": ", 1) for line in head.splitlines()[1:])
             left = int(fields["req-deadline-ms"])
             self.assertTrue(most * 0.3 < left <= most, (name, tenant, left))
