--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -11,7 +11,17 @@
 from hypothesis import strategies as st
 
 from loftweir.emulator import sites
-from loftweir.emulator.sites import BEGIN, HOP, MS, SECOND, TIMING, Faults, World, play, route
+from loftweir.emulator.sites import (
+    MAX_HOP_DELAY,
+    MS,
+    SECOND,
+    START_TIME,
+    TIMING,
+    LinkFaults,
+    Simulation,
+    make_route,
+    simulate,
+)
 from loftweir.errors import LoftweirError
 from loftweir.interface import SettingsError
 from loftweir.partners import merge as merge_module
@@ -57,8 +67,8 @@
 SITES = st.builds(SiteSet, st.frozensets(st.sampled_from(NAMES), max_size=3), st.booleans())
 UNKNOWN = st.sampled_from([frozenset(), frozenset(), frozenset(), frozenset(("price",))])
 TERMS = st.builds(Terms, SITES, SITES, st.integers(0, 3), st.sampled_from([5, 20, FOREVER]), UNKNOWN)
-FEW = settings(derandomize=True, max_examples=60, deadline=None)
-S = "s0@aa"
+FEW_EXAMPLES = settings(derandomize=True, max_examples=60, deadline=None)
+SERVICE = "s0@aa"
 
 
 def only(*names):
@@ -86,7 +96,7 @@
             assert b.may_show(site, now) or site in ("aa", "bb") or not on.may_show(site, now)
 
 
-@FEW
+@FEW_EXAMPLES
 @given(TERMS, TERMS, TERMS)
 def test_terms_only_tighten_in_any_order_and_survive_their_json_form(a, b, c):
     check_laws(a, b, c)
@@ -102,8 +112,8 @@
         found = parse_terms({**good, name: value})
         assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
     assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(terms_module.FIELDS)
-    held = {"bb": fresh("bb", {S: route(S, "bb", terms(unknown=frozenset(("price",))))})}
-    assert str(merge(held, Policy("aa"), 0).left[S]["bb"]) == "unknown term price"
+    held = {"bb": fresh("bb", {SERVICE: make_route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
+    assert str(merge(held, Policy("aa"), 0).left[SERVICE]["bb"]) == "unknown term price"
 
 
 def test_a_leak_is_attributed_to_the_site_that_showed_the_route():
@@ -111,9 +121,9 @@
     assert find_leaker(terms(show=only("cc")), ("bb", "aa"), "cc") == "aa"
     assert find_leaker(terms(passes=0), ("cc", "bb", "aa"), "dd") == "bb"
     assert find_leaker(terms(passes=2), ("cc", "bb", "aa"), "dd") == ""
-    # a site that tightens the terms does not count as leaking
-    word = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
-    assert find_leaker(word, ("bb", "aa"), "cc") == "" and not word.may_show("dd", 0, 1)
+    # A site that tightens the terms does not count as leaking.
+    passed_on = OPEN.passed_on("bb", terms(show=only("cc")), ("aa",))
+    assert find_leaker(passed_on, ("bb", "aa"), "cc") == "" and not passed_on.may_show("dd", 0, 1)
 
 
 # ---- tables --------------------------------------------------------------------------------------
@@ -121,7 +131,7 @@
 
 def offer(site="bb", epoch=1, number=3):
     found = Offer(site, epoch)
-    found.replace({f"s{n}@{site}": route(f"s{n}@{site}", site, OPEN) for n in range(number)})
+    found.replace({f"s{n}@{site}": make_route(f"s{n}@{site}", site, OPEN) for n in range(number)})
     return found
 
 
@@ -129,13 +139,13 @@
     return PartnerState(Table(site, epoch, index, routes), Freshness.FRESH, now, now)
 
 
-def broken(edit, number=0):
+def edited_response(edit, number=0):
     data = json.loads(offer().response(None))
     edit(data["routes"][number] if number is not None else data)
     return json.dumps(data).encode()
 
 
-def put(*path, value):
+def set_value(*path, value):
     def edit(data):
         for name in path[:-1]:
             data = data[name]
@@ -145,29 +155,29 @@
 
 
 FAULTS = [
-    (put("service", value="a b@m"), 1, "routes.1.service"),
-    (put("service", value="-a@m"), 1, "routes.1.service"),
-    (put("service", value="S0@BB"), 1, "routes.1.service"),  # a duplicate that differs only in case
-    (put("path", value=["cc", "bb"]), 0, "routes.0.path"),
-    (put("path", value=["bb", "cc", "bb"]), 0, "routes.0.path"),
-    (put("path", value=["bb", *(f"x{n}" for n in range(9))]), 0, "routes.0.path"),
-    (put("providers", 0, "address", value="nowhere"), 2, "routes.2.providers.0.address"),
-    (put("providers", 0, "type", value=7), 2, "routes.2.providers.0.type"),
-    (put("providers", value=[{}] * 65), 0, "routes.0.providers.0"),
-    (put("classes", value=[]), 0, "routes.0.classes"),
-    (put("share", value=1.5), 0, "routes.0.share"),
-    (put("valid_for", value=0), 0, "routes.0.valid_for"),
-    (put("epoch", value="x"), None, "epoch"),
-    (put("site", value="cc"), None, "site"),
-    (put("after", value=3), None, "after"),
-    (put("sum", value="0" * 16), None, "sum"),
+    (set_value("service", value="a b@m"), 1, "routes.1.service"),
+    (set_value("service", value="-a@m"), 1, "routes.1.service"),
+    (set_value("service", value="S0@BB"), 1, "routes.1.service"),  # a duplicate that differs only in case
+    (set_value("path", value=["cc", "bb"]), 0, "routes.0.path"),
+    (set_value("path", value=["bb", "cc", "bb"]), 0, "routes.0.path"),
+    (set_value("path", value=["bb", *(f"x{n}" for n in range(9))]), 0, "routes.0.path"),
+    (set_value("providers", 0, "address", value="nowhere"), 2, "routes.2.providers.0.address"),
+    (set_value("providers", 0, "type", value=7), 2, "routes.2.providers.0.type"),
+    (set_value("providers", value=[{}] * 65), 0, "routes.0.providers.0"),
+    (set_value("classes", value=[]), 0, "routes.0.classes"),
+    (set_value("share", value=1.5), 0, "routes.0.share"),
+    (set_value("valid_for", value=0), 0, "routes.0.valid_for"),
+    (set_value("epoch", value="x"), None, "epoch"),
+    (set_value("site", value="cc"), None, "site"),
+    (set_value("after", value=3), None, "after"),
+    (set_value("sum", value="0" * 16), None, "sum"),
 ]
 
 
 @pytest.mark.parametrize("edit, number, place", FAULTS, ids=lambda x: x if isinstance(x, str) else "")
 def test_an_invalid_table_is_rejected_as_a_whole_with_the_place(edit, number, place):
     with pytest.raises(BadTable) as caught:
-        apply_response(None, parse_response(broken(edit, number), "bb"))
+        apply_response(None, parse_response(edited_response(edit, number), "bb"))
     assert caught.value.faults[0].place.startswith(place) and caught.value.where == "partner bb"
     assert isinstance(caught.value, LoftweirError) and caught.value.remedy
 
@@ -180,12 +190,12 @@
     assert [fault.place for fault in caught.value.faults] == ["routes.0.share", "routes.2.path"]
     many, three = offer(number=3), Limits(routes=3)
     held = apply_response(None, parse_response(many.response(None), "bb"))
-    many.replace({**many.routes, "x@bb": route("x@bb", "bb", OPEN)})
-    for refused in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
+    many.replace({**many.routes, "x@bb": make_route("x@bb", "bb", OPEN)})
+    for rejected in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
                     lambda: parse_response(many.response(None), "bb", three),
                     lambda: parse_response(many.response(None), "bb", Limits(bytes=100))):  # fmt: skip
         with pytest.raises(BadTable, match="at most"):
-            refused()
+            rejected()
     capped = Offer("bb", 1, three)
     assert capped.replace(many.routes) and len(parse_response(capped.response(None), "bb", three).routes) == 3
 
@@ -199,7 +209,7 @@
             name = f"s{number}@bb"
             routes.pop(name, None)
             if there:
-                routes[name] = route(name, "bb", terms(passes=passes))
+                routes[name] = make_route(name, "bb", terms(passes=passes))
         source.replace(dict(routes))
         data = source.response(held.position if held else None, "q")
         for at in range(0, len(data), 97):
@@ -225,7 +235,7 @@
         merged = merge(partner_states, Policy("aa", **policy), 10)
         return merged.used["x@m"].partner, str(merged.left["x@m"]["cc" if merged.used["x@m"].partner == "bb" else "bb"])
 
-    one, other = ({"x@m": route("x@m", site, OPEN)} for site in ("bb", "cc"))
+    one, other = ({"x@m": make_route("x@m", site, OPEN)} for site in ("bb", "cc"))
     far = {"x@m": msgspec.structs.replace(one["x@m"], path=("bb", "dd"))}
     assert two(fresh("bb", one), fresh("cc", other)) == ("bb", "worse than bb (name)")
     assert two(fresh("bb", far), fresh("cc", other)) == ("cc", "worse than cc (shorter path)")
@@ -238,7 +248,7 @@
     assert last.reason is Reason.STALE
     away = merge({"bb": msgspec.structs.replace(stale, freshness=Freshness.GONE)}, Policy("aa"), 10)
     assert away.left["x@m"]["bb"].reason is Reason.AWAY
-    excluded = {"x@m": route("x@m", "bb", terms(use=only("cc")))}
+    excluded = {"x@m": make_route("x@m", "bb", terms(use=only("cc")))}
     assert merge({"bb": fresh("bb", excluded)}, Policy("aa"), 10).left["x@m"]["bb"].reason is Reason.EXCLUDED
     limited = Policy("aa", limits=Limits(path=1))
     assert merge({"bb": fresh("bb", far)}, limited, 10).left["x@m"]["bb"] == (Reason.LIMIT, "path", "")
@@ -247,12 +257,12 @@
 def test_routes_of_upstream_sites_and_peers_go_only_downstream():
     """RFC 9234, section 5: the four relations, and a leak by a downstream site that the mark reveals."""
     roles = {"up": Role.UPSTREAM, "peer": Role.PEER, "down": Role.DOWNSTREAM, "any": Role.NONE, "low": Role.DOWNSTREAM}
-    partner_states = {n: fresh(n, {f"x@{n}": route(f"x@{n}", n, OPEN)}) for n in roles}
+    partner_states = {n: fresh(n, {f"x@{n}": make_route(f"x@{n}", n, OPEN)}) for n in roles}
     shown = merge(partner_states, Policy("aa", roles), 1).shown
     assert set(shown["down"]) == {"x@up", "x@peer", "x@low", "x@any"}
     assert set(shown["up"]) == {"x@down", "x@low", "x@any"} and set(shown["peer"]) == {"x@down", "x@low", "x@any"}
     assert {n: r.marked for n, r in shown["down"].items()}["x@up"] == "up" and shown["peer"]["x@down"].marked == "aa"
-    marked = {"y@m": msgspec.structs.replace(route("y@m", "down", OPEN), path=("down", "zz"), marked="zz")}
+    marked = {"y@m": msgspec.structs.replace(make_route("y@m", "down", OPEN), path=("down", "zz"), marked="zz")}
     assert merge({"down": fresh("down", marked)}, Policy("aa", roles), 1).left["y@m"]["down"].who == "down"
 
 
@@ -266,18 +276,18 @@
 
 def routes_of(partner, drawn):
     found = {}
-    for number, (said, path, valid) in drawn.items():
-        made = route(f"s{number}@m", partner, said)
-        found[made.service] = msgspec.structs.replace(made, path=(partner, *path), valid_for=valid)
+    for number, (declared, path, valid) in drawn.items():
+        partner_route = make_route(f"s{number}@m", partner, declared)
+        found[partner_route.service] = msgspec.structs.replace(partner_route, path=(partner, *path), valid_for=valid)
     return found
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(STEPS, TERMS)
-def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, word):
-    own = {"s3@m": route("s3@m", "aa", terms(show=only("bb"), until=20))}
+def test_incremental_changes_give_the_same_result_as_a_full_merge(steps, restriction):
+    own = {"s3@m": make_route("s3@m", "aa", terms(show=only("bb"), until=20))}
     policy = Policy("aa", {"bb": Role.NONE, "cc": Role.PEER, "ff": Role.DOWNSTREAM}, offers=own, gone_after=9,
-                    restrictions={"s1@m": word})  # fmt: skip
+                    restrictions={"s1@m": restriction})  # fmt: skip
     merger, now, partner_states = Merger(policy), 0, {}
     for index, (partner, drawn, freshness, later, same) in enumerate(steps):
         now += later
@@ -307,7 +317,7 @@
 MAPS = st.dictionaries(st.sampled_from(NAMES), TABLES, max_size=3)
 
 
-@FEW
+@FEW_EXAMPLES
 @given(MAPS, MAPS, MAPS)
 def test_newest_tables_depend_neither_on_order_nor_on_repetition(a, b, c):
     assert newest_tables(a, b) == newest_tables(b, a) and newest_tables(a, a) == a
@@ -321,7 +331,7 @@
     """A session whose partner responds at once while `up`. A request without changes takes its whole wait."""
 
     def __init__(self, timing=TIMING, limits=table_module.DEFAULT_LIMITS):
-        self.now, self.up, self.source, self.edit = BEGIN, True, offer(), lambda data: data
+        self.now, self.up, self.source, self.edit = START_TIME, True, offer(), lambda data: data
         self.session = Session("bb", "life", lambda: 0.5, timing, limits)
         self.seen, self.errors = [], []
         self.do(self.session.start(self.now))
@@ -363,7 +373,7 @@
         and ramp_factor(partner.session.partner_state(), partner.now, TIMING) == 1
     )
     partner.up = False
-    # the request timed out; the first one without a wait is in flight
+    # The request timed out; the first one without a wait is in flight.
     partner.run(TIMING.wait + TIMING.silent_after + 10 * MS)
     partner.up = True
     assert partner.run(SECOND) is SessionState.HOLDING and SessionState.STALE not in partner.seen
@@ -376,14 +386,14 @@
     parts = [ramp_factor(held, held.back_at + n * TIMING.ramp_within // 4, TIMING) for n in range(5)]
     assert parts[0] == TIMING.ramp_from and parts[4] == 1 and parts == sorted(parts) and parts[1] < 0.3
     handed = Session("bb", "other", lambda: 0.5, TIMING)
-    # another sidecar gets the lease: the ramp continues, since the partner was never away
+    # Another sidecar gets the lease: the ramp continues, since the partner was never away.
     handed.start(partner.now, held)
     assert handed.state is SessionState.HOLDING and handed.partner_state().back_at == held.back_at
     after = (0, TIMING.hold, TIMING.hold + TIMING.gone)
     ages = [aged_state(held, held.confirmed_at + later, TIMING).freshness for later in after]
     assert ages == [Freshness.FRESH, Freshness.STALE, Freshness.GONE]  # as an observer that is cut off computes it
     late = Session("bb", "third", lambda: 0.5, TIMING)
-    late.start(partner.now + HOP, held)
+    late.start(partner.now + MAX_HOP_DELAY, held)
     assert late.state is SessionState.GONE
 
 
@@ -391,7 +401,7 @@
     for edit, what in ((lambda data: data[:-20], "truncated"), (lambda data: data + b" " * 9000, "at most")):
         partner = Partner(limits=Limits(bytes=8000))
         before = partner.session.table
-        partner.source.replace({S.replace("aa", "bb"): route(S.replace("aa", "bb"), "bb", CLOSED)})
+        partner.source.replace({SERVICE.replace("aa", "bb"): make_route(SERVICE.replace("aa", "bb"), "bb", CLOSED)})
         partner.edit = edit
         assert partner.run(TIMING.hold - 2 * SECOND) is SessionState.HOLDING and partner.session.table is before
         assert partner.errors and what in str(partner.errors[0]) and partner.errors[0].partner == "bb"
@@ -416,7 +426,7 @@
     assert (
         partner.session.table.position == (2, 1) and all(type(e) is OldTable for e in partner.errors) and partner.errors
     )
-    partner.run(HOP)
+    partner.run(MAX_HOP_DELAY)
     assert partner.session.table.position == (1, 1)
     first = partner.source.response(None, "life.1")  # a cached response
     partner.source, partner.edit = offer(epoch=3), lambda data: first
@@ -426,7 +436,7 @@
 
 def test_changes_that_follow_another_table_cause_a_request_for_the_whole():
     partner = Partner()
-    # the table at this position is another one than the stored one
+    # The table at this position is another one than the stored one.
     partner.source.encoded["s0@bb"], partner.source.sum = b"{}", 7
     good = offer(number=2)
     good.index, good.changed = 9, dict.fromkeys(good.changed, 9)
@@ -445,102 +455,118 @@
         partner.run(TIMING.damped_most) is SessionState.HOLDING
         and ramp_factor(partner.session.partner_state(), partner.now, TIMING) <= 1
     )
-    assert partner.session.partner_state().back_at > BEGIN + SECOND
+    assert partner.session.partner_state().back_at > START_TIME + SECOND
 
 
 # ---- several sites -------------------------------------------------------------------------------
 
 
-def world(links, dishonest="", seed=1, said=OPEN):
+def simulated_sites(links, dishonest="", seed=1, declared=OPEN):
     pairs = [pair.split("-") for pair in links.split()]
-    made = World(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
-    made.declare("aa", S, said)
-    made.start()
-    made.run(5 * SECOND)
-    return made
+    simulation = Simulation(seed, sorted({name for pair in pairs for name in pair}), pairs, dishonest)
+    simulation.declare("aa", SERVICE, declared)
+    simulation.start()
+    simulation.run(5 * SECOND)
+    return simulation
 
 
-def uses(made, site):
-    found = made.sites[site].merger.merged.used.get(S)
+def used_path(simulation, site):
+    found = simulation.sites[site].merger.merged.used.get(SERVICE)
     return found.route.path if found else None
 
 
-def tightened_while_a_link_is_down(terms_then=CLOSED):
-    made = world("aa-bb bb-cc", said=terms(passes=1))
-    assert uses(made, "bb") == ("aa",) and uses(made, "cc") == ("bb", "aa")
-    made.link("aa", "bb", False)
-    made.run(SECOND)
-    made.declare("aa", S, terms_then)
-    made.run(3 * HOP)
-    assert made.found() or (uses(made, "bb"), uses(made, "cc")) == (None, None)
-    made.link("aa", "bb", True)
-    made.run(5 * SECOND)
-    return made
+def tightened_while_a_link_is_down(new_terms=CLOSED):
+    simulation = simulated_sites("aa-bb bb-cc", declared=terms(passes=1))
+    assert used_path(simulation, "bb") == ("aa",) and used_path(simulation, "cc") == ("bb", "aa")
+    simulation.link("aa", "bb", False)
+    simulation.run(SECOND)
+    simulation.declare("aa", SERVICE, new_terms)
+    simulation.run(3 * MAX_HOP_DELAY)
+    assert simulation.violations() or (used_path(simulation, "bb"), used_path(simulation, "cc")) == (None, None)
+    simulation.link("aa", "bb", True)
+    simulation.run(5 * SECOND)
+    return simulation
 
 
-@pytest.mark.parametrize("then", [terms(use=only("zz")), None], ids=["tightened", "withdrawn"])
-def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(then):
-    made = tightened_while_a_link_is_down(then)
-    assert not made.found() and uses(made, "bb") is None and made.seen["stale"] and made.seen["gone"]
+@pytest.mark.parametrize("new_terms", [terms(use=only("zz")), None], ids=["tightened", "withdrawn"])
+def test_terms_declared_while_the_link_is_down_apply_after_the_bound_and_after_the_link_returns(new_terms):
+    simulation = tightened_while_a_link_is_down(new_terms)
+    assert (
+        not simulation.violations()
+        and used_path(simulation, "bb") is None
+        and simulation.event_counts["stale"]
+        and simulation.event_counts["gone"]
+    )
 
 
 def test_a_withdrawn_route_does_not_loop_through_three_sites():
-    made = world("aa-bb bb-cc cc-aa dd-cc", said=terms(passes=9))
-    assert uses(made, "bb") == ("aa",) and uses(made, "dd") == ("cc", "aa")
-    made.declare("aa", S, None)
-    made.run(SECOND)
-    assert [uses(made, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not made.found()
-    loop = {"bb": fresh("bb", {S: msgspec.structs.replace(route(S, "bb", OPEN), path=("bb", "cc", "aa"))})}
-    assert merge(loop, Policy("cc"), 0).left[S]["bb"].reason is Reason.LOOP
-
-
-@pytest.mark.parametrize("said", [terms(show=only("bb", "dd")), terms(passes=0)], ids=["show", "passes"])
-def test_a_leak_is_detected_by_the_next_honest_site(said):
-    made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=said)
-    assert uses(made, "cc") is None and uses(made, "dd") is None and made.leakers["bb"] and not made.found()
-    assert str(made.sites["cc"].merger.merged.left[S]["bb"]) == "leaked by bb"
-    assert S not in made.sites["cc"].merger.merged.shown["dd"]
+    simulation = simulated_sites("aa-bb bb-cc cc-aa dd-cc", declared=terms(passes=9))
+    assert used_path(simulation, "bb") == ("aa",) and used_path(simulation, "dd") == ("cc", "aa")
+    simulation.declare("aa", SERVICE, None)
+    simulation.run(SECOND)
+    assert [used_path(simulation, n) for n in ("aa", "bb", "cc", "dd")] == [None] * 4 and not simulation.violations()
+    loop = {
+        "bb": fresh("bb", {SERVICE: msgspec.structs.replace(make_route(SERVICE, "bb", OPEN), path=("bb", "cc", "aa"))})
+    }
+    assert merge(loop, Policy("cc"), 0).left[SERVICE]["bb"].reason is Reason.LOOP
+
+
+@pytest.mark.parametrize("declared", [terms(show=only("bb", "dd")), terms(passes=0)], ids=["show", "passes"])
+def test_a_leak_is_detected_by_the_next_honest_site(declared):
+    simulation = simulated_sites("aa-bb bb-cc cc-dd", dishonest="bb", declared=declared)
+    assert (
+        used_path(simulation, "cc") is None
+        and used_path(simulation, "dd") is None
+        and simulation.leak_counts["bb"]
+        and not simulation.violations()
+    )
+    assert str(simulation.sites["cc"].merger.merged.left[SERVICE]["bb"]) == "leaked by bb"
+    assert SERVICE not in simulation.sites["cc"].merger.merged.shown["dd"]
 
 
 def test_replayed_responses_are_rejected():
-    made = world("aa-bb")
-    made.declare("aa", S, terms(use=NO_SITES))
-    made.run(SECOND)
-    made.faults = Faults(repeated=0.7)
-    made.run(20 * SECOND)
-    assert made.seen["OldTable"] and uses(made, "bb") is None
-    made.settle()
-    assert not made.found()
+    simulation = simulated_sites("aa-bb")
+    simulation.declare("aa", SERVICE, terms(use=NO_SITES))
+    simulation.run(SECOND)
+    simulation.faults = LinkFaults(repeated=0.7)
+    simulation.run(20 * SECOND)
+    assert simulation.event_counts["OldTable"] and used_path(simulation, "bb") is None
+    simulation.heal_and_check()
+    assert not simulation.violations()
 
 
 def test_two_sites_restarted_without_data_return_by_the_ramp_and_others_are_not_affected():
-    made = world("aa-bb cc-bb")
-    made.declare("cc", "t@cc", OPEN)
-    made.run(SECOND)
-    made.restart(["aa", "bb"], True, SECOND)
-    made.run(1500 * MS)
-    held = made.sites["bb"].disk["aa"]
-    assert uses(made, "bb") == ("aa",) and ramp_factor(held, made.clock.now, TIMING) < 0.3
-    made.faults = Faults(cut=1.0)
-    made.settle()
-    assert not made.found()
-    before = made.sites["cc"].sessions["bb"].since
+    simulation = simulated_sites("aa-bb cc-bb")
+    simulation.declare("cc", "t@cc", OPEN)
+    simulation.run(SECOND)
+    simulation.restart(["aa", "bb"], True, SECOND)
+    simulation.run(1500 * MS)
+    held = simulation.sites["bb"].disk["aa"]
+    assert used_path(simulation, "bb") == ("aa",) and ramp_factor(held, simulation.clock.now, TIMING) < 0.3
+    simulation.faults = LinkFaults(cut=1.0)
+    simulation.heal_and_check()
+    assert not simulation.violations()
+    before = simulation.sites["cc"].sessions["bb"].since
     for number in range(12):
-        made.link("aa", "bb", number % 2 == 0)
-        made.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
-    assert made.seen["damped"] and made.sites["cc"].sessions["bb"].since == before and not made.found()
-    assert made.sites["bb"].sessions["cc"].state is SessionState.HOLDING and uses(made, "bb") is None
-    made.settle()
-    assert not made.found() and uses(made, "bb") == ("aa",)
+        simulation.link("aa", "bb", number % 2 == 0)
+        simulation.run(TIMING.hold + 100 * MS if number % 2 else 1500 * MS)
+    assert (
+        simulation.event_counts["damped"]
+        and simulation.sites["cc"].sessions["bb"].since == before
+        and not simulation.violations()
+    )
+    assert simulation.sites["bb"].sessions["cc"].state is SessionState.HOLDING and used_path(simulation, "bb") is None
+    simulation.heal_and_check()
+    assert not simulation.violations() and used_path(simulation, "bb") == ("aa",)
 
 
 def test_random_sites_never_use_or_show_a_route_against_its_terms():
     seen, acts = {}, 0
     for seed in range(200):
-        made = play(seed)
-        assert not made.found(), (seed, made.found()[0])
-        acts += made.oracle.acts
-        for name in made.seen:
+        simulation = simulate(seed)
+        assert not simulation.violations(), (seed, simulation.violations()[0])
+        acts += simulation.oracle.acts
+        for name in simulation.event_counts:
             seen[name] = seen.get(name, 0) + 1
     assert acts > 50_000
     for name in ("BadTable", "OldTable", "LEAKED", "EXPIRED", "EXCLUDED", "WORSE", "stale", "gone", "damped"):
@@ -597,15 +623,15 @@
 }
 
 
-def holds(check):
+def check_holds(check):
     try:
-        return not check().found()
+        return not check().violations()
     except AssertionError:
         return False
 
 
 class NoFindings:
-    def found(self):
+    def violations(self):
         return []
 
 
@@ -617,41 +643,42 @@
 
 
 def random_days():
-    return next((made for made in map(play, range(40)) if made.found()), NoFindings())
+    return next((simulation for simulation in map(simulate, range(40)) if simulation.violations()), NoFindings())
 
 
 def leak():
-    made = world("aa-bb bb-cc cc-dd", dishonest="bb", said=terms(passes=0))
-    assert uses(made, "cc") is None
-    return made
+    simulation = simulated_sites("aa-bb bb-cc cc-dd", dishonest="bb", declared=terms(passes=0))
+    assert used_path(simulation, "cc") is None
+    return simulation
 
 
 def replay():
-    made = world("aa-bb")
-    made.declare("aa", S, CLOSED)
-    made.faults = Faults(repeated=0.7)
-    made.run(3 * HOP)
-    return made
+    simulation = simulated_sites("aa-bb")
+    simulation.declare("aa", SERVICE, CLOSED)
+    simulation.faults = LinkFaults(repeated=0.7)
+    simulation.run(3 * MAX_HOP_DELAY)
+    return simulation
 
 
 def unknown_term():
-    made = World(1, ["aa", "bb"], [("aa", "bb")])
-    made.declare("aa", S, OPEN)
-    made.start()
-    made.run(2 * SECOND)
-    with mock.patch.object(table_module, "terms_to_json", lambda said: {**terms_to_json(OPEN), "price": 3}):
-        made.declare("aa", S, terms(passes=7))  # is sent with a term that no site knows
-    made.oracle.declare(made.clock.now, "aa", S, terms(use=NO_SITES))  # and this is the meaning of that term
-    made.run(2 * HOP)
-    return made
+    simulation = Simulation(1, ["aa", "bb"], [("aa", "bb")])
+    simulation.declare("aa", SERVICE, OPEN)
+    simulation.start()
+    simulation.run(2 * SECOND)
+    with mock.patch.object(table_module, "terms_to_json", lambda declared: {**terms_to_json(OPEN), "price": 3}):
+        simulation.declare("aa", SERVICE, terms(passes=7))  # is sent with a term that no site knows
+    # The meaning of that term is that no site may use the route.
+    simulation.oracle.declare(simulation.clock.now, "aa", SERVICE, terms(use=NO_SITES))
+    simulation.run(2 * MAX_HOP_DELAY)
+    return simulation
 
 
 def expired_terms():
-    made = world("aa-bb", said=terms(until=BEGIN + 8 * SECOND))
-    assert uses(made, "bb")
-    made.link("aa", "bb", False)
-    made.run(4 * SECOND)
-    return made
+    simulation = simulated_sites("aa-bb", declared=terms(until=START_TIME + 8 * SECOND))
+    assert used_path(simulation, "bb")
+    simulation.link("aa", "bb", False)
+    simulation.run(4 * SECOND)
+    return simulation
 
 
 CHECKS = {"laws": random_laws, "days": random_days, "leak": leak, "replay": replay, "unknown": unknown_term,
@@ -664,8 +691,8 @@
     with ExitStack() as stack:
         for owner, what, value in patches:
             stack.enter_context(mock.patch.object(owner, what, value))
-        assert {check for check in CHECKS if not holds(CHECKS[check])} >= by
+        assert {check for check in CHECKS if not check_holds(CHECKS[check])} >= by
 
 
 def test_the_checks_hold_without_a_defect():
-    assert all(map(holds, CHECKS.values()))
+    assert all(map(check_holds, CHECKS.values()))
