--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -96,7 +96,7 @@
     def test_a_write_whose_answer_is_lost_with_the_leader_is_applied_once(self):
         leader, token = self.up(followers=0), self.pen()
         first = encode(Command("one", 1, FencedWrite(PEN, token, "k", b"first")))
-        link = self.links.link(self.seats[leader.name])
+        link = self.links.add(self.seats[leader.name])
         lost = Line(link.address)
         self.addCleanup(lost.close)
         link.block(forward=False, backward=True)
