--- a/loftweir/emulator/__init__.py
+++ b/loftweir/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""A model of the systems that the sidecar serves, in virtual time: nodes, zones, discovery, clients and faults.
+"""A simulation in virtual time of the systems around the sidecar: nodes, zones, discovery, clients and faults.
 
-Pure: no I/O, no wall clock, no global randomness. `run` hosts the real `Balancer` of each instance through
-`interface.py`; the oracle judges by what happened in the model, never by what a balancer says.
+Pure: no I/O, no wall clock, no global randomness. `emulation.simulate` runs the real `Balancer` of each sidecar
+instance through `interface.py`. The oracle checks what happened in the simulation, never what a balancer reports.
 """
--- a/loftweir/emulator/baselines.py
+++ b/loftweir/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Balancers to compare with, behind the same interface, and others that are broken on purpose for the oracle."""
+"""Balancers for comparison behind the same interface, and balancers with deliberate defects to check the oracle."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 from loftweir import interface as api
 from loftweir.balance import Balancer
 
-DISCOVERY = "discovery"
+DISCOVERY = "discovery"  # tag of the timer that restarts the watch
+DEFECT_ATTEMPT_TIME = 10**9  # ns for an attempt that a defect adds
 
 
 class Baseline:
-    """Keeps the rules in the plainest way: one attempt, the fleet's ready servers, a final answer at its end or at the
-    deadline. How a server is picked is the subclass's."""
+    """Keeps the rules in the simplest way: one attempt to any ready provider, and a final answer when it ends or at the
+    deadline. Subclasses choose the provider."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.random = Random(seed)
-        self.servers: dict[str, api.Endpoint] = {}
+        self.providers: dict[str, api.Endpoint] = {}
         self.open: dict[str, api.Request] = {}
-        self.out: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}  # attempts by provider
 
-    def pick(self, ready: list[str]) -> str:
+    def choose(self, ready: list[str]) -> str:
+        """Returns one of the ready providers."""
         raise NotImplementedError
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
@@ -31,13 +33,12 @@
             if isinstance(event, api.Request):
                 self._request(now, event, actions)
             elif isinstance(event, api.AttemptEnded):
-                self.out[event.provider] = self.out.get(event.provider, 0) - 1
+                self.in_flight[event.provider] = self.in_flight.get(event.provider, 0) - 1
                 if self.open.pop(event.request_id, None) is not None and not event.request_ended:
                     harmless = event.outcome.never_ran
-                    end = api.Reject(event.request_id) if harmless else api.Fail(event.request_id)
-                    actions.append(end)
+                    actions.append(api.Reject(event.request_id) if harmless else api.Fail(event.request_id))
             elif isinstance(event, api.MembershipUpdate):
-                self._membership(event, actions)
+                self._membership_update(event, actions)
             elif isinstance(event, api.RequestCancelled):
                 self.open.pop(event.request_id, None)
             elif isinstance(event, api.TimerFired) and event.tag == DISCOVERY:
@@ -45,48 +46,48 @@
         return actions
 
     def _request(self, now: int, request: api.Request, actions: list[api.Action]) -> None:
-        ready = [name for name, e in self.servers.items() if e.lifecycle is api.Lifecycle.READY]
+        ready = [name for name, e in self.providers.items() if e.lifecycle is api.Lifecycle.READY]
         if not ready or request.time_left <= 0:
             actions.append(api.Reject(request.id))
             return
-        server = self.pick(ready)
+        provider = self.choose(ready)
         self.open[request.id] = request
-        self.out[server] = self.out.get(server, 0) + 1
-        actions.append(api.Attempt(request.id, server, now + request.time_left))
+        self.in_flight[provider] = self.in_flight.get(provider, 0) + 1
+        actions.append(api.Attempt(request.id, provider, now + request.time_left))
 
-    def _membership(self, update: api.MembershipUpdate, actions: list[api.Action]) -> None:
+    def _membership_update(self, update: api.MembershipUpdate, actions: list[api.Action]) -> None:
         if update.kind in (api.UpdateKind.FAILED, api.UpdateKind.REMEMBERED):
-            wait = self.random.randrange(self.settings.safety.ask_within // 2 + 1)
-            actions.append(api.Timer(wait, DISCOVERY))
+            delay = self.random.randrange(self.settings.safety.ask_within // 2 + 1)
+            actions.append(api.Timer(delay, DISCOVERY))
         if update.kind in (api.UpdateKind.FULL, api.UpdateKind.REMEMBERED):
-            self.servers = {}
+            self.providers = {}
         for endpoint in update.endpoints:
-            self.servers[endpoint.address] = endpoint
+            self.providers[endpoint.address] = endpoint
 
 
 class RandomChoice(Baseline):
-    """Any ready server of the fleet."""
+    """Chooses a ready provider at random."""
 
-    def pick(self, ready: list[str]) -> str:
+    def choose(self, ready: list[str]) -> str:
         return self.random.choice(ready)
 
 
 class RoundRobin(Baseline):
-    """The fleet's ready servers in turn."""
+    """Chooses the ready providers in turn."""
 
     turn = 0
 
-    def pick(self, ready: list[str]) -> str:
+    def choose(self, ready: list[str]) -> str:
         self.turn += 1
         return ready[self.turn % len(ready)]
 
 
 class LeastOutstanding(Baseline):
-    """The ready server that holds fewest of this balancer's calls; at random among equals."""
+    """Chooses the ready provider with the fewest attempts of this balancer in flight; at random among equals."""
 
-    def pick(self, ready: list[str]) -> str:
-        least = min(self.out.get(name, 0) for name in ready)
-        return self.random.choice([name for name in ready if self.out.get(name, 0) == least])
+    def choose(self, ready: list[str]) -> str:
+        least = min(self.in_flight.get(name, 0) for name in ready)
+        return self.random.choice([name for name in ready if self.in_flight.get(name, 0) == least])
 
 
 BALANCERS: dict[str, Callable[[api.Settings, int], Balancer | Baseline]] = {
@@ -97,11 +98,11 @@
 }
 
 
-# ---- broken on purpose ------------------------------------------------------------------------------
+# ---- deliberate defects -----------------------------------------------------------------------------
 
 
-class RepeatsOnce(Balancer):
-    """Sends a request of class `once` again after a reset."""
+class RetriesOnceClass(Balancer):
+    """Retries a request of class `once` after a reset, when it may have run already."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
@@ -112,12 +113,13 @@
                     actions.remove(fail)
                     ready = [s.address for s in self.providers.values() if s.ready and s.address != event.provider]
                     if ready:
-                        actions.append(api.Attempt(event.request_id, self.random.choice(ready), now + 10**9))
+                        provider = self.random.choice(ready)
+                        actions.append(api.Attempt(event.request_id, provider, now + DEFECT_ATTEMPT_TIME))
         return actions
 
 
 class AnswersTwice(Balancer):
-    """Says a rejection again."""
+    """Sends each rejection and failure twice."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
@@ -125,14 +127,14 @@
 
 
 class NeverAnswers(Balancer):
-    """Drops its final answers."""
+    """Drops its rejections and failures."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         return [a for a in super().handle(now, events) if not isinstance(a, api.Reject | api.Fail)]
 
 
 class IgnoresDrains(Balancer):
-    """Takes one that drains for ready."""
+    """Treats a draining provider as ready."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         for event in events:
@@ -147,7 +149,7 @@
 
 
 class FloodsCold(Balancer):
-    """Sends all to the server that started last."""
+    """Sends all attempts to the provider that started last."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
         actions = super().handle(now, events)
@@ -160,24 +162,24 @@
 
 
 class SendsTwice(Balancer):
-    """Sends a second copy while the first is out; of what comes of the copies it hears nothing."""
+    """Sends each attempt twice at the same time, and hides the outcome of the second copy from the real balancer."""
 
     def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
-        heard = []
+        visible = []
         for event in events:
             if isinstance(event, api.AttemptEnded):
                 if event.attempt % 2:
                     continue
                 event.attempt //= 2
-            heard.append(event)
-        actions = super().handle(now, heard)
+            visible.append(event)
+        actions = super().handle(now, visible)
         return actions + [
             api.Attempt(a.request_id, a.provider, a.give_up_at) for a in actions if isinstance(a, api.Attempt)
         ]
 
 
-BROKEN: dict[str, Callable[[api.Settings, int], Balancer]] = {
-    "effects: repeats once": RepeatsOnce,
+DEFECTIVE: dict[str, Callable[[api.Settings, int], Balancer]] = {
+    "effects: retries class once": RetriesOnceClass,
     "effects: sends twice": SendsTwice,
     "answers: twice": AnswersTwice,
     "answers: never": NeverAnswers,
--- a/loftweir/emulator/connections.py
+++ b/loftweir/emulator/connections.py
@@ -1,7 +1,8 @@
-"""The connections of one instance, where they are costly: one to a node at most, shared by all calls to it.
+"""The connections of one instance when connections have a cost: at most one to each node, shared by all attempts.
 
-Opening one takes round trips, and at the node the handshake's work, done among its requests. It fails where the node is
-down or accepts no more, and where it is not up within the connect timeout; all calls that wait for it fail with it.
+Opening a connection takes round trips, and at the node the work of the handshake, which competes with its requests. It
+fails if the node is down, accepts no more connections, or does not complete it within the connect timeout; all attempts
+that wait for the connection fail with it.
 """
 
 from __future__ import annotations
@@ -15,36 +16,37 @@
 
 
 class Network(Protocol):
-    """What the emulation says of the way between an instance and a node."""
+    """The network between instances and nodes."""
 
     clock: Clock
 
-    def delay(self, one: str, other: str) -> int:
-        """The time one way."""
+    def network_delay(self, one: str, other: str) -> int:
+        """The one-way delay between two zones."""
 
-    def cut_between(self, one: str, other: str) -> bool:
-        """Whether nothing passes."""
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Whether no message passes between two zones."""
 
 
 class Connection:
-    """One connection, being opened or up."""
+    """One connection that is established or being opened."""
 
-    __slots__ = ("node", "life", "up", "over", "waiting", "handshake")
+    __slots__ = ("node", "node_generation", "established", "closed", "waiting", "handshake")
 
     def __init__(self, node: Node) -> None:
         self.node = node
-        self.life = node.life  # the node's process that it is to
-        self.up = False
-        self.over = False
-        self.waiting: list[tuple[Callable[[], None], Callable[[], None]]] = []  # of each call: when up, when failed
+        self.node_generation = node.generation  # the node's process that the connection leads to
+        self.established = False
+        self.closed = False
+        self.waiting: list[tuple[Callable[[], None], Callable[[], None]]] = []  # each: on_established, on_failed
         self.handshake: Job | None = None
 
     def usable(self) -> bool:
-        return not self.over and self.life == self.node.life
+        """Whether it is not closed and the node's process is still the same."""
+        return not self.closed and self.node_generation == self.node.generation
 
 
 class ConnectionTable:
-    """The connections of one instance by node."""
+    """The connections of one instance, by node."""
 
     def __init__(self, network: Network, zone: str, round_trips: int, timeout: int) -> None:
         self.network = network
@@ -53,76 +55,77 @@
         self.timeout = timeout
         self.by_node: dict[str, Connection] = {}
 
-    def reach(self, node: Node, up: Callable[[], None], failed: Callable[[], None]) -> None:
-        """Call `up` once there is a connection to the node, at once where there is one, or `failed`."""
+    def connect(self, node: Node, on_established: Callable[[], None], on_failed: Callable[[], None]) -> None:
+        """Calls `on_established` once there is a connection to the node, at once if there is one already; calls
+        `on_failed` if it can't be opened."""
         connection = self.by_node.get(node.name)
         if connection is None or not connection.usable():
             connection = self.by_node[node.name] = Connection(node)
             self._open(connection)
-        if connection.up:
-            up()
+        if connection.established:
+            on_established()
         else:
-            connection.waiting.append((up, failed))
+            connection.waiting.append((on_established, on_failed))
 
-    def drop(self, node: Node) -> None:
-        """The node's process has ended it."""
+    def discard(self, node: Node) -> None:
+        """Removes the connection to a node that has closed it."""
         connection = self.by_node.pop(node.name, None)
         if connection is not None:
-            connection.over = True
+            connection.closed = True
 
     def close_all(self) -> None:
-        """The instance's own process ends."""
+        """Closes all connections, because the instance's own process ends."""
         for connection in self.by_node.values():
-            if connection.up and connection.usable():
+            if connection.established and connection.usable():
                 connection.node.connections -= 1
             elif connection.usable() and connection.handshake is not None:
                 connection.node.abandon_handshake(connection.handshake)
-            connection.over = True
+            connection.closed = True
         self.by_node.clear()
 
     def _open(self, connection: Connection) -> None:
         node, clock = connection.node, self.network.clock
-        clock.after(self.timeout, self._timed_out, connection)
-        if not node.cut and not self.network.cut_between(self.zone, node.zone):
-            there = self._delay(node) * max(1, 2 * self.round_trips - 1)
-            clock.after(there, self._shake_hands, connection)
+        clock.call_later(self.timeout, self._timed_out, connection)
+        if not node.isolated and not self.network.is_partitioned(self.zone, node.zone):
+            until_handshake = self._delay(node) * max(1, 2 * self.round_trips - 1)
+            clock.call_later(until_handshake, self._start_handshake, connection)
 
     def _delay(self, node: Node) -> int:
-        return self.network.delay(self.zone, node.zone)
+        return self.network.network_delay(self.zone, node.zone)
 
-    def _shake_hands(self, connection: Connection) -> None:
-        """The connection's opening has reached the node."""
+    def _start_handshake(self, connection: Connection) -> None:
+        """Starts the handshake at the node, once its last message has arrived there."""
         node, clock = connection.node, self.network.clock
-        if connection.over:
+        if connection.closed:
             return
 
         def done() -> None:
-            clock.after(self._delay(node), self._is_up, connection)
+            clock.call_later(self._delay(node), self._established, connection)
 
-        connection.life = node.life
+        connection.node_generation = node.generation
         connection.handshake = node.open_connection(done) if node.up else None
         if connection.handshake is None:
-            clock.after(self._delay(node), self._fail, connection)
+            clock.call_later(self._delay(node), self._fail, connection)
 
-    def _is_up(self, connection: Connection) -> None:
+    def _established(self, connection: Connection) -> None:
         if not connection.usable():
             return
-        connection.up = True
+        connection.established = True
         waiting, connection.waiting = connection.waiting, []
-        for up, _ in waiting:
-            up()
+        for on_established, _ in waiting:
+            on_established()
 
     def _timed_out(self, connection: Connection) -> None:
-        if connection.up or connection.over:
+        if connection.established or connection.closed:
             return
         if connection.handshake is not None and connection.usable():
             connection.node.abandon_handshake(connection.handshake)
         self._fail(connection)
 
     def _fail(self, connection: Connection) -> None:
-        if connection.over:
+        if connection.closed:
             return
-        connection.over = True
+        connection.closed = True
         waiting, connection.waiting = connection.waiting, []
-        for _, failed in waiting:
-            failed()
+        for _, on_failed in waiting:
+            on_failed()
--- a/loftweir/emulator/context.py
+++ b/loftweir/emulator/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one run share: its scenario, clock, draws, nodes, the oracle, and the ways between zones."""
+"""What all parts of one run share: scenario, clock, random streams, nodes, oracle and the delays of the network."""
 
 from __future__ import annotations
 
@@ -8,30 +8,34 @@
 from loftweir.emulator.scenario import Scenario, settings_of
 from loftweir.emulator.streams import Streams
 
-MS, SECOND = 1_000_000, 1_000_000_000
-BEGAN = 1_700_000_000 * SECOND  # the run's first moment: Unix time, since nodes tell theirs
-LEAD = SECOND  # from the instances' start to the first request
+MS = 1_000_000
+SECOND = 1_000_000_000
+START_TIME = 1_700_000_000 * SECOND  # when a run starts; Unix time, because the list contains nodes' start times
+REQUESTS_DELAY = SECOND  # from the start of the instances to the first request
 
 
 class Context:
-    """Made by the emulation, handed to each of its parts."""
+    """Created by the emulation and passed to each of its parts."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
-        self.clock = Clock(BEGAN)
+        self.clock = Clock(START_TIME)
         self.streams = Streams(seed)
-        self.ends_at = BEGAN + LEAD + scenario.seconds * SECOND  # the last request comes before
-        self.instances_in_all = sum(i.count for i in scenario.instances)
-        self.oracle = Oracle(settings_of(scenario, scenario.instances[0].zone, 0, self.instances_in_all).safety)
+        self.requests_end_at = START_TIME + REQUESTS_DELAY + scenario.seconds * SECOND  # no request arrives after this
+        self.total_instances = sum(i.count for i in scenario.instances)
+        self.oracle = Oracle(settings_of(scenario, scenario.instances[0].zone, 0, self.total_instances).safety)
         self.nodes: dict[str, Node] = {}
-        self.severed: set[str] = set()  # zones that others can't reach
-        self.attempts = self.executions = 0
-
-    def delay(self, one: str, other: str) -> int:
-        """The time one way from a zone to another."""
-        w = self.scenario.world
-        return w.near if one == other else w.far
-
-    def cut_between(self, one: str, other: str) -> bool:
-        """Whether nothing passes between two zones."""
-        return bool(self.severed) and one != other and (one in self.severed or other in self.severed)
+        self.isolated_zones: set[str] = set()  # zones that are partitioned from all others
+        self.attempts = 0
+        self.executions = 0
+
+    def network_delay(self, one: str, other: str) -> int:
+        """The one-way delay between two zones."""
+        world = self.scenario.world
+        return world.near if one == other else world.far
+
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Whether no message passes between two zones."""
+        return (
+            bool(self.isolated_zones) and one != other and (one in self.isolated_zones or other in self.isolated_zones)
+        )
--- a/loftweir/emulator/emulation.py
+++ b/loftweir/emulator/emulation.py
@@ -1,66 +1,68 @@
-"""Plays a scenario in virtual time: nodes, lists, clients and troubles round the real balancers.
+"""Runs a scenario in virtual time: nodes, discovery, clients and faults around the real balancers.
 
-A balancer is made by `make(settings, seed)` and is anything with `handle(now, events) -> actions`, so that baselines
-and balancers broken on purpose play the same days.
+A balancer is created by `make(settings, seed)` and is any object with `handle(now, events) -> actions`. So the
+baselines, and the balancers with deliberate defects, run under the same conditions.
 """
 
 from __future__ import annotations
 
 from loftweir.balance import Balancer
 from loftweir.emulator.clients import Clients
-from loftweir.emulator.context import BEGAN, LEAD, MS, SECOND, Context
+from loftweir.emulator.context import MS, REQUESTS_DELAY, SECOND, START_TIME, Context
 from loftweir.emulator.faults import FaultInjector
 from loftweir.emulator.fleet import Fleet
-from loftweir.emulator.instance import Instance, Make
-from loftweir.emulator.lists import Lists
+from loftweir.emulator.instance import Instance, MakeBalancer
+from loftweir.emulator.lists import DiscoveryService
 from loftweir.emulator.result import Result
 from loftweir.emulator.scenario import Scenario
 
 
 class Emulation:
-    """One run of a scenario. Owns all its parts."""
+    """One run of a scenario with all its parts."""
 
-    def __init__(self, scenario: Scenario, seed: int, make: Make = Balancer) -> None:
+    def __init__(self, scenario: Scenario, seed: int, make: MakeBalancer = Balancer) -> None:
         self.scenario = scenario
         self.seed = seed
         self.context = Context(scenario, seed)
         fleet = Fleet(self.context)
-        self.lists = Lists(self.context)
+        self.discovery = DiscoveryService(self.context)
         self.clients = Clients(self.context)
         self.instances: list[Instance] = []
         for spec in scenario.instances:
             for _ in range(spec.count):
                 number = len(self.instances)
-                self.instances.append(Instance(self.context, self.clients, self.lists, number, make, spec))
-        FaultInjector(self.context, fleet, self.lists, self.clients, self.instances).schedule()
+                self.instances.append(Instance(self.context, self.clients, self.discovery, number, make, spec))
+        FaultInjector(self.context, fleet, self.discovery, self.clients, self.instances).schedule()
 
     def run(self) -> Result:
-        """Plays the run to its end, which is when the last request has its answer."""
+        """Runs the scenario until the last request has its answer."""
         context, scenario = self.context, self.scenario
-        remembered = self.lists.whole()
+        remembered = self.discovery.endpoints()
         for instance in self.instances:
             spread = instance.spec.starts
-            at = int(context.streams[f"start {instance.number}"].uniform() * spread) if spread else 0
-            context.clock.at(BEGAN + at, instance.start, remembered)
-            context.clock.at(BEGAN + LEAD + at, self.clients.arrivals, instance)
+            offset = int(context.streams[f"start {instance.number}"].uniform() * spread) if spread else 0
+            context.clock.call_at(START_TIME + offset, instance.start, remembered)
+            context.clock.call_at(START_TIME + REQUESTS_DELAY + offset, self.clients.schedule_arrival, instance)
         if scenario.overdrive.share > 0:
             for second in range(scenario.seconds):
-                context.clock.at(BEGAN + LEAD + (second + 1) * SECOND - 1, self._count_overdriven)
-        longest = max(c.deadline for c in scenario.classes)
-        context.clock.run(context.ends_at + longest + SECOND)
-        context.oracle.end(context.clock.now)
+                end_of_second = START_TIME + REQUESTS_DELAY + (second + 1) * SECOND - 1
+                context.clock.call_at(end_of_second, self._count_overdriven)
+        longest_deadline = max(c.deadline for c in scenario.classes)
+        context.clock.run(context.requests_end_at + longest_deadline + SECOND)
+        context.oracle.finish(context.clock.now)
         return self._result()
 
     def _count_overdriven(self) -> None:
         nodes = self.context.nodes.values()
         overdriven = sum(n.overdrive is not None and n.overdrive.overdriven for n in nodes)
-        self.clients.second(self.context.clock.now).overdriven = overdriven / len(nodes)
+        self.clients.second_count(self.context.clock.now).overdriven = overdriven / len(nodes)
 
     def _result(self) -> Result:
         context, clients = self.context, self.clients
         asked = sum(clients.worth_asked.values())
-        times = sorted(clients.times)
-        quantiles = [times[min(len(times) - 1, len(times) * q // 1000)] / MS for q in range(1000)] if times else []
+        latencies = sorted(clients.latencies)
+        last = len(latencies) - 1
+        quantiles = [latencies[min(last, len(latencies) * q // 1000)] / MS for q in range(1000)] if latencies else []
         return Result(
             scenario=self.scenario.name,
             seed=self.seed,
@@ -80,6 +82,6 @@
         )
 
 
-def simulate(scenario: Scenario, seed: int, make: Make = Balancer) -> Result:
-    """Plays a scenario once; equal arguments give equal results."""
+def simulate(scenario: Scenario, seed: int, make: MakeBalancer = Balancer) -> Result:
+    """Runs a scenario once; equal arguments give equal results."""
     return Emulation(scenario, seed, make).run()
--- a/loftweir/emulator/faults.py
+++ b/loftweir/emulator/faults.py
@@ -1,4 +1,4 @@
-"""InjectedFault injection: each fault of a scenario, begun at its time and undone after it."""
+"""Fault injection: starts each fault of a scenario at its time and ends it after its duration."""
 
 from __future__ import annotations
 
@@ -7,140 +7,156 @@
 
 from loftweir import interface as api
 from loftweir.emulator.clients import Clients
-from loftweir.emulator.context import BEGAN, LEAD, SECOND, Context
+from loftweir.emulator.context import REQUESTS_DELAY, SECOND, START_TIME, Context
 from loftweir.emulator.fleet import Fleet
 from loftweir.emulator.instance import Instance
-from loftweir.emulator.lists import Lists
+from loftweir.emulator.lists import DiscoveryService
 from loftweir.emulator.node import Node
 from loftweir.emulator.scenario import InjectedFault
 
+REPLACEMENT_DRAIN = 5 * SECOND  # from when a replaced node is published as draining until it is removed
+MIN_SPEED_FACTOR = 0.001  # of a slowed node; 0 would make its jobs endless
+
 
 class FaultInjector:
-    """Injects the faults of a scenario. Each kind has a method of its name, told of the nodes that it is for."""
+    """Injects the faults of a scenario. The method `_KIND` starts a fault of kind KIND and gets the nodes that
+    the fault affects."""
 
     def __init__(
-        self, context: Context, fleet: Fleet, lists: Lists, clients: Clients, instances: list[Instance]
+        self,
+        context: Context,
+        fleet: Fleet,
+        discovery: DiscoveryService,
+        clients: Clients,
+        instances: list[Instance],
     ) -> None:
         self.context = context
         self.fleet = fleet
-        self.lists = lists
+        self.discovery = discovery
         self.clients = clients
         self.instances = instances
 
     def schedule(self) -> None:
-        """Let each begin at its time."""
+        """Schedules the start of each fault."""
         for number, fault in enumerate(self.context.scenario.troubles):
-            self.context.clock.at(BEGAN + LEAD + fault.at, self._inject, number, fault)
+            self.context.clock.call_at(START_TIME + REQUESTS_DELAY + fault.at, self._inject, number, fault)
 
-    def _chosen(self, fault: InjectedFault, number: int) -> list[Node]:
-        """The nodes that a fault is for: a part of those in its zone, at least one, by a stream of its own."""
-        there = [n for n in self.context.nodes.values() if n.up and fault.zone in ("", n.zone)]
-        if fault.part >= 1 or not there:
-            return there
+    def _affected_nodes(self, fault: InjectedFault, number: int) -> list[Node]:
+        """The running nodes of the fault's zone, or a random part of them, at least one."""
+        candidates = [n for n in self.context.nodes.values() if n.up and fault.zone in ("", n.zone)]
+        if fault.part >= 1 or not candidates:
+            return candidates
         stream = self.context.streams[f"trouble {number}"]
-        wanted = max(1, round(len(there) * fault.part))
-        found = []
+        wanted = max(1, round(len(candidates) * fault.part))
+        chosen = []
         for _ in range(wanted):
-            found.append(there.pop(stream.below(len(there))))
-        return found
+            chosen.append(candidates.pop(stream.below(len(candidates))))
+        return chosen
 
     def _inject(self, number: int, fault: InjectedFault) -> None:
-        nodes = self._chosen(fault, number)
+        nodes = self._affected_nodes(fault, number)
         getattr(self, f"_{fault.kind}")(fault, nodes)
 
-    def _later(self, fault: InjectedFault, undo: Callable[..., Any], *arguments: Any) -> None:
-        self.context.clock.after(fault.lasts, undo, *arguments)
+    def _at_end(self, fault: InjectedFault, undo: Callable[..., Any], *arguments: Any) -> None:
+        """Schedules a call for the end of a fault."""
+        self.context.clock.call_later(fault.lasts, undo, *arguments)
+
+    # ---- nodes ----------------------------------------------------------------------------------
 
     def _hang(self, fault: InjectedFault, nodes: list[Node]) -> None:
         for node in nodes:
             node.hang(True)
-            self._later(fault, node.hang, False)
+            self._at_end(fault, node.hang, False)
 
     def _crash(self, fault: InjectedFault, nodes: list[Node]) -> None:
         for node in nodes:
             node.crash()
-            self.lists.changed(node, api.Lifecycle.GONE)
-            self._later(fault, self._back, node, True)
+            self.discovery.update(node, api.Lifecycle.GONE)
+            self._at_end(fault, self._restart, node, True)
 
-    def _back(self, node: Node, cold: bool) -> None:
+    def _restart(self, node: Node, cold: bool) -> None:
         node.start(cold)
         if node.up:
-            self.lists.changed(node, api.Lifecycle.READY)
+            self.discovery.update(node, api.Lifecycle.READY)
 
     def _cut(self, fault: InjectedFault, nodes: list[Node]) -> None:
         for node in nodes:
-            node.cut = True
-            self._later(fault, setattr, node, "cut", False)
+            node.isolated = True
+            self._at_end(fault, setattr, node, "isolated", False)
 
     def _slow(self, fault: InjectedFault, nodes: list[Node]) -> None:
         for node in nodes:
-            node.slow_down(max(0.001, fault.factor))
-            self._later(fault, node.slow_down, 1.0)
+            node.set_speed_factor(max(MIN_SPEED_FACTOR, fault.factor))
+            self._at_end(fault, node.set_speed_factor, 1.0)
 
     def _errors(self, fault: InjectedFault, nodes: list[Node]) -> None:
         for node in nodes:
-            node.error_part[fault.class_name] = fault.factor
-            self._later(fault, node.error_part.pop, fault.class_name, None)
+            node.error_shares[fault.class_name] = fault.factor
+            self._at_end(fault, node.error_shares.pop, fault.class_name, None)
 
     _class_fails = _errors
 
     def _drain(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        """They are to leave: told, drained for `lasts`, then gone."""
+        """Drains the nodes for the fault's duration, then removes them."""
         for node in nodes:
-            self.lists.changed(node, api.Lifecycle.DRAINING)
-            self._later(fault, self._leaves, node)
+            self.discovery.update(node, api.Lifecycle.DRAINING)
+            self._at_end(fault, self._remove, node)
 
-    def _leaves(self, node: Node) -> None:
+    def _remove(self, node: Node) -> None:
         node.crash()
-        self.lists.changed(node, api.Lifecycle.GONE)
+        self.discovery.update(node, api.Lifecycle.GONE)
 
     def _replace(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        """One after another, each drained while a new one of its make comes up cold."""
+        """Replaces the nodes one after the other, spread over the fault's duration."""
         for place, node in enumerate(nodes):
-            self.context.clock.after(place * fault.lasts // max(1, len(nodes)), self._replaced, node)
+            self.context.clock.call_later(place * fault.lasts // max(1, len(nodes)), self._replace_node, node)
 
-    def _replaced(self, node: Node) -> None:
-        new = self.fleet.replacement(node)
+    def _replace_node(self, node: Node) -> None:
+        """Drains and removes a node while a new one of the same kind starts cold."""
+        new = self.fleet.add_replacement(node)
         new.start(True)
-        self.lists.changed(new, api.Lifecycle.READY)
-        self.lists.changed(node, api.Lifecycle.DRAINING)
-        self.context.clock.after(self.lists.lag + 5 * SECOND, self._leaves, node)
+        self.discovery.update(new, api.Lifecycle.READY)
+        self.discovery.update(node, api.Lifecycle.DRAINING)
+        self.context.clock.call_later(self.discovery.lag + REPLACEMENT_DRAIN, self._remove, node)
 
     def _zone_loss(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        """The machines of a zone vanish, with or without its balancers, and come back cold."""
+        """Isolates the nodes of a zone, with or without its balancers; they restart cold at the end of the fault."""
         for node in nodes:
-            node.cut = True
-            self.lists.changed(node, api.Lifecycle.GONE)
-            self._later(fault, self._returns, node)
+            node.isolated = True
+            self.discovery.update(node, api.Lifecycle.GONE)
+            self._at_end(fault, self._restart_isolated, node)
         if fault.balancers == "go":
             for instance in self.instances:
                 if instance.zone == fault.zone:
-                    instance.die()
-                    self.lists.watchers.pop(instance.number, None)
-                    self._later(fault, instance.start, self.lists.whole())
+                    instance.crash()
+                    self.discovery.watchers.pop(instance.number, None)
+                    self._at_end(fault, instance.start, self.discovery.endpoints())
 
-    def _returns(self, node: Node) -> None:
+    def _restart_isolated(self, node: Node) -> None:
         node.crash()
-        self._back(node, True)
+        self._restart(node, True)
 
     _cold_return = _crash
 
+    # ---- discovery, clients and network ---------------------------------------------------------
+
     def _stale(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        """The list runs further behind."""
-        self.lists.lag += int(fault.factor * SECOND)
-        self._later(fault, self._fresh, int(fault.factor * SECOND))
+        """Publishes changes of the list later."""
+        extra_lag = int(fault.factor * SECOND)
+        self.discovery.lag += extra_lag
+        self._at_end(fault, self._reduce_lag, extra_lag)
 
-    def _fresh(self, by: int) -> None:
-        self.lists.lag -= by
+    def _reduce_lag(self, by: int) -> None:
+        self.discovery.lag -= by
 
     def _no_discovery(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        self.lists.go_down(True)
-        self._later(fault, self.lists.go_down, False)
+        self.discovery.set_down(True)
+        self._at_end(fault, self.discovery.set_down, False)
 
     def _surge(self, fault: InjectedFault, nodes: list[Node]) -> None:
         self.clients.surge[fault.zone] = fault.factor
-        self._later(fault, self.clients.surge.pop, fault.zone, None)
+        self._at_end(fault, self.clients.surge.pop, fault.zone, None)
 
     def _partition(self, fault: InjectedFault, nodes: list[Node]) -> None:
-        self.context.severed.add(fault.zone)
-        self._later(fault, self.context.severed.discard, fault.zone)
+        self.context.isolated_zones.add(fault.zone)
+        self._at_end(fault, self.context.isolated_zones.discard, fault.zone)
--- a/loftweir/emulator/node.py
+++ b/loftweir/emulator/node.py
@@ -1,13 +1,13 @@
-"""A node: cores with a speed, a bounded queue, a cold start that warms with time, and falling over when pushed.
+"""A node: cores of a given speed, a bounded queue, a slow start, and failure under overload while it is cold.
 
-    able(t) = cold_from + (1 - cold_from) * min(1, (t - started) / warm_within)          the part it can do
-    pace    = speed * able * (1 - full_tax * connections / cap) / slowdown               work per ns of a core
+    warmth(t) = cold_from + (1 - cold_from) * min(1, (t - started) / warm_within)          share of its full capacity
+    pace      = speed * warmth * (1 - full_tax * connections / cap) / slowdown             work per ns on one core
 
-A job takes its work over the pace, on a core of its own or on its part of the cores (`processor`). `slowdown` is above
-1 while the node is overdriven (`overdrive`).
+A job takes its work divided by the pace, on a core of its own or on its share of the cores (`processor`). `slowdown` is
+above 1 while the node is overdriven (`overdrive`).
 
-It falls over where, while it is cold, the work that arrived within `fall_after` is more than `fall_multiple` times what
-its cores can do in that time as it is now; then it is down for good.
+A cold node fails for good if the work that arrived within `fall_after` is more than `fall_multiple` times what its
+cores can do in that time at their current warmth.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 
 
 class Costs(NamedTuple):
-    """What a node pays beside its jobs' work."""
+    """What slows a node down besides the work of its jobs."""
 
     connections: Connections = Connections()
-    overdrive: Overdrive | None = None  # None: it is not prone
+    overdrive: Overdrive | None = None  # None: the node never becomes overdriven
 
 
 NO_COSTS = Costs()
 
 
 class Node:
-    """Owns its queue and its cores; tells each job's outcome through `reply`, once, unless it hangs or is cut."""
+    """A server with its queue and cores. It passes the outcome of each job to the job's `reply` exactly once, unless it
+    hangs or is isolated."""
 
     def __init__(
         self,
@@ -56,8 +57,8 @@
         self.cell = cell
         self.cores = cores
         self.speed = speed
-        self.weight = cores * speed  # as the list says it
-        self.room = queue
+        self.weight = cores * speed  # as in discovery's list
+        self.queue_limit = queue
         self.slots = slots
         self.clock = clock
         self.world = world
@@ -69,85 +70,86 @@
             if slots
             else DedicatedCores(cores, clock, self.current_pace, self._finish, world.fall_after)
         )
-        self.handshakes: list[Job] = []  # of connections that are being opened: in work, but no requests
+        self.handshakes: list[Job] = []  # of connections being opened: running jobs that are not requests
         self.connections = 0
         self.overdrive = OverdriveState(costs.overdrive, cores, clock.now) if costs.overdrive else None
-        self.looks_again_at: int | None = None  # at its overdriven state
-        self.life = 0  # counts its processes
+        self.overdrive_check_at: int | None = None  # when the overdriven state is checked next
+        self.generation = 0  # number of its current process
         self.up = True
-        self.hangs = False
-        self.cut = False  # silent: nothing comes in, nothing goes out
+        self.hung = False
+        self.isolated = False  # the network drops everything to and from it
         self.leaving = False
-        self.fell = False
-        self.pace = 1.0  # of its speed, while it is slow
-        self.error_part: dict[str, float] = {}  # by class, "" for all
-        self.draw: Callable[[], float] = lambda: 1.0  # uniform, for errors
-        self.arrived: deque[tuple[int, int]] = deque()  # when and how much, within fall_after
-        self.pushed = 0
+        self.failed_cold = False  # failed for good under overload while it was cold
+        self.speed_factor = 1.0  # share of its speed, below 1 while a fault slows it down
+        self.error_shares: dict[str, float] = {}  # share of failing requests by class, "" for all classes
+        self.draw_uniform: Callable[[], float] = lambda: 1.0  # decides which requests fail
+        self.recent_arrivals: deque[tuple[int, int]] = deque()  # time and work of each within `fall_after`
+        self.recent_work = 0
         self.done = 0
 
-    def able(self) -> float:
-        w = self.world
+    def warmth(self) -> float:
+        """The share of its full capacity that it has now."""
+        world = self.world
         if not self.started_at:
             return 1.0
         age = self.clock.now - self.started_at
-        return w.cold_from + (1 - w.cold_from) * min(1.0, max(0, age) / w.warm_within)
+        return world.cold_from + (1 - world.cold_from) * min(1.0, max(0, age) / world.warm_within)
 
     def current_pace(self) -> float:
         """Work per ns that one core does now."""
-        pace = self.speed * self.pace * self.able()
-        costly = self.costs.connections
-        if costly.full_tax:
-            pace *= 1 - costly.full_tax * self.connections / (costly.cap_per_core * self.cores)
+        pace = self.speed * self.speed_factor * self.warmth()
+        connections = self.costs.connections
+        if connections.full_tax:
+            pace *= 1 - connections.full_tax * self.connections / (connections.cap_per_core * self.cores)
         return pace / self.overdrive.slowdown if self.overdrive is not None else pace
 
     @property
-    def held(self) -> int:
-        """Requests that it holds, in work or waiting."""
+    def in_flight(self) -> int:
+        """Requests that are running or waiting."""
         return len(self.waiting) + len(self.processor) - len(self.handshakes)
 
-    # ---- what comes -----------------------------------------------------------------------------
+    # ---- arriving requests ----------------------------------------------------------------------
 
     def reachable(self) -> bool:
-        return self.up and not self.cut
+        return self.up and not self.isolated
 
-    def take(self, job: Job) -> None:
-        """A whole request has come."""
+    def accept(self, job: Job) -> None:
+        """Queues a request that has arrived, or rejects it."""
         if not self.up:
             job.reply(Outcome.CONNECT_FAILED)
-        elif self.cut:
+        elif self.isolated:
             return
-        elif self.leaving or len(self.waiting) >= self.room and not self.processor.has_slot():
+        elif self.leaving or len(self.waiting) >= self.queue_limit and not self.processor.has_slot():
             job.reply(Outcome.FULL)
         else:
-            self._count(job.work)
-            if self.fell:
+            self._count_arrival(job.work)
+            if self.failed_cold:
                 return
             self.waiting.append(job)
-            self._work()
+            self._start_jobs()
 
-    def _count(self, work: int) -> None:
-        """How hard it is pushed; it falls over where that is too much for what it is now."""
-        able = self.able()
-        if able >= 1:
+    def _count_arrival(self, work: int) -> None:
+        """Adds to the recent work of a cold node, which fails if that is too much for its current warmth."""
+        warmth = self.warmth()
+        if warmth >= 1:
             return
-        now, w = self.clock.now, self.world
-        self.arrived.append((now, work))
-        self.pushed += work
-        while self.arrived[0][0] <= now - w.fall_after:
-            self.pushed -= self.arrived.popleft()[1]
-        if self.pushed > w.fall_multiple * able * self.speed * self.cores * w.fall_after:
-            self.fell = True
+        now, world = self.clock.now, self.world
+        self.recent_arrivals.append((now, work))
+        self.recent_work += work
+        while self.recent_arrivals[0][0] <= now - world.fall_after:
+            self.recent_work -= self.recent_arrivals.popleft()[1]
+        if self.recent_work > world.fall_multiple * warmth * self.speed * self.cores * world.fall_after:
+            self.failed_cold = True
             self.crash()
 
-    # ---- what it does ---------------------------------------------------------------------------
+    # ---- jobs -----------------------------------------------------------------------------------
 
-    def _work(self) -> None:
-        while self.waiting and self.processor.has_slot() and not self.hangs:
+    def _start_jobs(self) -> None:
+        while self.waiting and self.processor.has_slot() and not self.hung:
             job = self.waiting.popleft()
-            job.ran(self.name, self.clock.now)
-            self.processor.begin(job)
-        self._observe()
+            job.on_start(self.name, self.clock.now)
+            self.processor.start(job)
+        self._update_overdrive()
 
     def _finish(self, job: Job) -> None:
         if any(job is handshake for handshake in self.handshakes):
@@ -155,34 +157,34 @@
             job.reply(Outcome.OK)
         else:
             self.done += 1
-            part = max(self.error_part.get("", 0.0), self.error_part.get(job.class_name, 0.0))
-            failed = part > 0 and self.draw() < part
-            if not self.cut:
+            share = max(self.error_shares.get("", 0.0), self.error_shares.get(job.class_name, 0.0))
+            failed = share > 0 and self.draw_uniform() < share
+            if not self.isolated:
                 job.reply(Outcome.ERROR if failed else Outcome.OK)
-        self._work()
+        self._start_jobs()
 
     def stop(self, job: Job) -> None:
-        """Nobody waits for this job any more: it is given up, wherever it stands."""
+        """Cancels a job whose answer is no longer awaited, whether it is running or waiting."""
         if not self.processor.stop(job):
             self.waiting = deque(other for other in self.waiting if other is not job)
-        self._work()
+        self._start_jobs()
 
     # ---- connections ----------------------------------------------------------------------------
 
     def open_connection(self, opened: Callable[[], None]) -> Job | None:
-        """Begin the handshake of a new connection. None: it has as many as it accepts."""
-        costly = self.costs.connections
-        if self.connections >= costly.cap_per_core * self.cores:
+        """Starts the handshake of a new connection; returns None if there are as many connections as allowed."""
+        connections = self.costs.connections
+        if self.connections >= connections.cap_per_core * self.cores:
             return None
         self.connections += 1
-        handshake = Job("", "", "", costly.work, lambda _: opened(), lambda *_: None)
+        handshake = Job("", "", "", connections.work, lambda _: opened(), lambda *_: None)
         self.handshakes.append(handshake)
-        self.processor.begin(handshake)
-        self._observe()
+        self.processor.start(handshake)
+        self._update_overdrive()
         return handshake
 
     def abandon_handshake(self, handshake: Job) -> None:
-        """The other side waits no longer for this connection."""
+        """Cancels the handshake of a connection that its client no longer waits for."""
         if any(handshake is other for other in self.handshakes):
             self.handshakes = [other for other in self.handshakes if other is not handshake]
             self.connections -= 1
@@ -190,59 +192,61 @@
 
     # ---- the overdriven state -------------------------------------------------------------------
 
-    def _observe(self) -> None:
-        """Tell the overdriven state what has changed, and look again when it may change by itself."""
+    def _update_overdrive(self) -> None:
+        """Reports the current load to the overdriven state, and schedules a check for when it may change by itself."""
         state = self.overdrive
         if state is None:
             return
         before = state.overdriven
-        state.observe(self.clock.now, self.held, min(self.cores, len(self.processor)))
+        state.observe(self.clock.now, self.in_flight, min(self.cores, len(self.processor)))
         if state.overdriven is not before:
             self.processor.pace_changed()
         at = state.next_change_at()
-        if at is not None and at != self.looks_again_at:
-            self.looks_again_at = at
-            self.clock.at(at, self._observe)
+        if at is not None and at != self.overdrive_check_at:
+            self.overdrive_check_at = at
+            self.clock.call_at(at, self._update_overdrive)
 
-    # ---- what befalls it ------------------------------------------------------------------------
+    # ---- faults ---------------------------------------------------------------------------------
 
     def crash(self) -> None:
-        """The process dies: its connections are reset, new ones refused."""
-        in_work = [job for job in self.processor.clear() if not any(job is other for other in self.handshakes)]
-        jobs = [*in_work, *self.waiting]
+        """Ends the process: its connections are reset, and new ones are refused."""
+        running = [job for job in self.processor.clear() if not any(job is other for other in self.handshakes)]
+        jobs = [*running, *self.waiting]
         self.up = False
-        self._forget()
-        if not self.cut:
+        self._clear_process_state()
+        if not self.isolated:
             for job in jobs:
                 job.reply(Outcome.RESET)
 
     def start(self, cold: bool) -> None:
-        if self.fell:
+        """Starts a new process, unless the node has failed for good."""
+        if self.failed_cold:
             return
-        self.up, self.hangs, self.cut, self.leaving = True, False, False, False
+        self.up, self.hung, self.isolated, self.leaving = True, False, False, False
         self.processor.clear()
         self.processor.suspend(False)
-        self._forget()
-        self.arrived.clear()
-        self.pushed = 0
+        self._clear_process_state()
+        self.recent_arrivals.clear()
+        self.recent_work = 0
         self.started_at = self.clock.now if cold else 0
 
-    def _forget(self) -> None:
-        """A process ends, and with it all that it held."""
-        self.life += 1
+    def _clear_process_state(self) -> None:
+        """Removes everything that ends with a process."""
+        self.generation += 1
         self.waiting.clear()
         self.handshakes.clear()
         self.connections = 0
         if self.overdrive is not None:
             self.overdrive.reset(self.clock.now)
 
-    def slow_down(self, pace: float) -> None:
-        """It runs at this part of its speed from now on."""
-        self.pace = pace
+    def set_speed_factor(self, factor: float) -> None:
+        """Runs at this share of its speed from now on."""
+        self.speed_factor = factor
         self.processor.pace_changed()
 
     def hang(self, on: bool) -> None:
-        self.hangs = on
+        """Starts or ends a hang, during which it accepts requests and makes no progress."""
+        self.hung = on
         self.processor.suspend(on)
         if not on:
-            self._work()
+            self._start_jobs()
--- a/loftweir/emulator/processor.py
+++ b/loftweir/emulator/processor.py
@@ -1,4 +1,4 @@
-"""How a node's cores are given to its jobs: a core each, or shared evenly by all that are in work."""
+"""How the cores of a node are assigned to its jobs: one core for each job, or all cores shared evenly."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 
 
 class Job(NamedTuple):
-    """One attempt as the node has it. `work` is ns on a core of speed 1."""
+    """One attempt at a node, or the handshake of a connection."""
 
-    request: str  # the sidecar's request: what may run once
+    request: str  # id of the sidecar's request; empty for a handshake
     class_name: str
     key: str
-    work: int
-    reply: Reply
-    ran: Callable[[str, int], None]  # the oracle's: the node's name, when it began
+    work: int  # ns on a core of speed 1
+    reply: Reply  # receives the outcome
+    on_start: Callable[[str, int], None]  # receives the node's name and the time at which the job started
 
 
 class Processor(Protocol):
-    """Works on jobs at a pace (work per ns on a core) that it asks for; hands each over when its work is done."""
+    """Runs jobs at a pace that it is given (work per ns on one core) and reports each job whose work is done."""
 
     def __len__(self) -> int:
-        """How many jobs are in work."""
+        """The number of running jobs."""
 
     def has_slot(self) -> bool:
-        """Whether one more job can be begun."""
+        """Whether one more job can be started."""
 
-    def begin(self, job: Job) -> None:
-        """Takes a job into work."""
+    def start(self, job: Job) -> None:
+        """Starts a job."""
 
     def stop(self, job: Job) -> bool:
-        """Gives a job up. False: it is not in work."""
+        """Cancels a job; returns False if it is not running."""
 
     def clear(self) -> list[Job]:
-        """Gives all jobs up and returns them, in the order in which they were begun."""
+        """Cancels all jobs and returns them in the order in which they were started."""
 
     def suspend(self, suspended: bool) -> None:
-        """Makes no progress while it is suspended."""
+        """Suspends or resumes the progress of all jobs."""
 
     def pace_changed(self) -> None:
-        """The pace that holds for jobs in work is another one from now on."""
+        """Applies a changed pace to the running jobs."""
 
 
 class DedicatedCores:
-    """A core for each job, at the pace that held when the job began."""
+    """One core for each job, at the pace that was current when the job started."""
 
     def __init__(
         self, cores: int, clock: Clock, pace: Callable[[], float], finished: Callable[[Job], None], retry_every: int
@@ -58,9 +58,9 @@
         self.clock = clock
         self.pace = pace
         self.finished = finished
-        self.retry_every = retry_every  # how often a suspended one looks whether it may finish its jobs
+        self.retry_every = retry_every  # ns between two checks whether a suspended job may finish
         self.running: dict[int, Job] = {}
-        self.begun = 0
+        self.started = 0
         self.suspended = False
 
     def __len__(self) -> int:
@@ -69,16 +69,16 @@
     def has_slot(self) -> bool:
         return len(self.running) < self.cores
 
-    def begin(self, job: Job) -> None:
-        self.begun += 1
-        self.running[self.begun] = job
-        self.clock.after(int(job.work / self.pace()), self._finish, self.begun)
+    def start(self, job: Job) -> None:
+        self.started += 1
+        self.running[self.started] = job
+        self.clock.call_later(int(job.work / self.pace()), self._finish, self.started)
 
     def _finish(self, number: int) -> None:
         if number not in self.running:
             return
         if self.suspended:
-            self.clock.after(self.retry_every, self._finish, number)
+            self.clock.call_later(self.retry_every, self._finish, number)
             return
         self.finished(self.running.pop(number))
 
@@ -95,14 +95,14 @@
         self.suspended = suspended
 
     def pace_changed(self) -> None:
-        """Jobs in work keep their pace."""
+        """Does nothing: running jobs keep their pace."""
 
 
 class SharedCores:
-    """All jobs in work share the cores evenly, none has more than one core (processor sharing).
+    """Processor sharing: all running jobs share the cores evenly, and none gets more than one core.
 
-    `served` is the work that a job which was there all the time has had. A job ends when `served` has grown by its
-    work.
+    `served` is the work done so far for a job that has been running all the time. A job that starts now ends when
+    `served` has grown by the job's work.
     """
 
     def __init__(
@@ -114,12 +114,12 @@
         self.pace = pace
         self.finished = finished
         self.running: dict[int, Job] = {}
-        self.ends: list[tuple[float, int]] = []  # a heap: the value of `served` at which the job of a number ends
-        self.begun = 0
+        self.ends: list[tuple[float, int]] = []  # heap: the value of `served` at which a job ends, the job's number
+        self.started = 0
         self.served = 0.0
-        self.rate = 0.0  # of `served`, since `updated_at`
+        self.rate = 0.0  # growth of `served` per ns since `updated_at`
         self.updated_at = clock.now
-        self.plan = 0  # the number of the event in the clock that counts; earlier ones are out of date
+        self.schedule_number = 0  # number of the valid event in the clock; events with lower numbers are ignored
         self.suspended = False
 
     def __len__(self) -> int:
@@ -128,11 +128,11 @@
     def has_slot(self) -> bool:
         return len(self.running) < self.slots
 
-    def begin(self, job: Job) -> None:
+    def start(self, job: Job) -> None:
         self._advance()
-        self.begun += 1
-        self.running[self.begun] = job
-        heapq.heappush(self.ends, (self.served + job.work, self.begun))
+        self.started += 1
+        self.running[self.started] = job
+        heapq.heappush(self.ends, (self.served + job.work, self.started))
         self._schedule()
 
     def stop(self, job: Job) -> bool:
@@ -162,25 +162,25 @@
         self._schedule()
 
     def _advance(self) -> None:
-        """Bring `served` up to this moment."""
+        """Updates `served` to the current time."""
         now = self.clock.now
         self.served += self.rate * (now - self.updated_at)
         self.updated_at = now
 
     def _schedule(self) -> None:
-        """Set the rate that holds from now on, and the event of the next job that ends at it."""
+        """Sets the current rate and schedules the end of the next job at that rate."""
         while self.ends and self.ends[0][1] not in self.running:
             heapq.heappop(self.ends)
-        self.plan += 1
+        self.schedule_number += 1
         if self.suspended or not self.ends:
             self.rate = 0.0
             return
         self.rate = self.pace() * min(1.0, self.cores / len(self.running))
         left = max(0.0, self.ends[0][0] - self.served)
-        self.clock.after(int(left / self.rate) + 1, self._end_next, self.plan)
+        self.clock.call_later(int(left / self.rate) + 1, self._end_next, self.schedule_number)
 
-    def _end_next(self, plan: int) -> None:
-        if plan != self.plan:
+    def _end_next(self, schedule_number: int) -> None:
+        if schedule_number != self.schedule_number:
             return
         self._advance()
         _, number = heapq.heappop(self.ends)
--- a/loftweir/emulator/result.py
+++ b/loftweir/emulator/result.py
@@ -1,4 +1,4 @@
-"""What comes of a run: its figures as plain values, in all and for each second."""
+"""The result of a run as plain values: totals, and counts for each second."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class SecondCount:
-    """What has come so far of the requests of one second."""
+    """Running counts of the requests that were first sent in one second. The fields are those of `Span`, in order."""
 
     asked: int = 0
     served: int = 0
@@ -27,44 +27,45 @@
 
 
 class Span(NamedTuple):
-    """One second of the run: what came of the requests that were asked in it."""
+    """The results of the requests that were first sent in one second of the run."""
 
-    asked: int
+    asked: int  # requests
     served: int
-    refused: int
+    refused: int  # rejected
     failed: int
-    worth: float
-    in_time: int
-    timed_out: int  # of those not served: lost at their deadline, whatever they were answered then
-    worth_asked: float
-    overdriven: float  # the part of the nodes that is overdriven at its end
+    worth: float  # of the answers
+    in_time: int  # served within the latency target
+    timed_out: int  # not served, and given up at the deadline or later, whatever the last answer was
+    worth_asked: float  # of the requests
+    overdriven: float  # share of the nodes that are overdriven at the end of the second
 
     def goodput(self) -> float:
-        """The worth answered over the worth asked for, 1 where nothing was asked for."""
+        """The worth of the answers divided by that of the requests; 1 if there were none."""
         return self.worth / self.worth_asked if self.worth_asked else 1.0
 
 
 class Result(NamedTuple):
-    """What came of a run. Plain values: equal runs give equal results, in any process."""
+    """The result of a run. Plain values: equal runs give equal results in any process."""
 
     scenario: str
     seed: int
-    goodput: float  # worth answered in time over worth asked for
-    asked: int
+    goodput: float  # worth of the answers divided by that of the requests; a late answer has its class's late worth
+    asked: int  # requests
     served: int
-    in_time: int
-    refused: int
+    in_time: int  # served within the latency target
+    refused: int  # rejected
     failed: int
     unanswered: int
     attempts: int
     executions: int
-    by_class: dict[str, float]
-    by_node: dict[str, int]
+    by_class: dict[str, float]  # goodput
+    by_node: dict[str, int]  # finished jobs
     seconds: list[Span]
-    latencies_ms: list[float]  # of those served, from the client's first try, by the 1,000 quantiles
-    breaches: dict[str, int]
-    shown: list[Breach]
-    events: int
+    latencies_ms: list[float]  # 1,000 quantiles of the served requests, from the client's first sending
+    breaches: dict[str, int]  # number by rule
+    shown: list[Breach]  # the first breaches of each rule
+    events: int  # of the simulation's clock
 
     def sound(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.breaches.values())
--- a/loftweir/emulator/sites.py
+++ b/loftweir/emulator/sites.py
@@ -123,7 +123,7 @@
                 changed = self.merger.update_partner(partner, held, world.clock.now)
                 self.offer(changed.shown if self.honest else self.neighbours)
         if session.next_at is not None:
-            world.clock.at(session.next_at, self.tick, partner, session)
+            world.clock.call_at(session.next_at, self.tick, partner, session)
 
     def tick(self, partner: str, session: Session) -> None:
         now = self.world.clock.now
@@ -157,7 +157,7 @@
             return
         poll = self.polls[by] = Poll(life, asked, self.world.clock.now + asked.wait)
         if asked.wait and not self.offers[by].has_changes(asked.after):
-            self.world.clock.at(poll.until, self.waited, by, poll)
+            self.world.clock.call_at(poll.until, self.waited, by, poll)
         else:
             self.tell(by)
 
@@ -221,7 +221,7 @@
     def start(self) -> None:
         for site in self.sites.values():
             site.start()
-        self.clock.after(TICK, self._look)
+        self.clock.call_later(TICK, self._look)
 
     def declare(self, site: str, service: str, terms: Terms | None) -> None:
         """The terms of a site's own service; None: it is withdrawn."""
@@ -245,7 +245,7 @@
         """All of them go now, and come back together."""
         for name in names:
             self.sites[name].stop(lost)
-            self.clock.after(after, self._back, self.sites[name])
+            self.clock.call_later(after, self._back, self.sites[name])
 
     def _back(self, site: Site) -> None:
         if not site.up:
@@ -257,7 +257,7 @@
     def _look(self) -> None:
         for site in self.sites.values():
             site.look()
-        self.clock.after(TICK, self._look)
+        self.clock.call_later(TICK, self._look)
 
     # ---- the links ------------------------------------------------------------------------------
 
@@ -267,7 +267,7 @@
     def ask(self, by: Site, to: str, asked: SendRequest) -> None:
         if self._goes(by.name, to):
             life = by.sessions[to].instance
-            self.clock.after(self.random.randrange(MS, DELAY), self.sites[to].asked, by.name, life, asked)
+            self.clock.call_later(self.random.randrange(MS, DELAY), self.sites[to].asked, by.name, life, asked)
 
     def tell(self, by: Site, to: str, poll: Poll, data: bytes) -> None:
         if not self._goes(by.name, to):
@@ -280,7 +280,7 @@
         elif draw < self.faults.cut + self.faults.repeated:
             data = self.random.choice(answers)
         delay = self.random.randrange(MS, DELAY)
-        self.clock.after(delay, self.sites[to].answered, by.name, poll.life, poll.asked, data)
+        self.clock.call_later(delay, self.sites[to].answered, by.name, poll.life, poll.asked, data)
 
     # ---- at the end -----------------------------------------------------------------------------
 
@@ -354,7 +354,7 @@
             world.link(one, other, draw.random() < 0.5)
         elif kind == "flap":
             for step in range(6):
-                world.clock.after(step * 700 * MS, world.link, one, other, step % 2 == 1)
+                world.clock.call_later(step * 700 * MS, world.link, one, other, step % 2 == 1)
         else:
             both = (one, other) if draw.random() < 0.3 else (one,)
             world.restart(both, kind == "lost", draw.randrange(10 * MS, 6 * SECOND))
--- a/loftweir/emulator/streams.py
+++ b/loftweir/emulator/streams.py
@@ -1,6 +1,7 @@
-"""Random numbers by name: each component has a stream of its own, spawned from the run's one seed.
+"""Random numbers by name: each component has a stream of its own, derived from the one seed of the run.
 
-A stream's draws depend on the seed and its name alone, so that a component more or less shifts nobody else's.
+The numbers of a stream depend only on the seed and the stream's name, so that adding or removing a component does not
+change the numbers of any other.
 """
 
 from __future__ import annotations
@@ -8,12 +9,12 @@
 import numpy as np
 import xxhash
 
-BLOCK = 1024  # drawn at once: singly, each would pay for a call into numpy
+BLOCK_SIZE = 1024  # numbers drawn at once; single draws would each pay for a call into numpy
 
 
 class Stream:
-    """Draws of one component. Each kind of draw has its own block, and its own generator under it: how many of one
-    kind are taken shifts nothing of another."""
+    """The random numbers of one component. Each distribution has its own generator and its own block of drawn numbers,
+    so that the number of draws from one does not affect another."""
 
     __slots__ = ("seed", "name", "blocks", "generators")
 
@@ -24,6 +25,7 @@
         self.generators: dict[str, np.random.Generator] = {}
 
     def generator(self, kind: str) -> np.random.Generator:
+        """The generator for a distribution, created at first use."""
         found = self.generators.get(kind)
         if found is None:
             key = xxhash.xxh64_intdigest(f"{self.name}/{kind}".encode())
@@ -35,28 +37,30 @@
         block = self.blocks.get(kind)
         if not block:
             generator = self.generator(kind)
-            drawn = generator.random(BLOCK) if kind == "uniform" else generator.standard_exponential(BLOCK)
+            drawn = generator.random(BLOCK_SIZE) if kind == "uniform" else generator.standard_exponential(BLOCK_SIZE)
             if kind == "normal":
-                drawn = generator.standard_normal(BLOCK)
+                drawn = generator.standard_normal(BLOCK_SIZE)
             block = self.blocks[kind] = drawn.tolist()
             block.reverse()
         return block.pop()
 
     def uniform(self) -> float:
-        """From 0 up to, not including, 1."""
+        """From 0 up to, but not including, 1."""
         return self._next("uniform")
 
     def exponential(self, mean: float) -> float:
+        """Exponentially distributed."""
         return self._next("exponential") * mean
 
     def lognormal(self, mean: float, cv: float) -> float:
-        """With this mean and coefficient of variation; cv 0: the mean itself."""
+        """Lognormally distributed, with this mean and coefficient of variation; the mean itself if cv is 0."""
         if cv <= 0:
             return mean
         variance = float(np.log1p(cv * cv))
         return mean * float(np.exp(self._next("normal") * variance**0.5 - variance / 2))
 
     def below(self, number: int) -> int:
+        """A whole number from 0 up to, but not including, `number`."""
         return int(self._next("uniform") * number)
 
 
