--- a/loftweir/http1/__init__.py
+++ b/loftweir/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: the front (listener, requests, answers), the back (pool, sending, outcomes), and discovery's protocol."""
+"""HTTP/1.1: the frontend for clients, the backend for providers, and the protocol of discovery."""
--- a/loftweir/http1/access_trace.py
+++ b/loftweir/http1/access_trace.py
@@ -1,4 +1,4 @@
-"""What the access log says of one invocation, from its first byte to its answer."""
+"""The data of an access log line: one invocation, from its first byte to the end of its response."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from loftweir.telemetry.catalogue import ACCESS
 from loftweir.telemetry.log import emit
 
-CLIENT_GONE = 0  # in place of a status: the client went before its answer was written
+CLIENT_GONE = 0  # in place of a status: the client disconnected before its response was written
 OUTCOMES = {CLIENT_GONE: "gone", 200: "served", 503: "rejected"}
 
 
 class AccessTrace:
-    """What the access line says of one invocation, taken once it is decided and before it is forgotten."""
+    """The data of one invocation's access line, taken once it has its final answer and before the host drops it."""
 
-    __slots__ = ("id", "class_name", "time_left", "began", "taken_at", "decided_at", "answered_at", "calls")
+    __slots__ = ("id", "class_name", "time_left", "began", "taken_at", "decided_at", "answered_at", "attempts")
 
     def __init__(self, invocation: Invocation, began: int, now: int) -> None:
         self.id = invocation.id
@@ -25,13 +25,13 @@
         self.began = began
         self.taken_at = invocation.deadline - invocation.time_left
         self.answered_at = now
-        self.calls = invocation.attempt_records
-        self.decided_at = self.calls[0].pop("at") if self.calls else now
-        for call in self.calls[1:]:
-            call["after_ms"] = round((call.pop("at") - self.taken_at) / MS, 3)
+        self.attempts = invocation.attempt_records
+        self.decided_at = self.attempts[0].pop("at") if self.attempts else now
+        for attempt in self.attempts[1:]:
+            attempt["after_ms"] = round((attempt.pop("at") - self.taken_at) / MS, 3)
 
     def log(self, options: Options, status: int, now: int) -> None:
-        """Logs the access line, where one is wanted for this status and time; `CLIENT_GONE` stands for no status."""
+        """Log the access line if the settings ask for one with this status and time; `CLIENT_GONE` means no status."""
         log = options.log
         ms = (now - self.began) / MS
         why = access_log_reason(log.access, self.id, status, ms, log.access_slow / MS, log.access_sample)
@@ -46,7 +46,7 @@
             ms=round(ms, 3),
             head_ms=round((self.taken_at - self.began) / MS, 3),
             decision_ms=round((self.decided_at - self.taken_at) / MS, 3),
-            calls=self.calls,
+            calls=self.attempts,
             write_ms=round((now - self.answered_at) / MS, 3),
             patience_ms=self.time_left // MS,
             why=why,
--- a/loftweir/http1/back.py
+++ b/loftweir/http1/back.py
@@ -16,7 +16,7 @@
 from loftweir.core.invocation import ProviderAttempt
 from loftweir.http1 import grammar
 from loftweir.http1.flow import ResponseStream, UploadFailed
-from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, by_name, passed_on
+from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, by_name, end_to_end_lines
 from loftweir.http1.strict import H11Reader
 from loftweir.interface import Lifecycle, MembershipUpdate, Outcome, Settings, UpdateKind
 from loftweir.net.loop import MS, READABLE, Coroutine, Loop, Wait
@@ -203,10 +203,10 @@
 class Backend:
     """Carries invoker calls out. `on_attempt_ended` is told each call's outcome and, with OK, its `HttpResponse`."""
 
-    def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int, room: int) -> None:
+    def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int, budget: int) -> None:
         self.loop = loop
         self.pool = Pool(loop, settings, options, max_connections)
-        self.room = MemoryBudget(room)
+        self.budget = MemoryBudget(budget)
         self.on_attempt_ended: Ended = lambda call, outcome, payload: None  # the host's, once there is one
         loop.spawn(self.pool.reap_idle())
 
@@ -310,13 +310,13 @@
             if unacknowledged(sock):
                 # What answers a request acknowledges all of it: this was on its way before, and is another's.
                 return Outcome.RESET, None, False
-            head = grammar.answer(data)
+            head = grammar.response(data)
             if head is None:
                 return (yield from self._strictly(call, connection, data))
             limits = self.pool.options.limits
             if head.length > limits.answer:
                 return Outcome.ERROR, None, False  # known from its head: not waited for
-            body = Body(self.room)
+            body = Body(self.budget)
             if len(data) > head.end:
                 body.append(data[head.end :])
             if head.length > limits.held and body.size < head.length:
@@ -367,7 +367,7 @@
         known = int(fields[b"content-length"]) if told else None
         if (known or 0) > options.limits.answer:
             return Outcome.ERROR, None, False
-        body, begun_at = Body(self.room), self.loop.time
+        body, begun_at = Body(self.budget), self.loop.time
         while part := (yield from self._part(wire, body, known, begun_at, until)):
             body.append(part)
             if self._is_passed_on(body, known, begun_at):
@@ -397,7 +397,7 @@
     def _may_hold(self, body: Body) -> bool:
         """Whether a long answer can be held further: the next part has its room by then, and half of all is left to
         other answers."""
-        if self.room.left < self.room.size // 2:
+        if self.budget.left < self.budget.size // 2:
             return False
         try:
             body.reserve(body.size + READ_SIZE)
@@ -442,7 +442,7 @@
             body,
             length,
             wire,
-            self.room,
+            self.budget,
             limits.silent_for,
             limits.answer,
             call.invocation.deadline,
@@ -460,7 +460,7 @@
         reusable: bool,
     ) -> tuple[Outcome, HttpResponse | None, bool]:
         if status == 200:
-            return Outcome.OK, HttpResponse(200, reason, passed_on(pairs, fields), body), reusable
+            return Outcome.OK, HttpResponse(200, reason, end_to_end_lines(pairs, fields), body), reusable
         declined = status in (503, 504) and fields.get(b"srv-declined") == b"1"
         return Outcome.FULL if declined else Outcome.ERROR, None, reusable
 
@@ -482,7 +482,7 @@
         request = call.invocation.payload
         assert isinstance(request, HttpRequest)
         method, target, pairs, fields, body = request
-        head = b"%s %s HTTP/1.1\r\n%s" % (method, target, passed_on(pairs, fields))
+        head = b"%s %s HTTP/1.1\r\n%s" % (method, target, end_to_end_lines(pairs, fields))
         if b"host" not in fields:  # HTTP/1.0
             head += b"Host: service.internal\r\n"
         if not isinstance(body, list):
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -1,7 +1,7 @@
-"""One connection of the application: one request at a time, one whole answer each.
+"""One connection of a client: one request at a time, with one whole response each.
 
-A connection that says nothing has no coroutine, no parser and no timer: the object is watched by the loop, and what
-comes begins a coroutine that ends with the answer.
+A connection that waits for a request has no coroutine, no parser and no timer: the loop watches the object itself, and
+when data arrives it starts a coroutine that ends with the response.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from loftweir.core.invocation import AnswerKind, FinalAnswer, Invocation
 from loftweir.http1.access_trace import CLIENT_GONE, AccessTrace
 from loftweir.http1.flow import Upload
-from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, plain
+from loftweir.http1.message import BodyStream, HttpRequest, HttpResponse, text_response
 from loftweir.http1.request import BadRequest, check_length, is_health_check, to_invocation
 from loftweir.http1.request_reader import RequestReader
 from loftweir.http1.response import (
     BODY_RETRY_AFTER,
-    answered,
     begin_head,
     client_error,
+    final_response,
     rejection,
     stream,
     whole_message,
@@ -34,24 +34,25 @@
 if TYPE_CHECKING:
     from loftweir.http1.front import Frontend
 
-LOOK_FOR_TAKEN = 20 * MS  # how often an ended connection's answer is looked after, past its time
-HALF_REFUSED = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+ACK_CHECK = 20 * MS  # between checks whether the client has acknowledged its last response, once lingering is over
+# The response to a client that is closed in the middle of sending a request.
+HALF_REQUEST_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class Exchange(NamedTuple):
-    """A request's answer, and what is known of the connection behind the request."""
+    """The response to a request, and what is known of the connection behind that request."""
 
     answer: HttpResponse
-    rest: bytes | None  # what was read behind the request; None: where that ends is not known
-    unread: int  # bytes of the client's that are read off behind its last answer, at most
-    ended: bool = False  # nothing more comes behind `rest`
+    rest: bytes | None  # data read behind the request; None: the request's end is not known
+    unread: int  # the most bytes of the client to discard after its last response
+    ended: bool = False  # the client sends nothing more behind `rest`
 
 
 class ClientConnection:
-    """One connection of the application.
+    """One connection of a client.
 
-    Invariant: `task` runs while a request is being read, decided or answered, and while the connection ends; else it is
-    None and the loop watches the connection itself (`ready`), which stands in the front's row of its stage.
+    Invariant: `task` runs while a request is read, decided or answered, and while the connection is closing. Otherwise
+    it is None, the loop watches the connection itself (`ready`), and it is in the frontend's table for its stage.
     """
 
     __slots__ = (
@@ -65,55 +66,62 @@
         "mask",
         "received",
         "method",
-        "old",
+        "http_1_0",
         "trace",
     )
 
     def __init__(self, front: Frontend, sock: socket.socket) -> None:
         self.front = front
-        self.host = front.host  # that its request is decided by
+        self.host = front.host  # decides on its current request
         self.sock = sock
         self.task: Task | None = None
         self.stage = Stage.SILENT
         self.since = front.loop.time
-        self.free_at = 0  # from when on what comes next could be read; 0: at once, though it came before `accept`
+        # Since when this process could have read the next request; 0: from its arrival, even before `accept`.
+        self.free_at = 0
         self.mask = READABLE
-        self.received = b""  # and not looked at yet
+        self.received = b""  # data that is read and not yet parsed
         self.method = b""
-        self.old = False  # its request is of HTTP/1.0
-        self.trace: AccessTrace | None = None  # of the invocation now open, where an access line may be due
+        self.http_1_0 = False  # whether its request is of HTTP/1.0
+        self.trace: AccessTrace | None = None  # of the current invocation, if an access line may be logged
 
-    # ---- at rest --------------------------------------------------------------------------------
+    # ---- waiting for a request ------------------------------------------------------------------
 
     def ready(self, events: int) -> None:
-        """The loop has seen something on the connection: it is served in this turn."""
+        """Have the connection served: the loop has reported an event on it."""
         self.front.loop.new_work.append(self.begin)
 
     def begin(self) -> None:
-        """Something has come, or the client has gone."""
+        """Start the coroutine: data has arrived, or the client has gone."""
         if self.sock.fileno() >= 0 and self.stage is not Stage.ENDING:
-            self.front.row(self).pop(self, None)
+            self.front.waiting(self).pop(self, None)
             self.task = self.front.loop.task(self.serve())
             self.task.step()
 
-    def quiet(self, most: Stage = Stage.IDLE) -> bool:
-        """Whether no whole request has come that is not answered, and no answer is on its way: closing the connection
-        loses none."""
+    def is_quiet(self, latest: Stage = Stage.IDLE) -> bool:
+        """Whether the connection can be closed without losing a request or a response.
+
+        That is so if no whole request has arrived that is not answered and no response is being written. `latest`: the
+        latest stage at which it counts as quiet.
+        """
         if self.stage is Stage.ENDING:
             return not has_unacknowledged(self.sock)
-        if self.stage > most:
+        if self.stage > latest:
             return False
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
-        except OSError:  # nothing there, or broken
+        except OSError:  # there is nothing to read, or the connection is broken
             return True
 
-    # ---- the end --------------------------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------
 
     def end(self) -> None:
-        """Ends a connection at rest, once nothing more can cross it: bytes may come after the last look. Whatever is
-        read from here on is never sent on, and the client, told of the end before anything else, sends it again."""
-        self.front.row(self).pop(self, None)
+        """End a waiting connection gracefully, and close it once nothing more can cross its end.
+
+        Data may still arrive after the last check. What is read from here on is never forwarded; the client sees the
+        end of the connection before anything else, and sends its request again.
+        """
+        self.front.waiting(self).pop(self, None)
         self.task = self.front.loop.task(self._end())
         self.task.step()
 
@@ -124,11 +132,14 @@
             pass
         finally:
             self.task = None
-            self.front.forget(self)
+            self.front.remove(self)
 
     def _linger(self, left: int) -> Coroutine[None]:
-        """Closing with something unread resets the connection, and the answer with it: read it off first, but not
-        without end. What the client has not taken of its answer keeps it open for as long as a write may wait."""
+        """Shut the connection down and discard up to `left` bytes of input, until the client closes it or time is up.
+
+        Closing a connection with unread input resets it, and the response would be lost with it. As long as the client
+        has not acknowledged all of its response, the connection stays open for as long as a write may take.
+        """
         sock, limits, loop = self.sock, self.front.options.limits, self.front.loop
         self.stage, self.since = Stage.ENDING, loop.time
         self.front.ending[self] = None
@@ -138,57 +149,61 @@
             if loop.time >= until or left <= 0:
                 if loop.time >= latest or not has_unacknowledged(sock):
                     return
-                until = min(latest, loop.time + LOOK_FOR_TAKEN)
+                until = min(latest, loop.time + ACK_CHECK)
             if (yield Wait(sock if left > 0 else None, READABLE, until)) and left > 0:
                 try:
                     read = len(sock.recv(READ_SIZE))
-                except BlockingIOError:  # nothing after all
+                except BlockingIOError:  # there is nothing to read after all
                     continue
                 if not read:
                     return
                 left -= read
 
     def close(self) -> None:
-        """Ends it now: its descriptor is free when this returns. The client reads all that was written to it, a
-        refusal of the half request where there is one, and the end of the stream ahead of any reset. Inside an answer
-        there is no such end: it would be taken for the answer's own."""
+        """Close the connection now: its descriptor is free when this returns.
+
+        The client reads all that was written to it, a 503 if it has sent a part of a request, and the end of the stream
+        ahead of any reset. Inside a response the stream is not ended like that, since the client would take that for
+        the end of the response.
+        """
         if self.stage is not Stage.BUSY:
-            with suppress(OSError):  # gone, or nothing there
+            with suppress(OSError):  # the client is gone, or there is nothing to read
                 self._end_stream()
         if self.task is not None:
             self.task.cancel()
-        self.front.forget(self)
+        self.front.remove(self)
 
     def _end_stream(self) -> None:
+        """End the stream to the client, and discard the input that is there."""
         if self.stage is Stage.BEGUN:
-            self.sock.send(HALF_REFUSED)
+            self.sock.send(HALF_REQUEST_RESPONSE)
         self.sock.shutdown(socket.SHUT_WR)
         left = self.front.options.limits.linger_bytes
         while left > 0 and (read := len(self.sock.recv(READ_SIZE))):
             left -= read
 
-    # ---- one request after another --------------------------------------------------------------
+    # ---- serving one request after another ------------------------------------------------------
 
     def serve(self) -> Coroutine[None]:
-        """Answers what has come; ends when the connection rests or is closed."""
-        rests = False
+        """Answer the requests that arrive; ends when the connection waits for the next one or is closed."""
+        waits = False
         try:
-            rests = yield from self._serve_requests()
+            waits = yield from self._serve_requests()
         except (TimedOut, OSError):
-            rests = False
+            waits = False
         finally:
             self.task = None
             self._log_access(CLIENT_GONE)
-            if rests:
-                self.front.rests(self)
+            if waits:
+                self.front.set_idle(self)
             else:
-                self.front.forget(self)
+                self.front.remove(self)
 
     def _serve_requests(self) -> Coroutine[bool]:
-        """Answers one request after another; whether the connection may rest then, and wait for more."""
+        """Answer one request after another; return whether the connection then stays open for more."""
         try:
             self.received = self.sock.recv(READ_SIZE)
-        except BlockingIOError:  # nothing after all
+        except BlockingIOError:  # there is nothing to read after all
             return True
         while self.received:
             exchange = yield from self._exchange()
@@ -205,71 +220,76 @@
             if not exchange.rest:
                 return not exchange.ended
             self.received = exchange.rest
-            del exchange  # or the waiting connection keeps the answer's room
-            # Whoever sends ahead may never leave the socket empty, and what is answered at once waits for nothing:
-            # the others have a turn between. Busy: what was read may be a whole request.
+            del exchange  # else the waiting connection keeps the response in memory
+            # A client that pipelines may never leave the socket empty, and a request that is answered at once never
+            # waits. So other connections get a turn here. Busy: the data that was read may be a whole request.
             yield Wait(None, 0, self.front.loop.time)
             self.stage = Stage.IDLE
         return False
 
     def _exchange(self) -> Coroutine[Exchange | None]:
-        """Reads a request and has it answered; None: the connection ended before one began."""
+        """Read a request and have it answered; return None if the connection ended before one began."""
         began = self.front.loop.time
-        # What a client owes: the first request on a new connection within a time from its opening on, a later one
-        # from its first byte on.
-        owed_from = self.since if self.stage is Stage.SILENT else began
-        until = owed_from + self.front.options.limits.request_within
-        self.stage, self.method, self.old = Stage.BEGUN, b"", False
+        # A client has limited time for a request: for the first one on a connection from its opening, for a later one
+        # from its first byte.
+        started = self.since if self.stage is Stage.SILENT else began
+        until = started + self.front.options.limits.request_within
+        self.stage, self.method, self.http_1_0 = Stage.BEGUN, b"", False
         request = RequestReader(self, until)
         try:
             if not (yield from request.read()):
                 return None
             if request.invocation is None:
-                answer = self._health()
+                answer = self._health_response()
             else:
-                answer = yield from self._decided(request.invocation, began, request.upload)
+                answer = yield from self._decide(request.invocation, began, request.upload)
         except OSError:
             raise
         except Exception as error:
-            return self._refusal(error)
+            return self._error_exchange(error)
         unread = self.front.options.limits.linger_bytes
         if request.upload is not None and request.upload.length is not None:
-            unread = request.upload.length  # it was sent on, if at all, and may be coming still
+            unread = request.upload.length  # it may not have arrived yet
         return Exchange(answer, request.rest, unread, request.ended)
 
-    def _refusal(self, error: Exception) -> Exchange:
-        """What a request is answered that could not be read or decided."""
+    def _error_exchange(self, error: Exception) -> Exchange:
+        """Return the response to a request that could not be read or decided."""
         limits = self.front.options.limits
         if isinstance(error, OutOfBudget):
             after = min(BODY_RETRY_AFTER, self.front.host.settings.max_retry_after)
-            # A usual client reads its answer once it has written all.
+            # Most clients read the response only once they have written the whole request.
             return Exchange(rejection(max(1, after // MS)), None, limits.body)
         answer = client_error(error, limits.body)
         if answer is None:
-            # A fault of the program's own: this request is answered failed, the process lives.
+            # A fault of this program: this request fails, and the process goes on.
             emit(INVOCATION_BROKEN, error=repr(error), at=traceback_location(error))
-            answer = plain(500, "failed")
+            answer = text_response(500, "failed")
         return Exchange(answer, None, limits.linger_bytes)
 
     def _is_last(self, exchange: Exchange) -> bool:
-        """Whether the connection ends with this answer. One who sends what can't be served may have sent more of it,
-        or may go on at full speed: each further one costs it a new connection."""
+        """Whether the connection is closed after this response.
+
+        It is after a client error: such a client may have sent more invalid requests, or go on at full speed, and each
+        one then costs it a new connection.
+        """
         return exchange.rest is None or self.front.life.traits.last or 400 <= exchange.answer.status < 500
 
     def _write(self, answer: HttpResponse, last: bool) -> Coroutine[None]:
+        """Write a response; `last`: the connection is closed after it."""
         status, reason, lines, body = answer
         head = begin_head(status, reason, lines, last)
         if not isinstance(body, list):
-            return self._pass_on(head, body)
+            return self._forward(head, body)
         parts = whole_message(head, body, with_body=self.method != b"HEAD")
         within = self.front.options.limits.write_within
         return send(self.front.loop, self.sock, parts, self.front.loop.time + within)
 
-    def _pass_on(self, head: bytes, flow: BodyStream) -> Coroutine[None]:
+    def _forward(self, head: bytes, body: BodyStream) -> Coroutine[None]:
         within = self.front.options.limits.write_within
-        return stream(self.front.loop, self.sock, head, flow, not self.old, within)
+        return stream(self.front.loop, self.sock, head, body, not self.http_1_0, within)
 
     def _log_access(self, status: int) -> None:
+        """Log the access line of the request that has ended, if one is wanted."""
         trace, self.trace = self.trace, None
         if trace is not None:
             trace.log(self.front.options, status, self.front.loop.time)
@@ -277,25 +297,29 @@
     # ---- deciding -------------------------------------------------------------------------------
 
     def admit(self, request: HttpRequest) -> Invocation | None:
-        """The head is looked at first: what can't be served is not waited for. None: it is asked for our health."""
+        """Check a request's head, so that nothing is read of a request that can't be served.
+
+        Returns the invocation, or None for a health check.
+        """
         options = self.front.options
         check_length(request.fields, options.limits.body)
         if is_health_check(request):
             return None
         return to_invocation(request, self.host.settings, options.log.access != "off")
 
-    def left(self) -> bool:
-        """Whether the client has gone."""
+    def has_left(self) -> bool:
+        """Whether the client has disconnected."""
         return hung_up(self.sock)
 
-    def _health(self) -> HttpResponse:
-        return plain(200, "ready") if self.front.ready() else plain(503, "not ready")
+    def _health_response(self) -> HttpResponse:
+        return text_response(200, "ready") if self.front.ready() else text_response(503, "not ready")
 
-    def _decided(self, invocation: Invocation, began: int, upload: Upload | None = None) -> Coroutine[HttpResponse]:
-        """Takes an invocation, and waits for its answer or for the client to go."""
+    def _decide(self, invocation: Invocation, began: int, upload: Upload | None = None) -> Coroutine[HttpResponse]:
+        """Have an invocation decided: wait for its final answer, or for the client to disconnect."""
         host = self.host
         if invocation.id in host.invocations:
-            # A second copy of something still out: neither sent (it could run twice) nor called a rejection.
+            # A duplicate of a request in flight. It is not sent, as it could run twice. Nor is it rejected, as that would
+            # promise that nothing has run.
             raise BadRequest("Req-Id is in use")
         self.stage = Stage.BUSY
         final: FinalAnswer | None = None
@@ -311,34 +335,36 @@
                 self.trace = AccessTrace(invocation, began, self.front.loop.time)
         if final is None:
             raise ConnectionResetError("the client has gone")
-        return answered(final)
+        return final_response(final)
 
     def _submit(self, invocation: Invocation, began: int, upload: Upload | None) -> None:
-        """Hands the invocation to the host, with the time that its request has been in the kernel unread."""
+        """Pass the invocation to the host, with the time that its request has been in the kernel unread."""
         front = self.front
         if front.ends_at:
             invocation.time_left = min(invocation.time_left, front.ends_at - front.loop.time)
-        invocation.client_left = self.left
+        invocation.client_left = self.has_left
         age = unread_for(self.sock) if upload is None else 0
         invocation.receive_time = max(0, front.loop.time - age - began)
         self.host.accept(invocation, age, min(age, front.loop.time - self.free_at))
 
     def _wait_for_final(self, invocation: Invocation, upload: Upload | None) -> Coroutine[FinalAnswer | None]:
-        """Waits until the invocation is closed or the client hangs up. Only a hang-up is looked for: what a client
-        sends ahead of its answer stays in the kernel."""
+        """Wait until the invocation is closed or the client hangs up.
+
+        Only a hang-up is watched for: requests that the client sends before it has its response stay in the kernel.
+        """
         if self.task is not None:
             invocation.on_closed = self.task.wake
             if upload is not None:
-                upload.told = self.task.wake
+                upload.on_over = self.task.wake
         host = self.host
         event = WOKEN
         while invocation.open and event == WOKEN:
-            # The balancer answers by the deadline; should it ever fail to, the client still gets an answer.
+            # The balancer answers by the deadline. If it ever fails to, the client still gets a final answer.
             until = invocation.deadline + host.settings.safety.answer_grace // 2
-            coming = upload is not None and not upload.over
-            event = yield Wait(None if coming else self.sock, HUNG_UP, until)
-            if upload is not None and upload.broken is not None:
-                raise upload.broken
+            uploading = upload is not None and not upload.over
+            event = yield Wait(None if uploading else self.sock, HUNG_UP, until)
+            if upload is not None and upload.error is not None:
+                raise upload.error
         if invocation.open and event == 0:
             emit(INVOCATION_OVERDUE, id=invocation.id, **{"class": invocation.cls.name})
             return FinalAnswer(AnswerKind.LATE)
--- a/loftweir/http1/flow.py
+++ b/loftweir/http1/flow.py
@@ -1,7 +1,7 @@
-"""Long bodies, passed on as they come: of an answer from its provider, of a request from its client.
+"""Long bodies that are forwarded as they arrive: responses from their provider, requests from their client.
 
-Whoever writes one on pulls the next piece when the last one is out: one piece of it is in memory, and a side that does
-not read stops the other. No deadline ends it while there is more to come.
+The writing side pulls the next piece once the previous one is written. So one piece is in memory at a time, and a side
+that does not read stops the other. No deadline ends a body as long as more of it arrives.
 """
 
 from __future__ import annotations
@@ -15,11 +15,15 @@
 from loftweir.net.loop import MS, READABLE, Coroutine, Loop, Wait
 from loftweir.net.stream import SMALL, Body, MemoryBudget, TimedOut, TooLarge
 
-SILENT_LATE = 300 * MS  # past its deadline; the platform counts an answer as lost 500 ms past it
+# How long past its deadline a small response may be silent. The platform counts a response as lost 500 ms past it.
+SILENT_LATE = 300 * MS
 
 
 class ResponseStream:
-    """Invariant: the provider's connection is its own until `close`, which gives it back exactly once."""
+    """The body of a response that is forwarded as it arrives.
+
+    Invariant: it owns the provider's connection until `close`, which releases it exactly once.
+    """
 
     def __init__(
         self,
@@ -27,104 +31,111 @@
         sock: socket,
         held: Body,
         length: int | None,
-        wire: H11Reader | None,
-        room: MemoryBudget,
+        reader: H11Reader | None,
+        budget: MemoryBudget,
         silent_for: int,
         limit: int,
         deadline: int,
-        give_back: Callable[[bool], None],
+        release: Callable[[bool], None],
     ) -> None:
-        """`held`: what has come of it. `length` bytes follow on the socket as they are, or `wire` reads them.
-        `deadline`: its request's. `give_back` is told whether the connection can be used again."""
+        """`held` is what has arrived so far. The body has `length` bytes, read from the socket, or `reader` reads it.
+
+        `deadline` is that of its request. `release` is called with whether the connection can be used again.
+        """
         self.loop = loop
         self.sock = sock
         self.held: Body | None = held
         self.length = length
-        self.wire = wire
-        self.room = room
+        self.reader = reader
+        self.budget = budget
         self.silent_for = silent_for
         self.limit = limit
         self.deadline = deadline
-        self.give_back: Callable[[bool], None] | None = give_back
-        self.given = 0
+        self.release: Callable[[bool], None] | None = release
+        self.returned = 0
 
     def pull(self) -> Coroutine[bytes]:
+        """Return the next piece; see `BodyStream.pull`."""
         held, self.held = self.held, None
-        if held is not None and held.size:  # its head may have come alone, and an empty piece is its end
+        if held is not None and held.size:  # the head may have arrived alone, and an empty piece would mean the end
             piece = b"".join(held)
         else:
             piece = yield from self._next()
-        self.given += len(piece)
-        if self.given > self.limit:
+        self.returned += len(piece)
+        if self.returned > self.limit:
             raise TooLarge
         if not piece:
-            self.close(self.wire is None or (self.wire.whole() and not self.wire.rest()))
+            self.close(self.reader is None or (self.reader.whole() and not self.reader.rest()))
         return piece
 
     def _next(self) -> Coroutine[bytes]:
+        """Read the next piece from the connection."""
         now = self.loop.time
         until = now + self.silent_for
-        if self.length is None and self.given <= SMALL:
+        if self.length is None and self.returned <= SMALL:
             until = min(until, max(now, self.deadline) + SILENT_LATE)
-        if self.wire is not None:
+        if self.reader is not None:
             try:
-                return (yield from self.wire.part(until))
+                return (yield from self.reader.part(until))
             except h11.RemoteProtocolError as error:
                 raise ConnectionResetError(str(error)) from None
         assert self.length is not None
-        left = self.length - self.given
+        left = self.length - self.returned
         while left:
             try:
-                piece = self.sock.recv(min(left, self.room.piece()))
+                piece = self.sock.recv(min(left, self.budget.piece()))
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, until)):
                     raise TimedOut from None
                 continue
             if not piece:
-                raise ConnectionResetError("the provider ended inside its answer")
+                raise ConnectionResetError("the provider closed the connection inside its response")
             return piece
         return b""
 
     def close(self, reusable: bool = False) -> None:
-        give_back, self.give_back = self.give_back, None
-        if give_back is not None:
+        """Release the connection, once; `reusable`: the body was read to its end."""
+        release, self.release = self.release, None
+        if release is not None:
             self.held = None
-            give_back(reusable)
+            release(reusable)
 
     def __del__(self) -> None:
         self.close()
 
 
 class UploadFailed(Exception):
-    """A request's body that did not come whole, or can't be sent a second time: nothing of it has run."""
+    """A request's body did not arrive whole, or can't be sent a second time: the request did not run."""
 
 
 class Upload:
-    """The body of a request that is greater than the room for it. It can be pulled once.
+    """The body of a request that is larger than the memory budget allows. It can be pulled once.
 
-    Invariant: until `over`, only `pull` waits on the client's socket."""
+    Invariant: until `over` is set, only `pull` waits on the client's socket.
+    """
 
     def __init__(self, loop: Loop, sock: socket, held: Body, length: int, silent_for: int) -> None:
         self.loop = loop
         self.sock = sock
         self.held = held
-        self.room = held.room
+        self.budget = held.budget
         self.length: int | None = length
         self.left = length - held.size
         self.silent_for = silent_for
         self.begun = False
         self.over = False
-        self.broken: Exception | None = None  # the client's fault
-        self.told: Callable[[], None] = lambda: None  # it is over, one way or the other
+        self.error: Exception | None = None  # why it failed, which is the client's fault
+        self.on_over: Callable[[], None] = lambda: None  # called when it is over, whole or not
 
     def pull(self) -> Coroutine[bytes]:
+        """Return the next piece; see `BodyStream.pull`. Raises `UploadFailed` if the client did not send it all."""
         if not self.begun:
             self.begun = True
-            if self.held.size:  # nothing of it may have come with its head, and an empty piece is its end
+            if self.held.size:  # none may have arrived with its head, and an empty piece would mean the end
                 return b"".join(self.held)
-        while self.left and self.broken is None:
+        while self.left and self.error is None:
             try:
-                data = self.sock.recv(min(self.left, self.room.piece()))
+                data = self.sock.recv(min(self.left, self.budget.piece()))
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, self.loop.time + self.silent_for)):
                     self._end(TimedOut())
@@ -133,21 +144,22 @@
                 self._end(error)
                 continue
             if not data:
-                self._end(ConnectionResetError("the client ended inside its body"))
+                self._end(ConnectionResetError("the client closed the connection inside its body"))
                 continue
             self.left -= len(data)
             return data
-        if self.broken is not None:
+        if self.error is not None:
             raise UploadFailed
         self._end(None)
         return b""
 
-    def _end(self, broken: Exception | None) -> None:
-        self.broken = broken
+    def _end(self, error: Exception | None) -> None:
+        """End it; `error`: why it did not arrive whole, None if it did."""
+        self.error = error
         self.close()
 
     def close(self) -> None:
-        """Nothing more is pulled."""
+        """End it: nothing more is pulled."""
         if not self.over:
             self.over = True
-            self.told()
+            self.on_over()
--- a/loftweir/http1/named.py
+++ b/loftweir/http1/named.py
@@ -1,4 +1,4 @@
-"""A client's connection where the catalog is on: each request goes to the host that its Host field names."""
+"""Client connections with the catalog of services: the Host field of a request selects the service's balancer."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
     from loftweir.catalog.hosts import Hosts
 
 
-def kind(hosts: Hosts) -> type[ClientConnection]:
-    """The connections of a front with these hosts."""
+def client_class(hosts: Hosts) -> type[ClientConnection]:
+    """Return the connection class of a frontend that serves these services."""
 
-    class Named(ClientConnection):
-        """Invariant: `host` is, from a request's head to its answer, that of the service which it named at its head,
-        whatever the name stands for by then."""
+    class ServiceClientConnection(ClientConnection):
+        """A client's connection whose requests go to different services.
+
+        Invariant: from a request's head to its final answer, `host` is that of the service which the name meant when
+        the head arrived, whatever it means later.
+        """
 
         __slots__ = ()
 
@@ -31,4 +34,4 @@
                 self.host = hosts.admit(request.fields.get(b"host", b"").decode("latin-1"), invocation)
             return invocation
 
-    return Named
+    return ServiceClientConnection
--- a/loftweir/http1/request.py
+++ b/loftweir/http1/request.py
@@ -1,4 +1,4 @@
-"""The head of a client's request: whether it can be served, and the invocation that it makes. No I/O."""
+"""Checks the head of a client's request and makes an invocation of it. No I/O."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from loftweir.net.loop import MS
 from loftweir.net.stream import TooLarge
 
+# The fields that the sidecar itself interprets; none of them may occur twice.
 OWN_FIELDS = (b"req-id", b"req-kind", b"req-deadline-ms", b"idempotency-key")
 HEALTH_PATH = b"/_health"
 INVOCATION_PATH = b"/api"
-DEADLINE_DIGITS = 9  # of `Req-Deadline-Ms` at most
+DEADLINE_DIGITS = 9  # the most digits that `Req-Deadline-Ms` may have
 
 
 class BadRequest(Exception):
-    """A request that can't be served as it stands: the reason, and the status of its answer."""
+    """A request can't be served as it is. Carries the reason, and the status and fields of the response."""
 
     def __init__(self, why: str, status: int = 400, *headers: tuple[str, str]) -> None:
         super().__init__(why)
@@ -23,20 +24,20 @@
         self.headers = headers
 
 
-def check_length(fields: Fields, most: int) -> None:
-    """Raises `BadRequest` or `TooLarge` where the length given in a head can't be accepted."""
+def check_length(fields: Fields, limit: int) -> None:
+    """Raise `BadRequest` or `TooLarge` if the body length that a head gives can't be accepted."""
     length = fields.get(b"content-length")
     if length is None:
         return
     if b"transfer-encoding" in fields:
-        # Whoever reads it by the other length finds another request in the body.
+        # A program that goes by the other of the two would find a second request in the body (request smuggling).
         raise BadRequest("Content-Length and Transfer-Encoding together")
-    if int(length) > most:
+    if int(length) > limit:
         raise TooLarge
 
 
 def is_health_check(request: HttpRequest) -> bool:
-    """Whether the request asks for the sidecar's own health; `BadRequest` where it asks for nothing that is here."""
+    """Whether it is a health check of the sidecar itself; raise `BadRequest` for an unknown path or method."""
     path = request.target.partition(b"?")[0]
     if path == HEALTH_PATH:
         return True
@@ -48,7 +49,7 @@
 
 
 def to_invocation(request: HttpRequest, settings: Settings, traced: bool) -> Invocation:
-    """The invocation that a request makes, but for its body; `BadRequest` where it can't be taken."""
+    """Return the invocation for a request, still without its body; raise `BadRequest` if it can't be taken."""
     fields = request.fields
     _check_repeated(request)
     request_id, class_name = _text(fields, b"req-id"), _text(fields, b"req-kind", "utf-8")
@@ -59,7 +60,7 @@
     return Invocation(
         request_id,
         cls,
-        _patience(fields, cls),
+        _time_left(fields, cls),
         request,
         write=request.method != b"GET",
         client_retry=fields.get(b"req-retry") == b"1",
@@ -69,7 +70,7 @@
 
 
 def origin_form(target: bytes) -> bytes:
-    """A target in absolute form names the sidecar too, and providers are asked for its path alone."""
+    """Return a request target in origin form, as providers get it: an absolute one also names the sidecar."""
     scheme, sign, rest = target.partition(b"://")
     if not sign or scheme.lower() not in (b"http", b"https"):
         return target
@@ -78,6 +79,7 @@
 
 
 def _check_repeated(request: HttpRequest) -> None:
+    """Raise `BadRequest` if one of the sidecar's own fields occurs twice."""
     if len(request.fields) == len(request.pairs):
         return
     names = [name for name, _ in request.pairs if name.lower() in OWN_FIELDS]
@@ -85,8 +87,8 @@
         raise BadRequest("a Req field or Idempotency-Key comes twice")
 
 
-def _patience(fields: Fields, cls: RequestClass) -> int:
-    """How long the client waits for its answer, ns: at most as long as its class allows."""
+def _time_left(fields: Fields, cls: RequestClass) -> int:
+    """Return how long the client waits for the final answer, ns: at most as long as its class allows."""
     wait = fields.get(b"req-deadline-ms")
     if wait is None:
         return cls.deadline
@@ -96,6 +98,7 @@
 
 
 def _text(fields: Fields, name: bytes, encoding: str = "ascii") -> str:
+    """Return a field as text; raise `BadRequest` if it is missing or can't be decoded."""
     try:
         text = fields.get(name, b"").decode(encoding)
     except UnicodeDecodeError:
@@ -106,5 +109,5 @@
 
 
 def _routing_key(value: bytes | None) -> str | None:
-    """`Req-Key`, where it is plain text: the balancer may do without it, and a request is not lost over it."""
+    """Return `Req-Key` if it is ASCII, else None: the balancer can do without it, so the request is not rejected."""
     return value.decode("ascii") if value and value.isascii() else None
--- a/loftweir/http1/request_reader.py
+++ b/loftweir/http1/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading one request from a client's connection: its head, and its body as far as there is room for it."""
+"""Reads one request from a client's connection: its head, and its body as far as the memory budget allows."""
 
 from __future__ import annotations
 
@@ -21,33 +21,37 @@
 if TYPE_CHECKING:
     from loftweir.http1.client import ClientConnection
 
-LONGEST_UPLOAD = 60 * SECOND  # that a body which is sent on while it comes may take
-ROOM_WITHIN = 1500 * MS  # that a long body waits for room: its request's time has not begun
+LONGEST_UPLOAD = 60 * SECOND  # the most time for a body that is forwarded as it arrives
+BUDGET_WAIT = 1500 * MS  # how long a body waits for memory; its request's time has not begun by then
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class RequestReader:
-    """Reads the request that begins with what the client's connection has received, and holds what came of it: the
-    request whole, or up to its body where that is sent on while it comes."""
+    """Reads the request that begins with the data which the client's connection has received.
+
+    It then has the whole request, or the request without its body if that is forwarded as it arrives.
+    """
 
     __slots__ = ("client", "front", "until", "limits", "body_until", "invocation", "rest", "upload", "ended")
 
-    limits: Limits  # as they are when the body begins
-    body_until: int  # when a body is to be there, but for the time that its bytes take
+    limits: Limits  # as of when the body begins
+    body_until: int  # until when a body must be read, not counting the time that its size allows
 
     def __init__(self, client: ClientConnection, until: int) -> None:
-        """`until`: when the request is to be there."""
+        """`until`: when the whole request must have arrived."""
         self.client = client
         self.front = client.front
         self.until = until
-        self.invocation: Invocation | None = None  # None: it asks for the sidecar's health
-        self.rest: bytes | None = None  # what was read behind it; None: where it ends is not known or not reached
-        self.upload: Upload | None = None  # its body, where that is sent on while it comes
-        self.ended = False  # nothing more comes behind `rest`
+        self.invocation: Invocation | None = None  # None: a health check of the sidecar
+        self.rest: bytes | None = None  # data read behind the request; None: its end is unknown or not reached
+        self.upload: Upload | None = None  # its body, if that is forwarded as it arrives
+        self.ended = False  # the client sends nothing more behind `rest`
 
     def read(self) -> Coroutine[bool]:
-        """False: the connection ended before a request began. What can't be served raises `BadRequest`, `TooLarge`,
-        `TimedOut` or h11's error."""
+        """Read the request; return False if the connection ended before one began.
+
+        Raises `BadRequest`, `TooLarge`, `TimedOut` or h11's error for a request that can't be served.
+        """
         client = self.client
         data, client.received = client.received, b""
         head = grammar.request(data)
@@ -56,13 +60,14 @@
         client.method = head.first
         return self._read_common(head, data)
 
-    # ---- a request of the common form -----------------------------------------------------------
+    # ---- requests in the common form ------------------------------------------------------------
 
     def _read_common(self, head: grammar.Head, data: bytes) -> Coroutine[bool]:
-        body = Body(self.front.room)
+        """Read the rest of a request whose head is parsed; `data` is what has been read of it."""
+        body = Body(self.front.budget)
         self.invocation = self.client.admit(HttpRequest(head.first, head.second, head.pairs, head.fields, body))
         end = head.end + head.length
-        if self.invocation is not None and head.length > body.room.most():
+        if self.invocation is not None and head.length > body.budget.most():
             body.append(data[head.end : end])
             self.upload = self._upload(self.invocation, body, head.length)
             return True
@@ -70,20 +75,20 @@
             yield from self._reserve(body, head.length)
             body.append(data[head.end : end])
         rest = data[end:]
-        del data  # or its room is taken twice while more is waited for
+        del data  # else its bytes are in memory twice while the rest is awaited
         if body.size < head.length:
             yield from self._fill(body, head.length)
         self.rest = rest
         return True
 
     def _fill(self, body: Body, length: int) -> Coroutine[None]:
-        """Reads the rest of a body of so many bytes."""
+        """Read the rest of a body of `length` bytes."""
         self._begin_body()
         while body.size < length:
             try:
                 data = self.client.sock.recv(min(READ_SIZE, length - body.size))
             except BlockingIOError:
-                if not (yield Wait(self.client.sock, READABLE, self._due(body.size))):
+                if not (yield Wait(self.client.sock, READABLE, self._read_by(body.size))):
                     raise TimedOut from None
                 continue
             if not data:
@@ -91,9 +96,11 @@
             body.append(data)
 
     def _upload(self, invocation: Invocation, body: Body, length: int) -> Upload:
-        """The body that is greater than the room for it: the request is taken from its head on, and its body sent on
-        while it comes. The balancer is given its class with the time that the body may take, and blames nobody for
-        that."""
+        """Return the stream for a body that is too large for the memory budget.
+
+        The request is taken once its head is there, and its body is forwarded as it arrives. The time that the body may
+        take is added to the aim and the deadline of its class, so that the balancer counts it against no provider.
+        """
         limits = self.front.options.limits
         upload = Upload(self.front.loop, self.client.sock, body, length, limits.body_silent)
         invocation.payload = invocation.payload._replace(body=upload)
@@ -104,28 +111,30 @@
         invocation.time_left += allowed
         return upload
 
-    # ---- any other request, as h11 reads it ------------------------------------------------------
+    # ---- all other requests, read by h11 ---------------------------------------------------------
 
-    def _read_strictly(self, wire: H11Reader) -> Coroutine[bool]:
+    def _read_strictly(self, reader: H11Reader) -> Coroutine[bool]:
+        """Read a request with h11; return False if the connection ended before one began."""
         client = self.client
-        head = yield from wire.next_event(self.until)
+        head = yield from reader.next_event(self.until)
         if not isinstance(head, h11.Request):
             return False
-        client.method, client.old = head.method, head.http_version < b"1.1"
+        client.method, client.http_1_0 = head.method, head.http_version < b"1.1"
         pairs = list(head.headers.raw_items())
         request = HttpRequest(head.method, origin_form(head.target), pairs, by_name(pairs), [])
         self.invocation = client.admit(request)
-        if wire.http.they_are_waiting_for_100_continue and self.invocation is not None:
+        if reader.http.they_are_waiting_for_100_continue and self.invocation is not None:
             client.sock.send(CONTINUE)
-        body = yield from self._strict_body(wire, int(request.fields.get(b"content-length", 0)))
+        body = yield from self._strict_body(reader, int(request.fields.get(b"content-length", 0)))
         if self.invocation is not None:
             self.invocation.payload = request._replace(body=body)
-        self.rest = wire.rest() if wire.whole() else None
-        self.ended = wire.http.trailing_data[1]
+        self.rest = reader.rest() if reader.whole() else None
+        self.ended = reader.http.trailing_data[1]
         return True
 
-    def _strict_body(self, wire: H11Reader, length: int) -> Coroutine[Body]:
-        body = Body(self.front.room)
+    def _strict_body(self, reader: H11Reader, length: int) -> Coroutine[Body]:
+        """Read a body with h11; `length`: what its head announces, 0 if nothing."""
+        body = Body(self.front.budget)
         yield from self._reserve(body, length)
 
         def keep(part: bytes) -> Coroutine[None]:
@@ -133,24 +142,30 @@
             body.append(part)
 
         self._begin_body()
-        yield from wire.body(self._due, self.limits.body, keep)
+        yield from reader.body(self._read_by, self.limits.body, keep)
         return body
 
-    # ---- room and time --------------------------------------------------------------------------
+    # ---- memory and time ------------------------------------------------------------------------
 
     def _reserve(self, body: Body, size: int) -> Coroutine[None]:
-        """Waits for room. What is waited for is not the client, whose whole request may have come: it is not closed
-        as one that has sent half of it."""
+        """Wait for memory for a body.
+
+        Meanwhile the client is not the cause of the wait, and its whole request may have arrived. So its connection is
+        not closed like one that has sent half a request.
+        """
         self.client.stage = Stage.BUSY
-        yield from reserved(self.front.loop, body, size, ROOM_WITHIN)
+        yield from reserved(self.front.loop, body, size, BUDGET_WAIT)
         self.client.stage = Stage.BEGUN
 
     def _begin_body(self) -> None:
+        """Start the time in which the body must arrive."""
         self.limits = self.front.options.limits
         self.body_until = self.front.loop.time + self.limits.body_within
 
-    def _due(self, size: int) -> int:
-        """Until when more of a body is waited for, where so much has come: a slow one has the time that its bytes take
-        at the least rate, one that falls silent has not."""
+    def _read_by(self, size: int) -> int:
+        """Return until when to wait for more of a body of which `size` bytes have arrived.
+
+        A slow client has the time that its bytes take at the minimum rate; one that stops sending has not.
+        """
         earned = self.body_until + size * SECOND // self.limits.body_rate
         return min(self.front.loop.time + self.limits.body_silent, max(self.until, earned))
--- a/loftweir/http1/stage.py
+++ b/loftweir/http1/stage.py
@@ -6,10 +6,10 @@
 
 
 class Stage(IntEnum):
-    """Where a client's connection stands. Where room is short, the lowest stage is closed first."""
+    """The stage of a client's connection. When connections run out, those at the lowest stage are closed first."""
 
-    ENDING = -1  # its last answer is out or it rested too long, what comes is not looked at any more
-    SILENT = 0  # nothing has come on it yet
+    ENDING = -1  # its last response is written, or it was idle too long; what arrives is no longer looked at
+    SILENT = 0  # nothing has arrived yet
     IDLE = 1  # between requests
-    BEGUN = 2  # part of a request has come
-    BUSY = 3  # a whole one has, or its answer is being written
+    BEGUN = 2  # part of a request has arrived
+    BUSY = 3  # a whole request has arrived, or its response is being written
--- a/loftweir/net/__init__.py
+++ b/loftweir/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: epoll, HTTP and discovery round the decisions of loftweir.balance."""
+"""The event loop, and TCP connections on it."""
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -1,4 +1,7 @@
-"""One TCP connection on the loop: coming up, writing whole messages gathered, being probed and closed."""
+"""TCP connections on the loop: opening them, writing whole messages with gathered writes, and querying their state.
+
+Also the memory budget for bodies, since each body that is read takes from it.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,15 @@
 from loftweir.telemetry.catalogue import CONNECT_NOT_BEGUN
 from loftweir.telemetry.log import emit
 
-READ_SIZE = 64 * 1024
-SMALL = 64 * 1024  # bytes of a body up to which it is held whole, and may take all the room there is
-KEPT_FOR_SMALL = 4  # one part in so many of the room
-PIECES, LEAST_PIECE = 64, 4 * 1024  # of long bodies on their way, that the room is shared out among
-MERGED = 4 * 1024  # parts that come in tiny pieces are kept together up to this
-LOOK_FOR_ROOM = 10 * MS
-GATHER_LIMIT = 512  # parts in one write; the kernel takes 1,024
-# Of connect(), before anything was sent: this machine has no port, route, memory or right for it.
+READ_SIZE = 64 * 1024  # bytes
+SMALL = 64 * 1024  # bytes: a body up to this size is held whole, and may use the whole memory budget
+SMALL_RESERVE = 4  # one part in so many of the budget is for small bodies only
+PIECES = 64  # pieces of long bodies in memory at a time, among which the budget is divided
+LEAST_PIECE = 4 * 1024  # bytes: the smallest piece of a long body to read at a time
+MERGED = 4 * 1024  # bytes: parts of a body that arrive in tiny pieces are joined up to this size
+BUDGET_RETRY = 10 * MS  # until it is checked again whether a body fits into the budget
+GATHER_LIMIT = 512  # parts in one write; the kernel takes up to 1,024
+# Errors of connect() before anything was sent: this machine lacks a port, a route, memory or the permission.
 NOT_BEGUN = (
     errno.EADDRNOTAVAIL,
     errno.EADDRINUSE,
@@ -37,116 +41,122 @@
     errno.EPERM,
     errno.EACCES,
 )
-RETRY_CONNECT = 10 * MS  # until a connection that was not begun is tried again
-NO_BUFFER = (errno.ENOBUFS, errno.ENOMEM)  # of a write: the kernel has no memory for it now
-RETRY_WRITE = 5 * MS
-# Of Linux's struct tcp_info (linux/tcp.h): ms since the last bytes came, behind 8 bytes and eleven words.
-TCP_INFO_SIZE, LAST_DATA_RECEIVED = 56, 52
+RETRY_CONNECT = 10 * MS  # until a connection that this machine could not begin is tried again
+NO_BUFFER = (errno.ENOBUFS, errno.ENOMEM)  # errors of a write: the kernel has no memory for it at the moment
+RETRY_WRITE = 5 * MS  # until such a write is tried again
+# Of Linux's struct tcp_info (linux/tcp.h): `tcpi_last_data_recv`, the ms since the last bytes were received, follows 8
+# bytes and eleven 32-bit words.
+TCP_INFO_SIZE = 56  # bytes
+LAST_DATA_RECEIVED = 52  # offset in bytes
 
 
 class TimedOut(Exception):
-    """The other side did not read or write in time."""
+    """The peer did not read or write in time."""
 
 
 class TooLarge(Exception):
-    """More bytes than there may be, or than there is room for."""
+    """A body is larger than allowed, or than the memory budget has left."""
 
 
 class OutOfBudget(TooLarge):
-    """No more than there may be, but there is no room for it now."""
+    """A body is within its limit, but the memory budget has too little left now."""
 
 
 class ConnectError(Exception):
-    """No connection: carries the outcome, which proves that nothing ran."""
+    """A connection could not be opened. The `outcome` of the attempt proves that the request did not run."""
 
     def __init__(self, outcome: Outcome) -> None:
         self.outcome = outcome
 
 
 class MemoryBudget:
-    """The bytes that may be held at a time, over all who take from it.
+    """The bytes that all bodies together may hold at a time.
 
-    A part of it is for small bodies alone: however many long ones there are, small requests go on being served.
+    A part is for small bodies only: however many long ones there are, small requests are still served.
     """
 
     def __init__(self, size: int) -> None:
         self.size = self.left = size
 
     def has(self, wanted: int, held: int) -> bool:
-        """Whether there is room for `wanted` bytes more of a body that holds `held`."""
-        kept = self.size // KEPT_FOR_SMALL if wanted + held > SMALL else 0
-        return self.left - wanted >= kept
+        """Whether a body that holds `held` bytes may take `wanted` more."""
+        reserve = self.size // SMALL_RESERVE if wanted + held > SMALL else 0
+        return self.left - wanted >= reserve
 
     def most(self) -> int:
-        """That one body may take."""
-        return self.size - self.size // KEPT_FOR_SMALL
+        """Return the most bytes that one long body may hold."""
+        return self.size - self.size // SMALL_RESERVE
 
     def piece(self) -> int:
-        """How much of a long body to read at a time: the less, the less room there is."""
+        """Return how much of a long body to read at a time: the less of the budget is left, the less."""
         return max(LEAST_PIECE, min(READ_SIZE, self.left // PIECES))
 
 
 class Body(list[bytes]):
-    """The parts of a body. They take room for as long as they are kept, whoever keeps them.
+    """The parts of a body. They take from the memory budget until the object is freed.
 
-    Invariant: `taken`, of the room, is what was reserved or what is held, whichever is more."""
+    Invariant: `taken` is the larger of the bytes that were reserved and the bytes that are held.
+    """
 
-    __slots__ = ("room", "size", "taken")
+    __slots__ = ("budget", "size", "taken")
 
-    def __init__(self, room: MemoryBudget) -> None:
+    def __init__(self, budget: MemoryBudget) -> None:
         super().__init__()
-        self.room = room
+        self.budget = budget
         self.size = 0
         self.taken = 0
 
     def reserve(self, size: int) -> None:
-        """MemoryBudget for so many bytes in all; `OutOfBudget` where there is none now."""
+        """Take `size` bytes in all from the budget; raise `OutOfBudget` if it has too few left."""
         wanted = size - self.taken
         if wanted > 0:
-            if not self.room.has(wanted, self.taken):
+            if not self.budget.has(wanted, self.taken):
                 raise OutOfBudget
-            self.room.left -= wanted
+            self.budget.left -= wanted
             self.taken = size
 
     def append(self, part: bytes) -> None:
+        """Add a part; raise `OutOfBudget` if the budget has too little left for it."""
         self.reserve(self.size + len(part))
         self.size += len(part)
         if self and len(self[-1]) + len(part) <= MERGED:
-            self[-1] += part  # a byte for itself takes forty times its room
+            self[-1] += part  # a bytes object of one byte takes forty times its size
         else:
             super().append(part)
 
     def __del__(self) -> None:
-        self.room.left += self.taken
+        self.budget.left += self.taken
 
 
 def reserved(loop: Loop, body: Body, size: int, within: int) -> Coroutine[None]:
-    """MemoryBudget for `size` bytes in all, waited for; `OutOfBudget` where there is none within that time."""
+    """Reserve `size` bytes in all for a body; raise `OutOfBudget` if that is not possible within `within`."""
     until = loop.time + within
     while True:
         try:
             body.reserve(size)
             return
         except OutOfBudget:
-            if loop.time >= until or size > body.room.size:
+            if loop.time >= until or size > body.budget.size:
                 raise
-        yield Wait(None, 0, loop.time + LOOK_FOR_ROOM)
+        yield Wait(None, 0, loop.time + BUDGET_RETRY)
 
 
 class LocalError(OSError):
-    """Something was not begun, through a fault of this machine: nothing was sent."""
+    """An operation failed on this machine before anything was sent."""
 
 
 def prepare(sock: socket.socket) -> None:
-    """No call on it waits, and small writes go out at once, where the machine grants that."""
+    """Make a socket non-blocking, and have small writes sent at once if the system permits that."""
     sock.setblocking(False)
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def unread_for(sock: socket.socket) -> int:
-    """How long ago the last bytes came on a connection, ns, to some milliseconds: what is read now has been in the
-    kernel for as long, unread."""
+    """Return how long ago the last bytes of a connection arrived, ns, accurate to a few milliseconds.
+
+    Bytes that are read now have been in the kernel, unread, for that long. 0 if it is not known.
+    """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
         (ms,) = struct.unpack_from("=I", info, LAST_DATA_RECEIVED)
@@ -156,56 +166,60 @@
 
 
 def has_unacknowledged(sock: socket.socket) -> bool:
-    """Whether the other side's machine has not taken all that was written: a reset would lose it. The end of the
-    stream itself may be still on its way."""
+    """Whether the peer's machine has not acknowledged all bytes written, which a reset would lose.
+
+    The end of the stream, which counts as one byte, may still be unacknowledged.
+    """
     return unacknowledged(sock) > 1
 
 
 def hung_up(sock: socket.socket) -> bool:
-    """Whether the other side has ended the connection, or its half of it, or broken it off. Asked of the kernel, which
-    knows it before epoll has said so, whatever else lies there unread before the end."""
-    look = select.poll()
-    look.register(sock, select.POLLRDHUP)
-    return bool(look.poll(0))
+    """Whether the peer has closed the connection or its half of it, or reset it.
+
+    The kernel knows that before epoll reports it, and whatever is still unread before the end.
+    """
+    poll = select.poll()
+    poll.register(sock, select.POLLRDHUP)
+    return bool(poll.poll(0))
 
 
 def connect(loop: Loop, address: str, connect_timeout: int, until: int) -> Coroutine[socket.socket]:
-    """A new connection, up within `connect_timeout`; else a `ConnectError`.
+    """Open a connection within `connect_timeout`; raise `ConnectError` if that fails.
 
-    A fault of this machine says nothing of the other one, which must not be blamed for it: the connection is begun
-    again for as long, and `NOT_SENT` is its outcome where that never works.
+    An error of this machine must not count against the peer: the connection is tried again for that time, and the
+    outcome is `NOT_SENT` if no try could even begin.
     """
     try:
         host, port = split_host_port(address)
     except ValueError:
-        raise ConnectError(Outcome.CONNECT_FAILED) from None  # the list gave no address that can be called
-    up_by = loop.now() + connect_timeout
+        raise ConnectError(Outcome.CONNECT_FAILED) from None  # the list has an address that can't be used
+    open_by = loop.now() + connect_timeout
     while True:
         try:
-            return (yield from _connect(loop, host, port, up_by, until))
-        except LocalError as fault:
-            emit(CONNECT_NOT_BEGUN, why=fault.strerror)
-            if loop.now() + RETRY_CONNECT >= min(up_by, until):
+            return (yield from _connect(loop, host, port, open_by, until))
+        except LocalError as error:
+            emit(CONNECT_NOT_BEGUN, why=error.strerror)
+            if loop.now() + RETRY_CONNECT >= min(open_by, until):
                 raise ConnectError(Outcome.NOT_SENT) from None
         yield Wait(None, 0, loop.now() + RETRY_CONNECT)
 
 
-def _connect(loop: Loop, host: str, port: int, up_by: int, until: int) -> Coroutine[socket.socket]:
-    """One try of `connect`. Raises `ConnectError`, or `LocalError` where it was not begun."""
+def _connect(loop: Loop, host: str, port: int, open_by: int, until: int) -> Coroutine[socket.socket]:
+    """Try once to connect. Raises `ConnectError`, or `LocalError` if the connection could not even begin."""
     try:
         sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     except OSError as error:
         raise LocalError(error.errno, error.strerror) from None
     try:
         prepare(sock)
-        fault = sock.connect_ex((host, port))
-        if fault in NOT_BEGUN:
-            raise LocalError(fault, os.strerror(fault))
-        if fault == errno.EINPROGRESS:
-            if not (yield Wait(sock, WRITABLE, min(up_by, until))):
-                raise ConnectError(Outcome.CONNECT_FAILED if up_by <= until else Outcome.NOT_SENT)
-            fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if fault:
+        code = sock.connect_ex((host, port))
+        if code in NOT_BEGUN:
+            raise LocalError(code, os.strerror(code))
+        if code == errno.EINPROGRESS:
+            if not (yield Wait(sock, WRITABLE, min(open_by, until))):
+                raise ConnectError(Outcome.CONNECT_FAILED if open_by <= until else Outcome.NOT_SENT)
+            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if code:
             raise ConnectError(Outcome.CONNECT_FAILED)
     except LocalError:
         loop.close(sock)
@@ -220,7 +234,7 @@
 
 
 def unacknowledged(sock: socket.socket) -> int:
-    """Bytes written that the other side's machine has not said to have; 0 where that isn't known."""
+    """Return how many bytes written the peer's machine has not acknowledged; 0 if that is not known."""
     try:
         (left,) = struct.unpack("=i", fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(4)))
     except (OSError, ValueError):
@@ -231,9 +245,11 @@
 def send(
     loop: Loop, sock: socket.socket, parts: list[Any], until: int | None, breaks: int = 0, begins: bool = False
 ) -> Coroutine[None]:
-    """Writes a whole message, gathered; takes the parts off the list as they go out. `breaks`: events that end it, as
-    a reset does, while it waits to write on. Where the kernel has no memory for it, it is tried again; with `begins`
-    that is a `LocalError` as long as nothing of it is out."""
+    """Write a whole message with gathered writes; parts are removed from the list as they are written.
+
+    `breaks`: events that end it like a reset while it waits to continue. If the kernel has no memory for a write, it is
+    tried again; with `begins` it raises `LocalError` instead as long as nothing has been written.
+    """
     while parts:
         try:
             written = sock.sendmsg(parts[:GATHER_LIMIT])
@@ -242,7 +258,7 @@
             if not event:
                 raise TimedOut from None
             if event & breaks:
-                raise ConnectionResetError("spoken on before the message was whole") from None
+                raise ConnectionResetError("the peer sent data before it had the whole message") from None
             continue
         except OSError as error:
             if error.errno not in NO_BUFFER:
@@ -252,7 +268,7 @@
             yield from _wait_for_buffer(loop, until)
             continue
         begins = False
-        # A short write leaves whole parts and perhaps the rest of one.
+        # After a short write there may be whole parts left, and the rest of one.
         whole = 0
         while whole < len(parts) and written >= len(parts[whole]):
             written -= len(parts[whole])
@@ -263,6 +279,7 @@
 
 
 def _wait_for_buffer(loop: Loop, until: int | None) -> Coroutine[None]:
+    """Wait until a write is tried again for which the kernel had no memory."""
     again_at = loop.now() + RETRY_WRITE
     if until is not None and again_at >= until:
         raise TimedOut
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -104,7 +104,7 @@
         self.back.on_attempt_ended = self.host.attempt_ended
         bodies = int(memory * limits.requests_of_memory)
         self.front = Frontend(loop, self.host, self.life, options, platform.sockets, bodies)
-        self.front.spare_descriptor = self.back.pool.evict_idle
+        self.front.free_descriptor = self.back.pool.evict_idle
         self.catalog: Hosts | None = None
         self.services_file = options.catalog.file  # another one waits for the next start
         if services is not None and self.partners is not None:
@@ -113,7 +113,10 @@
 
             self.catalog = self.partners.catalog = hosts.Hosts(loop, services, self.host, self.back, platform.seed)
             self.catalog.leased_tasks = self.partners.leased_tasks
-            self.front.kind, self.front.also = named.kind(self.catalog), self.catalog.serves
+            self.front.client_class, self.front.has_other_providers = (
+                named.client_class(self.catalog),
+                self.catalog.serves,
+            )
         self.disk: Disk | None = None  # where the snapshot is kept, with `state.keep`
         self.list_tracker: ListTracker | None = None
         self.written_at = 0  # when the last snapshot was written, by the loop's clock
@@ -315,7 +318,7 @@
         if self.life.state is State.LEAVING and self.left_at == left_at:
             self.life.step(LifecycleEvent.EMPTIED)
         while self.life.state is State.EMPTY:
-            self.front.send_away(half=False)
+            self.front.close_unused(half=False)
             yield Wait(None, 0, self.loop.now() + SWEEP_EVERY)
 
     def _stop(self, wakes: socket.socket) -> Coroutine[None]:
@@ -339,8 +342,8 @@
         while not front.stop_accepting() and self.loop.now() < front.ends_at:
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         self.life.step(LifecycleEvent.SHUT)
-        while front.clients and self.loop.now() < (latest if front.owes() else last):
-            front.send_away(half=self.loop.now() > now + HALF_FOR)
+        while front.clients and self.loop.now() < (latest if front.has_unanswered() else last):
+            front.close_unused(half=self.loop.now() > now + HALF_FOR)
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         for number in OBEYED:  # Python's own end takes its handlers away: one that comes then would be the exit code
             signal.signal(number, signal.SIG_IGN)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -68,7 +68,7 @@
         near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 << 20)
         self.peer.settimeout(5)
         self.near = Crossed(near, at, self.cross)
-        self.front._welcome(self.near)
+        self.front._add_client(self.near)
         (self.client,) = self.front.clients
 
     def cross(self) -> None:
@@ -77,10 +77,10 @@
 
     def rests(self, answer: bytes) -> None:
         """Its answer is written, and it rests."""
-        self.front.row(self.client).pop(self.client, None)
+        self.front.waiting(self.client).pop(self.client, None)
         assert self.near.send(answer) == len(answer)
         self.client.stage = Stage.IDLE
-        self.front.rests(self.client)
+        self.front.set_idle(self.client)
 
     def read(self, pause: float = 0.0) -> bytes | str:
         """What the client reads, by the loop's turns, until the connection's end or its reset."""
@@ -112,27 +112,27 @@
 
 def too_long(scenery):
     scenery.client.since -= 60 * SECOND
-    scenery.loop.spawn(scenery.front.keep())
+    scenery.loop.spawn(scenery.front.expire_idle())
 
 
 def too_many(scenery):
-    scenery.front.most_idle = 1
+    scenery.front.max_idle = 1
     another, far = connected()
-    scenery.front._welcome(another)
+    scenery.front._add_client(another)
     other = next(c for c in scenery.front.clients if c is not scenery.client)
     scenery.loop.after(0, far.close)
     scenery.front.silent.pop(other)
     scenery.front.loop.unwatch(other.sock.fileno())
     other.stage = Stage.IDLE
-    scenery.front.rests(other)
+    scenery.front.set_idle(other)
 
 
 def sent_away(scenery):
-    scenery.front.send_away(half=False)
+    scenery.front.close_unused(half=False)
 
 
 def room_made(scenery):
-    assert scenery.front.spare()
+    assert scenery.front.evict()
 
 
 @pytest.mark.parametrize("at", [("shutdown", "close"), ("close",)], ids=["first step", "close"])
@@ -162,11 +162,11 @@
     client = scenery.client
 
     def answers():
-        scenery.front.row(client).pop(client, None)
+        scenery.front.waiting(client).pop(client, None)
         yield from client._write((200, b"OK", b"", [LONG]), True)
         scenery.peer.send(behind)
         yield from client._linger(scenery.front.options.limits.linger_bytes)
-        scenery.front.forget(client)
+        scenery.front.remove(client)
 
     client.stage = Stage.BUSY
     scenery.loop.spawn(answers())
@@ -177,7 +177,7 @@
 def test_who_reads_nothing_is_waited_for_no_longer_than_a_write():
     scenery = Scenery((), slow=True, linger_for=10 * MS, write_within=60 * MS)
     scenery.rests(LONG)
-    scenery.front.send_away(half=False)
+    scenery.front.close_unused(half=False)
     began = time.monotonic()
 
     def until_ended():
@@ -194,14 +194,14 @@
     scenery = Scenery((), slow=True)
     front = scenery.front
     scenery.rests(LONG)
-    front.send_away(half=False)
+    front.close_unused(half=False)
     another, far = connected()
-    front._welcome(another)
+    front._add_client(another)
     other = next(c for c in front.clients if c is not scenery.client)
     front.silent.pop(other)
     other.stage = Stage.IDLE
-    front.rests(other)
-    assert front.spare() and front.clients == {scenery.client}
+    front.set_idle(other)
+    assert front.evict() and front.clients == {scenery.client}
     assert far.recv(1) == b""
     far.close()
     assert scenery.read() == LONG
@@ -210,22 +210,22 @@
 def test_who_is_slow_to_take_its_answer_goes_where_nothing_else_makes_room():
     scenery = Scenery((), slow=True)
     scenery.rests(LONG)
-    scenery.front.send_away(half=False)
-    assert scenery.front.spare() and not scenery.front.clients
+    scenery.front.close_unused(half=False)
+    assert scenery.front.evict() and not scenery.front.clients
 
 
 def test_a_whole_request_that_waits_for_room_is_not_closed_as_half_of_one():
     scenery = Scenery((), slow=False)
     front, client = scenery.front, scenery.client
-    front.room = MemoryBudget(64)
-    taken = Body(front.room)
+    front.budget = MemoryBudget(64)
+    taken = Body(front.budget)
     taken.reserve(64)
     scenery.peer.send(b"POST /_health HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
     assert select.select([scenery.near], [], [], 5)[0]
     scenery.loop.unwatch(scenery.near.fileno())
     client.begin()
-    assert not front.spare()
-    front.send_away(half=True)
+    assert not front.evict()
+    front.close_unused(half=True)
     front.host.balancer, front.accepting = SimpleNamespace(servers=[]), None
     del taken
     scenery.loop.after(0, scenery.peer.shutdown, socket.SHUT_WR)
@@ -244,10 +244,10 @@
             yield Wait(None, 0, None)
         return pieces.pop()
 
-    scenery.front.row(client).pop(client)
-    client.stage, client.old = Stage.BUSY, True
+    scenery.front.waiting(client).pop(client)
+    client.stage, client.http_1_0 = Stage.BUSY, True
     flow = SimpleNamespace(length=None, pull=pull, close=lambda: None)
-    client.task = scenery.loop.start(client._pass_on(b"HTTP/1.1 200 OK\r\n", flow))
+    client.task = scenery.loop.start(client._forward(b"HTTP/1.1 200 OK\r\n", flow))
     scenery.peer.recv(64)
     assert scenery.front.close() == 1
     got = scenery.read()
@@ -262,7 +262,7 @@
     scenery.loop.unwatch(scenery.near.fileno())
     scenery.client.begin()
     assert scenery.client.stage is Stage.BEGUN
-    assert scenery.front.spare()
+    assert scenery.front.evict()
     got = scenery.read()
     assert isinstance(got, bytes) and got.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in got, got
 
--- a/tests/test_grammar.py
+++ b/tests/test_grammar.py
@@ -39,7 +39,7 @@
 
 
 def read_here(role, data):
-    head = (grammar.request if role is h11.SERVER else grammar.answer)(data)
+    head = (grammar.request if role is h11.SERVER else grammar.response)(data)
     if head is None or len(data) < head.end + head.length:
         return None
     end = head.end + head.length
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -154,7 +154,7 @@
     def test_one_broken_part_is_logged_and_answered_and_the_process_lives(self):
         for fault, status in (
             ("http1.back import Backend as part; name = 'message'", 502),
-            ("http1.client import ClientConnection as part; name = '_decided'", 500),
+            ("http1.client import ClientConnection as part; name = '_decide'", 500),
             ("balance import Balancer as part; name = '_request'", 500),
         ):
             with self.subTest(fault=fault):
