--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -318,7 +318,7 @@
         """Have an invocation decided: wait for its final answer, or for the client to disconnect."""
         host = self.host
         if invocation.id in host.invocations:
-            # A duplicate of a request in flight. It is not sent, as it could run twice. Nor is it rejected, as that would
+            # A duplicate of a request in flight is not sent, as it could run twice. Nor is it rejected, as that would
             # promise that nothing has run.
             raise BadRequest("Req-Id is in use")
         self.stage = Stage.BUSY
