--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -63,7 +63,7 @@
     def takes_clients(self) -> bool:
         """Whether new connections are accepted and there is a provider to serve them."""
         accepts = self.accepting is not None and not self.accepting.over
-        return accepts and (bool(self.host.balancer.servers) or self.has_other_providers())
+        return accepts and (bool(self.host.balancer.providers) or self.has_other_providers())
 
     def apply_options(self, options: Options) -> None:
         """Use the options of a reload."""
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -183,7 +183,7 @@
                     return found
                 for entry in news.entries:
                     if not entry.data:
-                        machine.passed(entry.index)
+                        machine.skip(entry.index)
                         continue
                     act, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
                     if isinstance(act, FencedWrite) and act.duty == duty:
