--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -1,4 +1,4 @@
-"""One sidecar from its configuration to its end: start, reload, run. Used by `python -m loftweir` and the CLI."""
+"""Runs one sidecar from its configuration to its end: start, reload, run. Used by `python -m loftweir` and the CLI."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     from loftweir.catalog.file import Services
     from loftweir.partners.file import PartnersConfig
 
-UNUSABLE = 2  # the exit code where the configuration or the start failed
+UNUSABLE = 2  # the exit code if the configuration can't be used or the start failed
 
 
 class Configuration(NamedTuple):
-    """Both files, read and checked, and those for the partners and services where the operator's names them."""
+    """The contents of both files, read and checked, and of the partners' and services' files if they are configured."""
 
     platform: platform.Platform
     operator: operator.Loaded
@@ -47,7 +47,7 @@
 def origin(
     environment: Mapping[str, str], config: str = "", operator_file: str = "", flags: Mapping[str, str] | None = None
 ) -> Origin:
-    """What the flags leave open, the environment says."""
+    """Return where the configuration is read from; the environment supplies what the flags do not."""
     return Origin(
         config or environment.get(platform.FILE_VARIABLE, ""),
         operator_file or environment.get(operator.FILE_VARIABLE, ""),
@@ -57,21 +57,23 @@
 
 
 def read(at: Origin, required: frozenset[str] = frozenset()) -> Configuration:
-    """All of the configuration; a `Faulty` carries the faults of both files together. `required`: keys that the
-    platform's file must have, though it could be read without some."""
+    """Read the whole configuration; a `Faulty` error carries the faults of all files together.
+
+    `required`: keys that the platform's file must have, even if it could be read without them.
+    """
     faults: list[Fault] = []
-    loaded, of_platform, sites, services = None, None, None, None
+    loaded, platform_config, sites, services = None, None, None, None
     try:
         loaded = operator.load(at.operator_file, at.environment, at.flags)
     except Faulty as error:
         faults += error.faults
     try:
         options = loaded.options if loaded is not None else Options()
-        of_platform = platform.load(at.platform_file, at.environment, options, required)
+        platform_config = platform.load(at.platform_file, at.environment, options, required)
     except Faulty as error:
         faults += error.faults
     if loaded is not None and loaded.options.partners.site:
-        # Here: an instance whose operator names no site has no use for it.
+        # Imported here, so that a sidecar without partners doesn't pay for the import.
         from loftweir.partners import file, table
 
         partners = loaded.options.partners
@@ -87,18 +89,19 @@
                 services = catalog.load(loaded.options.catalog.file, partners.site.lower())
             except Faulty as error:
                 faults += error.faults
-    if loaded is None or of_platform is None or faults:
+    if loaded is None or platform_config is None or faults:
         raise Faulty(faults)
-    return Configuration(of_platform, loaded, sites, services)
+    return Configuration(platform_config, loaded, sites, services)
 
 
-def say_faults(event: Event, error: Faulty) -> None:
+def log_faults(event: Event, error: Faulty) -> None:
+    """Log one event for each fault."""
     for fault in error.faults:
         log.emit(event, **fault._asdict())
 
 
 def changes(old: Options, new: Options) -> dict[str, tuple[Any, Any, bool]]:
-    """By path: the old value, the new one as the file has them, and whether it holds without a restart."""
+    """Return the changed options by path: the old and the new value as in the file, and whether it applies at once."""
     found = {}
     for key in keys():
         values = [getattr(getattr(options, key.section), key.name) for options in (old, new)]
@@ -109,7 +112,7 @@
 
 
 def changed_settings(old: Settings, new: Settings) -> list[str]:
-    """What is another in the platform's settings, for the log: classes by name, other fields by theirs."""
+    """Return the names of the platform's settings that differ, for the log; changed classes are listed one by one."""
     names = [f.name for f in dataclasses.fields(Settings) if f.name != "classes"]
     found = [name for name in names if getattr(old, name) != getattr(new, name)]
     both = {**old.classes, **new.classes}
@@ -117,48 +120,48 @@
 
 
 class Daemon:
-    """A started sidecar and the configuration that it runs on."""
+    """A running sidecar and its configuration."""
 
     def __init__(self, at: Origin) -> None:
-        """Raises Faulty for the configuration, OSError for what can't be had at the start."""
+        """Start a sidecar. Raises Faulty for its configuration, and OSError if the system refuses a resource."""
         self.origin = at
         self.configuration = read(at)
-        of_platform, loaded, sites, services = self.configuration
-        use_log(loaded.options)
-        # The platform counts descriptors: running into a limit of its own, the sidecar can make room.
+        platform_config, loaded, sites, services = self.configuration
+        configure_log(loaded.options)
+        # The platform limits the number of descriptors. At its own lower limit, the sidecar notices and can free some.
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if of_platform.sockets < soft or soft == resource.RLIM_INFINITY:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (of_platform.sockets, hard))
+        if platform_config.sockets < soft or soft == resource.RLIM_INFINITY:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (platform_config.sockets, hard))
         self.loop = Loop()
-        self.sidecar = Sidecar(self.loop, of_platform, loaded.options, sites, services)
+        self.sidecar = Sidecar(self.loop, platform_config, loaded.options, sites, services)
         self.sidecar.start(self.reload)
         log.emit(
             START_LISTENING,
             version=__version__,
             pid=os.getpid(),
-            address=of_platform.listen,
-            discovery=of_platform.discovery,
-            providers=len(of_platform.addresses),
+            address=platform_config.listen,
+            discovery=platform_config.discovery,
+            providers=len(platform_config.addresses),
             operator=loaded.file,
         )
 
     def reload(self) -> None:
-        """SIGHUP: all of both files, or nothing of them. What can't be used is logged, and the old stays."""
-        # The environment is that of the start and can't be replaced: the file's word on discovery is newer.
+        """Handle SIGHUP: use all of the files, or nothing. Faults are logged, and the old configuration stays."""
+        # The environment is that of the start and can't change, so the file's address of discovery is newer.
         environment = {k: v for k, v in self.origin.environment.items() if k != "RELAY_DISCOVERY"}
         try:
             new = read(self.origin._replace(environment=environment), self.configuration.platform.keys)
         except Faulty as error:
-            say_faults(RELOAD_FAULT, error)
+            log_faults(RELOAD_FAULT, error)
             return
-        except Exception as error:  # a fault of the program's own must not end it either
+        except Exception as error:  # a fault of the program must not end it either
             log.emit(RELOAD_FAULT, file="", path="", value=repr(error), expected="to be read at all")
             return
         changed = changes(self.configuration.operator.options, new.operator.options)
         self.configuration = new
-        use_log(new.operator.options)
+        configure_log(new.operator.options)
         settings = changed_settings(self.sidecar.host.settings, new.platform.settings)
-        self.sidecar.use(new.operator.options, new.platform.discovery, new.platform.settings, new.sites, new.services)
+        self.sidecar.apply(new.operator.options, new.platform.discovery, new.platform.settings, new.sites, new.services)
         log.emit(
             RELOAD_DONE,
             discovery=new.platform.discovery,
@@ -168,18 +171,19 @@
         )
 
 
-def use_log(options: Options) -> None:
+def configure_log(options: Options) -> None:
+    """Configure the log."""
     chosen = options.log
     log.configure(chosen.format, chosen.level, chosen.keep, chosen.repeat_every)
 
 
 def run(at: Origin) -> int:
-    """Runs one sidecar to its end; gives the program's exit code."""
-    use_log(Options(log=Log(format=at.flags.get("log.format", Log().format))))  # until the files are read
+    """Run one sidecar to its end; return the program's exit code."""
+    configure_log(Options(log=Log(format=at.flags.get("log.format", Log().format))))  # in use until the files are read
     try:
         daemon = Daemon(at)
     except Faulty as error:
-        say_faults(START_FAULT, error)
+        log_faults(START_FAULT, error)
         return UNUSABLE
     except OSError as error:
         log.emit(START_FAILED, why=error)
--- a/loftweir/http1/back.py
+++ b/loftweir/http1/back.py
@@ -1,7 +1,7 @@
-"""The providers' side: the pool of warm connections, and invoker calls over them.
+"""The providers' side: the pool of open connections, and the attempts that are sent over them.
 
-A call ends with exactly one outcome, and says "never ran" only where the protocol proves it. Nothing here sends a
-second time: that is the balancer's to decide.
+An attempt ends with exactly one outcome, and reports that the request never ran only if the protocol proves it. Nothing
+here sends a request twice: retries are the balancer's decision.
 """
 
 from __future__ import annotations
@@ -36,15 +36,21 @@
     unread_for,
 )
 
-Ended = Callable[[ProviderAttempt, Outcome, Any], None]
-Exchanged = tuple[Outcome, HttpResponse | None, bool | None]
-HELD_FOR = 200 * MS  # an answer of unknown length, from its first part on,
-HELD_UNKNOWN = 4  # or up to so many times `limits.held`: what has begun and is reset then is no answer
+OnAttemptEnded = Callable[[ProviderAttempt, Outcome, Any], None]
+# The outcome of an attempt, the response with OK, and whether the connection can be used again; None: the response owns
+# the connection.
+ExchangeResult = tuple[Outcome, HttpResponse | None, bool | None]
+# A response of unknown length is held, rather than forwarded, for this time from its first part on, or up to this many
+# times `limits.held`: if it is reset in that time, the client has not been sent a part of it.
+HELD_FOR = 200 * MS
+HELD_UNKNOWN = 4
 
 
 class ProviderConnection:
-    """A connection to a provider. At rest it watches itself: whatever comes then, a close or something unasked, ends
-    it."""
+    """A connection to a provider.
+
+    While it is idle it watches itself: whatever arrives then, a close or unexpected data, ends it.
+    """
 
     __slots__ = ("pool", "sock", "name", "address", "idle_since", "mask")
 
@@ -57,16 +63,20 @@
         self.mask = READABLE
 
     def ready(self, events: int) -> None:
+        """Handle an event of the loop in its turn."""
         self.pool.loop.runnable.append(self.on_event)
 
     def on_event(self) -> None:
+        """Close the connection, unless it is in use or closed by now."""
         if self in self.pool.idle:
             self.pool.remove_idle(self)
             self.pool.close(self)
 
     def is_usable(self) -> bool:
-        """Whether it still stands and is quiet. Closed by the provider, with epoll having had no turn to say so yet,
-        a request on it would be lost."""
+        """Whether it is open and nothing has arrived on it.
+
+        The provider may have closed it while epoll had no turn yet to report that; a request on it would be lost.
+        """
         try:
             self.sock.recv(1)
         except BlockingIOError:
@@ -77,34 +87,40 @@
 
 
 class Pool:
-    """Where each provider is, and the connections to it that wait for their next use.
+    """The addresses of the providers, and the idle connections to them.
 
-    Invariants: `resting` has every connection at rest, the longest there first; `idle` the same by provider, the
-    one used last at the end; `open` counts these and those in use. `names` has each address of `addresses` once: a
-    whole list of hundreds of providers is taken in time that goes with its length.
+    Invariants: `idle` has every idle connection, the one idle for longest first, and `idle_by_provider` the same by
+    provider, the one used last at the end. `open_count` counts these and the connections in use. `names_by_address` has
+    each address of `addresses` once, so that a whole list is applied in time proportional to its length.
     """
 
     def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int) -> None:
         self.loop = loop
         self.settings = settings
         self.options = options  # replaced whole by a reload
-        self.max_connections = max_connections  # connections, in use and at rest
+        self.max_connections = max_connections  # in use and idle
         self.open_count = 0
-        self.addresses: dict[str, str] = {}  # of those that may be sent to
-        self.names_by_address: dict[str, str] = {}  # the same the other way round
-        self.last_response_at: dict[str, int] = {}  # when each gave its last whole answer
+        self.addresses: dict[str, str] = {}  # by name: of the providers to which requests may be sent
+        self.names_by_address: dict[str, str] = {}
+        self.last_response_at: dict[str, int] = {}  # by name: when its last complete response was read
         self.idle_by_provider: dict[str, dict[ProviderConnection, None]] = {}
         self.idle: dict[ProviderConnection, None] = {}
 
     def max_idle_time(self) -> int:
-        """A provider counts idle time from its own last byte: closing this much earlier than it does, nothing is
-        written too late."""
+        """Return how long a connection may be idle.
+
+        The provider counts the idle time from its own last byte. The sidecar closes a connection earlier by a margin,
+        so that no request is written to one that the provider is closing.
+        """
         conn_idle = self.settings.conn_idle
         return max(conn_idle // 2, conn_idle - self.options.providers.idle_margin)
 
     def set_address(self, name: str, address: str) -> None:
-        """The list names an address: connections to another one lead to a process that is gone, and so do those of
-        another provider that had this one."""
+        """Set a provider's address as listed.
+
+        Connections to another address lead to a process that is gone, and so do those of another provider that had this
+        address. Both are closed.
+        """
         other = self.names_by_address.get(address)
         if other == name:
             return
@@ -115,7 +131,7 @@
         self.names_by_address[address] = name
 
     def remove_provider(self, name: str) -> None:
-        """One that is gone or drains: nothing more is sent to it, and nothing of it is kept."""
+        """Remove a provider that is gone or drains: no new request is sent to it."""
         address = self.addresses.pop(name, None)
         if address is not None:
             del self.names_by_address[address]
@@ -123,8 +139,9 @@
         self.close_idle(name)
 
     def connect(self, name: str, until: int) -> Coroutine[ProviderConnection]:
+        """Open a new connection; raise `ConnectError` if that fails or there is no room for one."""
         address = self.addresses.get(name)
-        if address is None:  # gone since the call was decided on
+        if address is None:  # gone since the attempt was decided
             raise ConnectError(Outcome.NOT_SENT)
         if self.open_count >= self.max_connections and not self.evict_idle():
             raise ConnectError(Outcome.NOT_SENT)
@@ -135,25 +152,26 @@
             self.open_count -= 1
             raise
         connection = ProviderConnection(self, sock, name, address)
-        if not connection.is_usable():  # ended, or spoken on, before anything was asked: nothing ran
+        if not connection.is_usable():  # closed, or data arrived, before a request was sent: nothing ran
             self.close(connection)
             raise ConnectError(Outcome.CONNECT_FAILED)
         return connection
 
     def close(self, connection: ProviderConnection) -> None:
+        """Close a connection that is in use or has been removed from the idle ones."""
         self.open_count -= 1
         self.loop.close(connection.sock)
 
     def evict_idle(self) -> bool:
-        """Makes room: closes the connection that has been at rest for longest."""
+        """Close the connection that has been idle for longest, to make room; return whether there was one."""
         connection = next(iter(self.idle), None)
         if connection is not None:
-            connection.pool.remove_idle(connection)  # which may be a service's own
+            connection.pool.remove_idle(connection)  # its pool may be that of a service
             connection.pool.close(connection)
         return connection is not None
 
     def remove_idle(self, connection: ProviderConnection) -> None:
-        """Takes a connection from its rest."""
+        """Remove a connection from the idle ones."""
         del self.idle[connection]
         idle = self.idle_by_provider[connection.name]
         del idle[connection]
@@ -162,11 +180,14 @@
         self.loop.unwatch(connection.sock.fileno())
 
     def acquire(self, name: str) -> ProviderConnection | None:
-        """A warm connection that still stands: the one used last of those that have rested for a moment. A provider
-        may close right behind its answer, or send more: what has rested for less has not shown it yet."""
+        """Return a usable idle connection; None if there is none.
+
+        It prefers the one used last of those that have been idle for a moment: a provider may close the connection
+        right after its response, or send more data, and that may not have arrived yet.
+        """
         while idle := self.idle_by_provider.get(name):
-            rested = self.loop.time - self.options.providers.rest_least
-            connection = next((c for c in reversed(idle) if c.idle_since <= rested), None) or next(iter(idle))
+            settled_since = self.loop.time - self.options.providers.rest_least
+            connection = next((c for c in reversed(idle) if c.idle_since <= settled_since), None) or next(iter(idle))
             self.remove_idle(connection)
             if connection.is_usable():
                 return connection
@@ -174,6 +195,7 @@
         return None
 
     def release(self, connection: ProviderConnection) -> None:
+        """Make a connection idle after a complete response; close it if the provider is no longer at its address."""
         name = connection.name
         if connection.address != self.addresses.get(name):
             self.close(connection)
@@ -184,143 +206,156 @@
         self.loop.watch(connection.sock.fileno(), connection)
 
     def reap_idle(self) -> Coroutine[None]:
-        """Closes resting connections before their providers do. They rest for one time all, so the longest at rest
-        is the next one due, and one timer serves them all."""
+        """Close idle connections before their providers do.
+
+        All may be idle for the same time, so the one idle for longest is due next, and one timer serves all.
+        """
         while True:
-            due = self.loop.time - self.max_idle_time()
+            expired = self.loop.time - self.max_idle_time()
             oldest = next(iter(self.idle), None)
-            while oldest is not None and oldest.idle_since <= due:
+            while oldest is not None and oldest.idle_since <= expired:
                 self.evict_idle()
                 oldest = next(iter(self.idle), None)
             yield Wait(None, 0, (self.loop.time if oldest is None else oldest.idle_since) + self.max_idle_time())
 
     def close_idle(self, name: str) -> None:
+        """Close all idle connections to a provider."""
         for connection in list(self.idle_by_provider.get(name, ())):
             self.remove_idle(connection)
             self.close(connection)
 
 
 class Backend:
-    """Carries invoker calls out. `on_attempt_ended` is told each call's outcome and, with OK, its `HttpResponse`."""
+    """Carries out attempts; `on_attempt_ended` is called with the outcome of each and, with OK, its `HttpResponse`."""
 
     def __init__(self, loop: Loop, settings: Settings, options: Options, max_connections: int, budget: int) -> None:
         self.loop = loop
         self.pool = Pool(loop, settings, options, max_connections)
         self.budget = MemoryBudget(budget)
-        self.on_attempt_ended: Ended = lambda call, outcome, payload: None  # the host's, once there is one
+        # Replaced by the host's method once there is a host.
+        self.on_attempt_ended: OnAttemptEnded = lambda attempt, outcome, payload: None
         loop.spawn(self.pool.reap_idle())
 
     def apply_settings(self, options: Options, settings: Settings) -> None:
+        """Use new options and settings from now on."""
         self.pool.options, self.pool.settings = options, settings
 
     def close_idle(self, provider: str) -> None:
+        """Close all idle connections to a provider."""
         self.pool.close_idle(provider)
 
     def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
-        latest = {e.address: e for e in update.endpoints}  # of two entries for one provider the later one holds
+        """Apply an update of the endpoint list to the pool."""
+        latest = {e.address: e for e in update.endpoints}  # of two entries for one provider, the later one counts
         ready = [e for e in latest.values() if e.lifecycle is Lifecycle.READY]
         gone = latest.keys() - {e.address for e in ready}
         if update.kind in (UpdateKind.FULL, UpdateKind.REMEMBERED):
-            gone |= self.pool.addresses.keys() - addresses.keys()  # a whole list merely omits them
+            gone |= self.pool.addresses.keys() - addresses.keys()  # a whole list omits those that are gone
         for name in gone:
             self.pool.remove_provider(name)
-        # Where two have one address, it is the later one's.
+        # If two endpoints have one address, it belongs to the one that started later.
         for endpoint in sorted(ready, key=lambda e: e.started_at):
             self.pool.set_address(endpoint.address, addresses[endpoint.address])
 
-    def begin(self, call: ProviderAttempt) -> None:
-        task = self.loop.start(self.run(call), lambda _: self.on_attempt_ended(call, Outcome.UNKNOWN, None))
+    def begin(self, attempt: ProviderAttempt) -> None:
+        """Carry out an attempt; see `core.host.Backend.begin`."""
+        task = self.loop.start(self.run(attempt), lambda _: self.on_attempt_ended(attempt, Outcome.UNKNOWN, None))
         if not task.over:
-            call.running = task
+            attempt.running = task
 
-    def run(self, call: ProviderAttempt) -> Coroutine[None]:
-        pool, body = self.pool, call.invocation.payload.body
-        if getattr(body, "begun", False):  # sent on already, and can't be again
-            self.on_attempt_ended(call, Outcome.NOT_SENT, None)
+    def run(self, attempt: ProviderAttempt) -> Coroutine[None]:
+        """Connect if needed, send the request, read the response, and report the outcome."""
+        pool, body = self.pool, attempt.invocation.payload.body
+        if getattr(body, "begun", False):  # a forwarded body can be sent only once
+            self.on_attempt_ended(attempt, Outcome.NOT_SENT, None)
             return
-        connection = pool.acquire(call.provider)
+        connection = pool.acquire(attempt.provider)
         try:
             if connection is None:
-                connection = yield from pool.connect(call.provider, call.send_by)
+                connection = yield from pool.connect(attempt.provider, attempt.send_by)
         except ConnectError as error:
-            self.on_attempt_ended(call, error.outcome, None)
+            self.on_attempt_ended(attempt, error.outcome, None)
             return
-        call.connected_at = self.loop.time
+        attempt.connected_at = self.loop.time
         reusable: bool | None = False
         try:
-            if not self._may_send(call, connection):
+            if not self._may_send(attempt, connection):
                 reusable = True
                 outcome, answer = Outcome.NOT_SENT, None
             else:
-                outcome, answer, reusable = yield from self._exchange(call, connection)
+                outcome, answer, reusable = yield from self._exchange(attempt, connection)
         finally:
-            # Given up, broken or cancelled: closed before the balancer hears of it, so that whatever it sends next
-            # is the only copy out.
+            # After a timeout, an error or a cancellation the connection is closed before the balancer is notified, so
+            # that whatever it sends next is the only copy in flight.
             if reusable:
                 pool.release(connection)
             elif reusable is not None:
                 pool.close(connection)
-        self.on_attempt_ended(call, outcome, answer)
+        self.on_attempt_ended(attempt, outcome, answer)
         if answer is not None and not isinstance(answer.body, list):
-            final = call.invocation.final
+            final = attempt.invocation.final
             if final is None or final.payload is not answer:
-                answer.body.close()  # it came too late for anyone
+                answer.body.close()  # it arrived too late to be the final answer
+
+    def _may_send(self, attempt: ProviderAttempt, connection: ProviderConnection) -> bool:
+        """Whether the request may still be sent.
 
-    def _may_send(self, call: ProviderAttempt, connection: ProviderConnection) -> bool:
-        """Whether the request can still go out: not to a provider that has gone, drains or moved meanwhile, nor for a
-        client that has gone, nor too late, nor where another attempt has begun its body."""
-        if connection.address != self.pool.addresses.get(call.provider):
+        Not if the provider has gone, drains or has another address by now, if the client has gone, if it is too late,
+        or if another attempt has begun to forward its body.
+        """
+        if connection.address != self.pool.addresses.get(attempt.provider):
             return False
-        begun = getattr(call.invocation.payload.body, "begun", False)
-        return call.invocation.is_wanted() and not begun and self.loop.now() < call.send_by
+        begun = getattr(attempt.invocation.payload.body, "begun", False)
+        return attempt.invocation.is_wanted() and not begun and self.loop.now() < attempt.send_by
 
-    def _send(self, call: ProviderAttempt, connection: ProviderConnection) -> Coroutine[bool]:
-        """Writes the request, its body but for one that is sent on; False: it must not go out any more."""
+    def _send(self, attempt: ProviderAttempt, connection: ProviderConnection) -> Coroutine[bool]:
+        """Write the request, without a body that is forwarded; return False if it must not be sent any more."""
         while True:
             try:
-                yield from send(self.loop, connection.sock, self.message(call), call.send_by, READABLE, begins=True)
+                yield from send(
+                    self.loop, connection.sock, self.message(attempt), attempt.send_by, READABLE, begins=True
+                )
                 return True
             except LocalError:
                 yield Wait(None, 0, self.loop.now() + RETRY_WRITE)
-            if not self._may_send(call, connection):
+            if not self._may_send(attempt, connection):
                 return False
 
-    def _exchange(self, call: ProviderAttempt, connection: ProviderConnection) -> Coroutine[Exchanged]:
-        """The outcome, the answer with OK, and whether the connection can be used again; None: it went with the
-        answer."""
-        sock, give_up_at = connection.sock, call.give_up_at
-        body = call.invocation.payload.body
+    def _exchange(self, attempt: ProviderAttempt, connection: ProviderConnection) -> Coroutine[ExchangeResult]:
+        """Send the request over a connection and read the response."""
+        sock, give_up_at = connection.sock, attempt.give_up_at
+        body = attempt.invocation.payload.body
         try:
-            if not (yield from self._send(call, connection)):
+            if not (yield from self._send(attempt, connection)):
                 return Outcome.NOT_SENT, None, True
             if not isinstance(body, list):
-                give_up_at = yield from self._send_on(call, connection, body)
+                give_up_at = yield from self._forward_body(attempt, connection, body)
         except (TimedOut, UploadFailed):
             return Outcome.NOT_SENT, None, False
         except OSError:
-            return Outcome.CONNECT_FAILED, None, False  # before the last byte: it can't have run
-        call.sent_at = self.loop.time
+            return Outcome.CONNECT_FAILED, None, False  # its last byte was not written: it can't have run
+        attempt.sent_at = self.loop.time
         try:
             if not (yield Wait(sock, READABLE, give_up_at)):
                 raise TimedOut
             try:
                 data = sock.recv(READ_SIZE)
             except BlockingIOError:
-                return (yield from self._strictly(call, connection, None))
+                return (yield from self._strictly(attempt, connection, None))
             if unacknowledged(sock):
-                # What answers a request acknowledges all of it: this was on its way before, and is another's.
+                # A response to this request would acknowledge all of it. So this data belongs to an earlier request.
                 return Outcome.RESET, None, False
             head = grammar.response(data)
             if head is None:
-                return (yield from self._strictly(call, connection, data))
+                return (yield from self._strictly(attempt, connection, data))
             limits = self.pool.options.limits
             if head.length > limits.answer:
-                return Outcome.ERROR, None, False  # known from its head: not waited for
+                return Outcome.ERROR, None, False  # its head tells its length: it is not read
             body = Body(self.budget)
             if len(data) > head.end:
                 body.append(data[head.end :])
             if head.length > limits.held and body.size < head.length:
-                return self._passed_on(call, connection, int(head.first), head, body, head.length, None)
+                return self._forwarded(attempt, connection, int(head.first), head, body, head.length, None)
             while body.size < head.length:
                 try:
                     data = sock.recv(READ_SIZE)
@@ -331,17 +366,17 @@
                 if not data:
                     return Outcome.RESET, None, False
                 body.append(data)
-            # What came behind the answer, a second copy or noise, would be taken for the next one's.
+            # Data behind the response, a duplicate or garbage, would be taken for the next response.
             whole = body.size == head.length
             if not whole:
                 body[-1] = body[-1][: head.length - body.size]
             return self._outcome(int(head.first), head.second, head.pairs, head.fields, body, whole)
         except TimedOut:
-            # A machine that vanished leaves its warm connections open and silent. Only a new one can tell, and one
-            # that does not come up proves that nothing ran: rest no longer on these. Where others were answered
-            # meanwhile, it was this one alone.
-            if self.pool.last_response_at.get(call.provider, 0) < call.started_at:
-                self.pool.close_idle(call.provider)
+            # A machine that vanished leaves its connections open and silent. Only a new connection can tell, and if it
+            # fails, that proves that nothing ran. So the idle connections are closed, unless the provider has answered
+            # another request since: then only this one was affected.
+            if self.pool.last_response_at.get(attempt.provider, 0) < attempt.started_at:
+                self.pool.close_idle(attempt.provider)
             return Outcome.TIMED_OUT, None, False
         except TooLarge:
             return Outcome.ERROR, None, False
@@ -349,54 +384,57 @@
             return Outcome.RESET, None, False
 
     def _strictly(
-        self, call: ProviderAttempt, connection: ProviderConnection, data: bytes | None
-    ) -> Coroutine[Exchanged]:
-        """An answer that is not of the common form, as h11 reads it."""
-        options, until = self.pool.options, call.give_up_at
-        wire = H11Reader(connection.sock, h11.CLIENT, data)
+        self, attempt: ProviderAttempt, connection: ProviderConnection, data: bytes | None
+    ) -> Coroutine[ExchangeResult]:
+        """Read a response with h11, as it is not in the common form."""
+        options, until = self.pool.options, attempt.give_up_at
+        reader = H11Reader(connection.sock, h11.CLIENT, data)
         for _ in range(options.providers.information + 1):
-            head = yield from wire.next_event(until)
+            head = yield from reader.next_event(until)
             if not isinstance(head, h11.InformationalResponse):
                 break
         if not isinstance(head, h11.Response):
             return Outcome.RESET, None, False
         pairs = list(head.headers.raw_items())
         fields = by_name(pairs)
-        # Transfer-Encoding goes before a length: passed on with that, what is over it would be the next answer.
-        told = b"content-length" in fields and b"transfer-encoding" not in fields
-        known = int(fields[b"content-length"]) if told else None
-        if (known or 0) > options.limits.answer:
+        # Transfer-Encoding overrides Content-Length. If that length were forwarded, the rest of the body would be taken
+        # for the next response.
+        has_length = b"content-length" in fields and b"transfer-encoding" not in fields
+        length = int(fields[b"content-length"]) if has_length else None
+        if (length or 0) > options.limits.answer:
             return Outcome.ERROR, None, False
         body, begun_at = Body(self.budget), self.loop.time
-        while part := (yield from self._part(wire, body, known, begun_at, until)):
+        while part := (yield from self._part(reader, body, length, begun_at, until)):
             body.append(part)
-            if self._is_passed_on(body, known, begun_at):
+            if self._is_forwarded(body, length, begun_at):
                 break
         if part or part is None:
             read = grammar.Head(b"", head.reason, pairs, fields, 0, 0)
-            return self._passed_on(call, connection, head.status_code, read, body, known, wire)
-        reusable = wire.whole() and not wire.rest()
+            return self._forwarded(attempt, connection, head.status_code, read, body, length, reader)
+        reusable = reader.whole() and not reader.rest()
         return self._outcome(head.status_code, head.reason, pairs, fields, body, reusable)
 
     def _part(
-        self, wire: H11Reader, body: Body, known: int | None, begun_at: int, until: int
+        self, reader: H11Reader, body: Body, length: int | None, begun_at: int, until: int
     ) -> Coroutine[bytes | None]:
-        """The next part of an answer; None: a long one of unknown length is not to be held any more."""
+        """Return the next part of a response; None if a long one of unknown length must not be held any longer."""
         hold_until = until
-        if known is None and body.size > self.pool.options.limits.held:
-            if not self._may_hold(body):
+        if length is None and body.size > self.pool.options.limits.held:
+            if not self._can_hold(body):
                 return None
             hold_until = min(until, begun_at + HELD_FOR)
         try:
-            return (yield from wire.part(hold_until))
+            return (yield from reader.part(hold_until))
         except TimedOut:
             if hold_until == until:
                 raise
             return None
 
-    def _may_hold(self, body: Body) -> bool:
-        """Whether a long answer can be held further: the next part has its room by then, and half of all is left to
-        other answers."""
+    def _can_hold(self, body: Body) -> bool:
+        """Whether a long response can be held further.
+
+        If so, memory for its next part is reserved, and half of the budget is left for other responses.
+        """
         if self.budget.left < self.budget.size // 2:
             return False
         try:
@@ -405,32 +443,36 @@
             return False
         return True
 
-    def _is_passed_on(self, body: Body, known: int | None, begun_at: int) -> bool:
-        """Whether an answer is passed on as it comes, and no longer held until it is whole. One of unknown length may
-        be reset at any time: it is held for a while, so that its request is not owed the rest of it."""
+    def _is_forwarded(self, body: Body, length: int | None, begun_at: int) -> bool:
+        """Whether a response is forwarded as it arrives instead of being held until it is complete.
+
+        One of unknown length may be reset at any time. It is held for a while, so that a reset early on can still be
+        answered with an error.
+        """
         held = self.pool.options.limits.held
-        if known is not None:
-            return known > held
+        if length is not None:
+            return length > held
         return self.loop.time - begun_at > HELD_FOR or body.size > HELD_UNKNOWN * held
 
-    def _passed_on(
+    def _forwarded(
         self,
-        call: ProviderAttempt,
+        attempt: ProviderAttempt,
         connection: ProviderConnection,
         status: int,
         head: grammar.Head,
         body: Body,
         length: int | None,
-        wire: H11Reader | None,
+        reader: H11Reader | None,
     ) -> tuple[Outcome, HttpResponse | None, bool | None]:
-        """A long answer: its outcome is known, and its rest comes with the connection to whoever passes it on."""
+        """Return the result for a long response: its outcome is known, and the response owns the connection."""
         outcome, answer, _ = self._outcome(status, head.second, head.pairs, head.fields, body, False)
         if answer is None:
             return outcome, None, False
         pool, limits = self.pool, self.pool.options.limits
 
-        def give_back(reusable: bool) -> None:
-            # A slow client has the last of it long after its provider wrote it: from then on that counts it as idle.
+        def release(reusable: bool) -> None:
+            # A slow client may take the last bytes long after the provider wrote them, and the provider counts the idle
+            # time from then on.
             if reusable and unread_for(connection.sock) < pool.options.providers.idle_margin:
                 pool.release(connection)
             else:
@@ -441,12 +483,12 @@
             connection.sock,
             body,
             length,
-            wire,
+            reader,
             self.budget,
             limits.silent_for,
             limits.answer,
-            call.invocation.deadline,
-            give_back,
+            attempt.invocation.deadline,
+            release,
         )
         return outcome, answer._replace(body=flow), None
 
@@ -459,27 +501,31 @@
         body: list[bytes],
         reusable: bool,
     ) -> tuple[Outcome, HttpResponse | None, bool]:
+        """Return the outcome that a response means, the response with OK, and `reusable` as given."""
         if status == 200:
             return Outcome.OK, HttpResponse(200, reason, end_to_end_lines(pairs, fields), body), reusable
         declined = status in (503, 504) and fields.get(b"srv-declined") == b"1"
         return Outcome.FULL if declined else Outcome.ERROR, None, reusable
 
-    def _send_on(self, call: ProviderAttempt, connection: ProviderConnection, body: BodyStream) -> Coroutine[int]:
-        """A body that is sent on while it comes; the time that its call has from its last byte on."""
+    def _forward_body(
+        self, attempt: ProviderAttempt, connection: ProviderConnection, body: BodyStream
+    ) -> Coroutine[int]:
+        """Forward a body as it arrives; return the attempt's new timeout, which runs from the body's last byte."""
         try:
             while piece := (yield from body.pull()):
                 if not connection.is_usable():
-                    raise ConnectionResetError("spoken on before the request was whole")
+                    raise ConnectionResetError("the provider sent data before it had the whole request")
                 until = self.loop.time + self.pool.options.limits.silent_for
                 yield from send(self.loop, connection.sock, [piece], until, READABLE)
         finally:
             body.close()
-        invocation = call.invocation
-        invocation.deadline = call.give_up_at = self.loop.time + invocation.time_after_body
-        return call.give_up_at
+        invocation = attempt.invocation
+        invocation.deadline = attempt.give_up_at = self.loop.time + invocation.time_after_body
+        return attempt.give_up_at
 
-    def message(self, call: ProviderAttempt) -> list[Any]:
-        request = call.invocation.payload
+    def message(self, attempt: ProviderAttempt) -> list[Any]:
+        """Return the parts of the request as it is sent, without a body that is forwarded."""
+        request = attempt.invocation.payload
         assert isinstance(request, HttpRequest)
         method, target, pairs, fields, body = request
         head = b"%s %s HTTP/1.1\r\n%s" % (method, target, end_to_end_lines(pairs, fields))
@@ -489,7 +535,7 @@
             head += b"Content-Length: %d\r\n" % (body.length or 0)
         elif body or method != b"GET":
             head += b"Content-Length: %d\r\n" % sum(map(len, body))
-        # The client's time may run from its first byte on, the attempt's runs from the last one.
-        left = max(1, (call.give_up_at - self.loop.time - call.invocation.receive_time) // MS)
+        # The client may count its time from its first byte; the attempt counts from the last one.
+        left = max(1, (attempt.give_up_at - self.loop.time - attempt.invocation.receive_time) // MS)
         head += b"Req-Deadline-Ms: %d\r\n\r\n" % left
         return [head, *body] if isinstance(body, list) else [head]
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery: the whole list once, and the watch that goes on from it."""
+"""Calls to discovery: fetching the whole endpoint list, and the watch that continues from it.
+
+The timeouts and backoffs are those of `loftweir.listclock`.
+"""
 
 from __future__ import annotations
 
@@ -34,87 +37,87 @@
 
 
 class CallFailed(LoftweirError):
-    """A call to discovery brought no list: says why. A sidecar serves on with the list that it holds."""
+    """A call to discovery returned no list, for the reason given. The sidecar goes on with the list that it has."""
 
     remedy = "If it goes on, see that discovery runs at the address that is named and answers `GET /catalog/members`."
 
 
 class ListResponse(NamedTuple):
-    """One answer of discovery."""
+    """One response of discovery."""
 
     update: MembershipUpdate
     addresses: dict[str, str]
     reusable: bool  # whether its connection can be used again
-    received_at: int  # when it began: it is as old as that
+    received_at: int  # when its first bytes were read: the list is as of then
 
 
 class Silent(CallFailed):
-    """A call to discovery was not answered, or not to its end, in time. It was asked anew at once."""
+    """Discovery did not answer a call, or not completely, in time. The call was repeated at once."""
 
     remedy = "See whether discovery's machine hangs or is cut off from this one. Drains are not seen meanwhile."
 
-    def __init__(self, why: str, rest: Callable[[int], Coroutine[ListResponse]] | None = None) -> None:
+    def __init__(self, why: str, keep_waiting: Callable[[int], Coroutine[ListResponse]] | None = None) -> None:
         super().__init__(why)
-        self.rest = rest  # waits on for the answer, until then, where nothing of it has come
+        self.keep_waiting = keep_waiting  # waits for the response until a later time; None if part of it has arrived
 
 
 class Refused(CallFailed):
-    """Discovery answered at once that it takes no call now, as it has too many; a sidecar asks again soon."""
+    """Discovery answered at once that it has too many calls to take this one. The sidecar calls again soon."""
 
     remedy = "If it goes on, discovery has more callers than it can answer: see to its size."
 
     def __init__(self, why: str, reusable: bool = False) -> None:
         super().__init__(why)
-        self.reusable = reusable  # whether the call's connection can be used again
+        self.reusable = reusable  # whether the connection of the call can be used again
 
 
-class Asked(NamedTuple):
-    """Of a call, when it was asked: what decides whether its list is newer than the one held (`Discovery._hear`)."""
+class ListCall(NamedTuple):
+    """A call, as of its start: what decides whether its list is newer than the current one (`Discovery._apply`)."""
 
-    place: int  # where
-    news: int  # how many lists had been told
-    version: int | None  # past which changes were asked for; None: the whole list
-    at: int  # when, before its connecting
-    wait: int = 0  # that discovery may hold it with no news
+    source: int  # the discovery address that was called; see `Discovery.source`
+    updates: int  # how many new lists had been received
+    version: int | None  # it asked for the changes after this version; None: for the whole list
+    at: int  # when it began, before its connecting
+    wait: int = 0  # how long discovery may keep it open while there is no change
 
 
 @dataclass(slots=True)
 class LateCall:
-    """A call that was given up, and whose answer is still heard."""
+    """A call that was given up, and whose response is still accepted."""
 
     sock: socket
-    place: int
     address: str
-    asked: Asked
-    rest: Callable[[int], Coroutine[ListResponse]]  # waits on for the answer, until then
-    task: Task | None = None  # that does so
+    call: ListCall
+    keep_waiting: Callable[[int], Coroutine[ListResponse]]  # waits for the response until a given time
+    task: Task | None = None  # the task that does so
 
 
-class LateAnswer(NamedTuple):
-    """The answer to a call that was given up: a watch goes on from it, over its connection."""
+class LateResponse(NamedTuple):
+    """The response to a call that was given up: a watch continues from it, over its connection."""
 
     sock: socket
-    asked: Asked
-    answer: ListResponse
+    call: ListCall
+    response: ListResponse
 
 
-class End(NamedTuple):
+class WatchEnd(NamedTuple):
     """How a watch ended."""
 
-    answered: bool  # some call of it, before
-    silent: bool  # its last call
-    refused: bool  # its last call
+    established: bool  # some call of it was answered
+    silent: bool  # its last call was not answered in time
+    refused: bool  # its last call was refused
 
 
 class Discovery:
-    """Calls discovery as the balancer asks, and hands over what it tells.
+    """Calls discovery when the balancer asks for it, and passes on the lists that it returns.
 
-    How soon news are read whatever fails: `listclock`. Which of two lists is newer: `_hear`. Its coroutines are urgent
-    to the loop: a list binds from when it was written, however many requests wait to be decided.
+    `listclock` has the limits within which a change is read whatever fails; `_apply` decides which of two lists is
+    newer. Its coroutines are urgent to the loop: a list is in force from the moment it was written, however many
+    requests wait to be decided.
 
-    Invariants: `place` counts the moves, so that an address that is left and come back to is another place; `held` is
-    the place whose list is held; `version` is that list's where both are one, else None; what discovery had and could
-    tell before `owed_since` has been read.
+    Invariants: `source` counts the changes of the address, so that an address that is left and used again later counts
+    as another one. `list_source` is the source of the current list, and `version` the list's version if `list_source`
+    is `source`, else None. Every change that discovery had, and could return, before `current_as_of` has been read.
     """
 
     def __init__(
@@ -130,78 +133,90 @@
         self.options = options  # replaced whole by a reload
         self.address = address
         self.on_update = on_update
-        self.place = self.held = 0
-        self.news = 0  # lists told, that said something new
-        # Of the list held; None: no list. 0 is a version like any other: taken for none, the whole list was
-        # fetched over and over, and every sidecar's calls queued behind these.
+        self.source = 0
+        self.list_source = 0
+        self.updates = 0  # lists received that contained something new
+        # Of the current list; None: there is no list. 0 is a valid version: when it was taken for none, the whole list
+        # was fetched over and over, and every sidecar's calls queued behind these.
         self.version: int | None = None
-        self.owed_since = loop.now()
-        self.callers = 1  # sidecars that ask, this one included
-        self.late: list[LateCall] = []  # calls given up whose answers are still heard
-        self.lateness = 0  # of answers to watches with no news, past the end of their wait, of late
-        self.standing: int | None = None  # the place at which a watch stands: some call of it was answered
+        self.current_as_of = loop.now()
+        self.callers = 1  # sidecars that call discovery, this one included
+        self.late_calls: list[LateCall] = []  # calls given up whose responses are still accepted
+        self.lateness = 0  # how far past their wait responses without a change have arrived recently
+        self.established: int | None = None  # the source at which a watch is established: a call of it was answered
         self.watching: Task | None = None
-        self.before: Task | None = None  # the watch at the place left, until the one that follows it stands
-        # Where an agent pushes lists, what it has counts as told whether asked or not: it is watched always,
-        # whatever the balancer says, and a watch that fails is set up again at once.
+        self.previous: Task | None = None  # the watch at the previous address, until the new one is established
+        # With an agent that pushes lists, the sidecar counts as notified of what the agent has, whether it asked or
+        # not. So it always watches the agent, whatever the balancer says, and a watch that fails is repeated at once.
         self.pushed = False
 
     def apply_settings(self, pushed: bool, callers: int) -> None:
-        """From the settings: whether an agent pushes lists, and how many sidecars ask for them else."""
+        """Use new settings: whether an agent pushes lists, and how many sidecars call discovery otherwise."""
         self.pushed, self.callers = pushed, callers
         if pushed:
             self.watch(True)
 
     def watch(self, on: bool) -> None:
+        """Start or stop watching the list for changes."""
         on = on or self.pushed
         if on and self.watching is not None and not self.watching.over:
-            return  # one stands, or is being set up since discovery moved: asked again, news would be late
+            return  # a watch goes on, or begins at a new address: starting another one would delay a change
         if not on:
-            self._drop_before()
+            self._drop_previous()
             if self.watching is not None:
                 self.watching.cancel()
         self.watching = self._spawn_watch("asked") if on else None
 
     def _spawn_watch(self, cause: str) -> Task:
-        self._say_new_watch(cause)
-        # Its place is that of now: a move may come before its first turn.
-        return self.loop.spawn(self._follow(self.place, self.address, self.version), self._crashed, urgent=True)
+        """Begin a watch at the current address."""
+        self._log_new_watch(cause)
+        # The arguments are those of now: the address may change before the task's first turn.
+        return self.loop.spawn(self._run_watch(self.source, self.address, self.version), self._crashed, urgent=True)
 
     def change_address(self, address: str) -> None:
-        """Calls discovery at another address from now on, and at once: what it has to tell is soon taken for
-        told. The whole list comes first, since versions may be counted anew there. News that are on their way
-        over the old watch are told already: it is read until the new one has answered."""
+        """Call discovery at another address from now on.
+
+        It is called at once, since the sidecar soon counts as notified of what it has. The whole list is fetched first,
+        as versions may be counted differently there. The sidecar already counts as notified of changes that are on
+        their way over the old watch, so that one is read until the new one has been answered.
+        """
         if address == self.address:
             return
         self.address = address
-        self.place += 1
+        self.source += 1
         self.version = None
-        if self.before is None or self.before.over:
-            self.before = self.watching
+        if self.previous is None or self.previous.over:
+            self.previous = self.watching
         elif self.watching is not None:
-            self.watching.cancel()  # it has told nothing yet
+            self.watching.cancel()  # it has returned nothing yet
         self.watching = self._spawn_watch("moved")
 
-    def _drop_before(self) -> None:
-        if self.before is not None:
-            self.before.cancel()
-            self.before = None
+    def _drop_previous(self) -> None:
+        """Stop the watch at the previous address."""
+        if self.previous is not None:
+            self.previous.cancel()
+            self.previous = None
 
     def fetch(self) -> None:
+        """Fetch the whole list once."""
         self.loop.spawn(self._fetch(), self._crashed, urgent=True)
 
     def _crashed(self, _: Exception) -> None:
         self._fail()
 
     def _fail(self) -> None:
-        pending = self._may_be_answered()
-        self.on_update(MembershipUpdate(UpdateKind.FAILED, list_age=self._age(), response_pending=pending), {})
+        """Report to the balancer that a call or the watch failed."""
+        pending = self._response_pending()
+        self.on_update(MembershipUpdate(UpdateKind.FAILED, list_age=self._list_age(), response_pending=pending), {})
 
-    def _may_be_answered(self) -> bool:
-        """Whether discovery may not have got yet to a call that was given up. To a watch that fell silent it has."""
-        return any(not call.asked.wait for call in self.late)
+    def _response_pending(self) -> bool:
+        """Whether a call that was given up may still wait for its turn at discovery.
 
-    def _clock(self) -> listclock.WatchTimeouts:
+        A call that discovery was allowed to keep open does not count: discovery had taken it before it fell silent.
+        """
+        return any(not late.call.wait for late in self.late_calls)
+
+    def _timeouts(self) -> listclock.WatchTimeouts:
         options = self.options.discovery
         if self.pushed:
             return listclock.watch_timeouts(
@@ -216,283 +231,305 @@
             options.wait, options.silent_after, options.answer_within, options.connect_within, options.calls_apart
         )
 
-    def _held(self, clock: listclock.WatchTimeouts) -> int:
-        """An agent is this sidecar's alone: its calls need no spread."""
-        return clock.wait if self.pushed else listclock.watch_wait(clock.wait, self.random.random(), self.callers)
+    def _wait(self, timeouts: listclock.WatchTimeouts) -> int:
+        """Return how long discovery may keep the next call open. An agent serves only this sidecar: no jitter."""
+        if self.pushed:
+            return timeouts.wait
+        return listclock.watch_wait(timeouts.wait, self.random.random(), self.callers)
 
     # ---- which list is newer --------------------------------------------------------------------
 
-    def _hear(self, asked: Asked, answer: ListResponse, stands: bool) -> bool:
-        """Tells a list if it is not older than the one held; whether it was told. `stands`: also with no news.
+    def _apply(self, call: ListCall, response: ListResponse, report: bool) -> bool:
+        """Pass a list on unless it is older than the current one; return whether it is not.
+
+        `report`: also pass it on if it has no change.
 
-        Answers cross: a fetch and a watch are out at once, or the watches at two places. Versions are counted by place,
-        and anew when discovery was restarted, so alone they don't tell which is newer. What tells is when a call was
-        asked. A list that came after the last one told had been read is the newer one, whatever its version. Where
-        others were told meanwhile:
+        Responses can cross: a fetch and a watch may be in flight at once, or watches at two addresses. Versions are
+        counted by each discovery, and from the beginning after it restarted, so they alone don't tell which list is
+        newer. What tells is when a call was made. A list whose call was made after the last new list had been read is
+        the newer one, whatever its version. If another list was received in the meantime:
 
-        - at one place, it is the newer one if its version is higher;
-        - the first of a new place can't be compared: it is asked for anew, and the place left is heard no more.
+        - from the same source, it is newer if its version is higher;
+        - the first list of a new source can't be compared: it is requested again, and the old source is dropped.
 
-        Of a place left nothing is told once the new one has been. Changes below the version that they were asked past
-        show that versions are counted anew: what they change is not known, and the whole list is asked for.
+        Nothing of an old source is used once the new one has returned a list. Changes below the version after which
+        they were requested show that versions are counted from the beginning: it is not known what they apply to, so
+        the whole list is requested.
         """
-        update = answer.update
-        if asked.place == self.place:
-            self._drop_before()
-        overtaken = self.news != asked.news
-        if asked.place != self.held:
-            if asked.place < self.held or (overtaken and asked.place == self.place):
+        update = response.update
+        if call.source == self.source:
+            self._drop_previous()
+        overtaken = self.updates != call.updates
+        if call.source != self.list_source:
+            if call.source < self.list_source or (overtaken and call.source == self.source):
                 return False
         elif overtaken and self.version is not None and update.version <= self.version:
             return False
         changes = update.kind is UpdateKind.CHANGES
-        if changes and asked.version is not None and update.version < asked.version:
-            if asked.place == self.place:
+        if changes and call.version is not None and update.version < call.version:
+            if call.source == self.source:
                 self.version = None
             return False
-        self.owed_since = max(self.owed_since, answer.received_at)
-        if asked.wait:
-            self.lateness = listclock.recent_lateness(self.lateness, answer.received_at - asked.at - asked.wait)
-        news = bool(update.endpoints) or update.version != asked.version
-        if asked.place == self.place:
-            self.held, self.version = asked.place, update.version
-        if news or stands:
-            self.news += news
-            self.on_update(update, answer.addresses)
+        self.current_as_of = max(self.current_as_of, response.received_at)
+        if call.wait:
+            self.lateness = listclock.recent_lateness(self.lateness, response.received_at - call.at - call.wait)
+        is_new = bool(update.endpoints) or update.version != call.version
+        if call.source == self.source:
+            self.list_source, self.version = call.source, update.version
+        if is_new or report:
+            self.updates += is_new
+            self.on_update(update, response.addresses)
         return True
 
     # ---- calls ----------------------------------------------------------------------------------
 
     def _fetch(self) -> Coroutine[None]:
-        clock = self._clock()
+        """Fetch the whole list; a call that falls silent is repeated at once, `FRESH_CALLS` times."""
+        timeouts = self._timeouts()
         for left in range(listclock.FRESH_CALLS, -1, -1):
-            asked = self._asked(self.place, None)._replace(version=None)
+            call = self._new_call(self.source, None)._replace(version=None)
             address = self.address
-            until = self.loop.now() + (clock.first if left == listclock.FRESH_CALLS else clock.fresh)
+            until = self.loop.now() + (timeouts.first if left == listclock.FRESH_CALLS else timeouts.fresh)
             try:
                 sock = yield from self._connect(address, until)
                 kept = False
                 try:
-                    answer = yield from self._call(sock, PATH, until)
+                    response = yield from self._call(sock, PATH, until)
                 except Silent as error:
-                    kept = self._hear_late(sock, self.place, address, asked, error)
+                    kept = self._accept_late(sock, address, call, error)
                     raise
                 finally:
                     if not kept:
                         self.loop.close(sock)
             except CallFailed as error:
-                self._say_failed(asked, str(error))
+                self._log_failed(call, str(error))
                 emit(DISCOVERY_LIST_FAILED, why=error, address=address)
                 if not left or (left == listclock.FRESH_CALLS and not isinstance(error, Silent)):
                     self._fail()
                     return
                 yield Wait(None, 0, until)
             else:
-                self._say_answered(asked, "answered")
-                self._hear(asked, answer, True)
+                self._log_answered(call, "answered")
+                self._apply(call, response, True)
                 return
 
-    def _follow(self, place: int, address: str, version: int | None, late: LateAnswer | None = None) -> Coroutine[None]:
-        """Watches until a call fails. One that fell silent or was refused is set up anew while what it missed does not
-        count as told yet (`listclock.WatchRecovery`); the balancer's own asking comes after that. Of many sidecars that
-        is so only of a watch that stood. Where lists are pushed, it watches anew after each failure, and a run of them
-        is logged once."""
+    def _run_watch(
+        self, source: int, address: str, version: int | None, late: LateResponse | None = None
+    ) -> Coroutine[None]:
+        """Watch until a call fails, and re-establish the watch as far as that is this class's task.
+
+        A watch that fell silent or was refused is re-established as long as the sidecar does not yet count as notified
+        of what the watch missed (`listclock.WatchRecovery`). After that the balancer asks for a watch again. In a large
+        fleet only an established watch is re-established here. Where lists are pushed, the watch begins again after
+        every failure, and a run of failures is logged once.
+        """
         quiet = False
         recovery: listclock.WatchRecovery | None = None
-        while place == self.place:
-            now, clock = self.loop.now(), self._clock()
-            until = now + (clock.fresh if self.pushed else clock.first)
+        while source == self.source:
+            now, timeouts = self.loop.now(), self._timeouts()
+            until = now + (timeouts.fresh if self.pushed else timeouts.first)
             if recovery is not None:
                 until = recovery.give_up_at(now)
-            end = yield from self._watch(place, address, version, quiet, until, late)
+            end = yield from self._watch(source, address, version, quiet, until, late)
             version, late = self.version, None
-            if place != self.place:
-                return  # left while it watched, and another goes on
+            if source != self.source:
+                return  # the address changed meanwhile, and another watch goes on
             if self.pushed:
-                quiet = not end.answered
+                quiet = not end.established
                 self._fail()
                 yield Wait(None, 0, self.loop.now() + self.options.discovery.calls_apart)
                 continue
-            if recovery is None or end.answered:
-                recovery = self._recovery(end, clock)
-            again_at = (
-                None if recovery is None else recovery.next_call(self.loop.now(), end.silent, self._may_be_answered())
+            if recovery is None or end.established:
+                recovery = self._recovery(end, timeouts)
+            retry_at = (
+                None if recovery is None else recovery.next_call(self.loop.now(), end.silent, self._response_pending())
             )
-            if again_at is None:
+            if retry_at is None:
                 self._fail()
                 return
-            yield Wait(None, 0, again_at)
-            self._say_new_watch("anew")
+            yield Wait(None, 0, retry_at)
+            self._log_new_watch("anew")
 
-    def _recovery(self, end: End, clock: listclock.WatchTimeouts) -> listclock.WatchRecovery | None:
-        """Of a watch that ended so; None: it is left to the balancer to ask again."""
-        if not end.silent and (end.answered or not end.refused):
+    def _recovery(self, end: WatchEnd, timeouts: listclock.WatchTimeouts) -> listclock.WatchRecovery | None:
+        """Return how a watch that ended in this way is re-established; None: that is left to the balancer."""
+        if not end.silent and (end.established or not end.refused):
             return None
-        at_once = end.answered or self.callers <= listclock.SMALL_FLEET
-        if end.silent and not at_once:
+        repeats = end.established or self.callers <= listclock.SMALL_FLEET
+        if end.silent and not repeats:
             return None
-        counts_at, anew = self.owed_since + listclock.READ_WITHIN, listclock.FRESH_CALLS if at_once else 0
+        deadline, fresh_calls = self.current_as_of + listclock.READ_WITHIN, listclock.FRESH_CALLS if repeats else 0
         if end.silent:
-            counts_at = max(counts_at, self.loop.now() + anew * clock.fresh)
-        return listclock.WatchRecovery(counts_at, self.callers, anew, clock.first, self.random)
+            deadline = max(deadline, self.loop.now() + fresh_calls * timeouts.fresh)
+        return listclock.WatchRecovery(deadline, self.callers, fresh_calls, timeouts.first, self.random)
 
-    def _asked(self, place: int, version: int | None) -> Asked:
-        """Of a call now; `version` is where the watch of a place left has got to."""
-        return Asked(place, self.news, self.version if place == self.place else version, self.loop.now())
+    def _new_call(self, source: int, version: int | None) -> ListCall:
+        """Return the data of a call that begins now; `version` is used for a source other than the current one."""
+        return ListCall(source, self.updates, self.version if source == self.source else version, self.loop.now())
 
-    def _age(self) -> int:
-        """For how long news may have been owed."""
-        return self.loop.now() - self.owed_since
+    def _list_age(self) -> int:
+        """Return for how long a change may have gone unnoticed."""
+        return self.loop.now() - self.current_as_of
 
-    def _say_answered(self, asked: Asked, ended: str) -> None:
-        after, took = -1 if asked.version is None else asked.version, self.loop.now() - asked.at
-        emit(DISCOVERY_CALL, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
+    def _log_answered(self, call: ListCall, ended: str) -> None:
+        after, took = -1 if call.version is None else call.version, self.loop.now() - call.at
+        emit(DISCOVERY_CALL, after=after, wait_ms=call.wait // MS, ended=ended, ms=took // MS)
 
-    def _say_failed(self, asked: Asked, ended: str) -> None:
-        after, took = -1 if asked.version is None else asked.version, self.loop.now() - asked.at
-        emit(DISCOVERY_CALL_FAILED, after=after, wait_ms=asked.wait // MS, ended=ended, ms=took // MS)
+    def _log_failed(self, call: ListCall, ended: str) -> None:
+        after, took = -1 if call.version is None else call.version, self.loop.now() - call.at
+        emit(DISCOVERY_CALL_FAILED, after=after, wait_ms=call.wait // MS, ended=ended, ms=took // MS)
 
-    def _say_new_watch(self, cause: str) -> None:
-        emit(DISCOVERY_NEW_WATCH, cause=cause, age_ms=self._age() // MS, late_calls=len(self.late))
+    def _log_new_watch(self, cause: str) -> None:
+        emit(DISCOVERY_NEW_WATCH, cause=cause, age_ms=self._list_age() // MS, late_calls=len(self.late_calls))
 
     def _watch(
-        self, place: int, address: str, version: int | None, quiet: bool, until: int, late: LateAnswer | None
-    ) -> Coroutine[End]:
-        """One call after another over one connection: the next starts at once, so that the watch goes on. It ends as
-        a call fails. The first does not wait, so that it is soon known whether this one is silent, and has `until`; or
-        it was made before, and `late` is its answer."""
-        answered, due, received_at, answer = False, until, 0, None
-        asked = self._asked(place, version)
+        self, source: int, address: str, version: int | None, quiet: bool, until: int, late: LateResponse | None
+    ) -> Coroutine[WatchEnd]:
+        """Make one call after another over one connection until a call fails.
+
+        The next call begins as soon as the previous one is answered. The first one does not wait for a change, so that
+        it is soon known whether the connection works, and is given up at `until`. If `late` is given, it is the
+        response to a first call that was made earlier. `quiet`: don't log a failure.
+        """
+        established, due, received_at, response = False, until, 0, None
+        call = self._new_call(source, version)
         try:
             if late is None:
                 sock = yield from self._connect(address, until)
             else:
-                sock, asked, answer = late
+                sock, call, response = late
             kept = False
             try:
                 while True:
-                    if answer is None:
+                    if response is None:
                         target = PATH
-                        if asked.version is not None:
-                            target += f"?after={asked.version}&wait_ms={asked.wait // MS}"
+                        if call.version is not None:
+                            target += f"?after={call.version}&wait_ms={call.wait // MS}"
                         try:
-                            answer = yield from self._call(sock, target, until)
+                            response = yield from self._call(sock, target, until)
                         except Refused as error:
-                            # A watch that is lost so is dear to set up anew, just where discovery is full.
-                            again_at = self.loop.now() + self.options.discovery.calls_apart
-                            if not error.reusable or again_at > received_at + listclock.NEXT_CALL_WITHIN:
+                            # Re-establishing a watch that is lost is expensive, at a moment when discovery is busy.
+                            retry_at = self.loop.now() + self.options.discovery.calls_apart
+                            if not error.reusable or retry_at > received_at + listclock.NEXT_CALL_WITHIN:
                                 raise
-                            self._say_failed(asked, str(error))
-                            yield Wait(None, 0, again_at)
+                            self._log_failed(call, str(error))
+                            yield Wait(None, 0, retry_at)
                             continue
-                        self._say_answered(asked, "answered")
-                    received_at, age = answer.received_at, self._age()
-                    # The first answer of a watch is told with or without news: the watch stands.
-                    heard = self._hear(asked, answer, not answered)
-                    if heard and not answered:
-                        emit(DISCOVERY_WATCH_STANDS, version=answer.update.version, age_ms=age // MS)
-                    answered = answered or heard
-                    if answered:
-                        self.standing = place
-                    # One that answers at once with no news would be called in a tight loop.
-                    yield Wait(None, 0, asked.at + self.options.discovery.calls_apart)
-                    # From the last answer on, not from the asking: what was new since then is what would be missed.
-                    asked, clock = self._asked(place, answer.update.version if heard else None), self._clock()
-                    held, stands = self._held(clock), answered and asked.version is not None
-                    until = answer.received_at + (
-                        clock.silent_for(held, self.lateness, self.callers) if stands else clock.first
+                        self._log_answered(call, "answered")
+                    received_at, age = response.received_at, self._list_age()
+                    # The first response of a watch is passed on even without a change: the watch is established.
+                    applied = self._apply(call, response, not established)
+                    if applied and not established:
+                        emit(DISCOVERY_WATCH_STANDS, version=response.update.version, age_ms=age // MS)
+                    established = established or applied
+                    if established:
+                        self.established = source
+                    # A discovery that answers at once, without a change, must not be called in a tight loop.
+                    yield Wait(None, 0, call.at + self.options.discovery.calls_apart)
+                    # Timeouts run from the last response: a change since then is what may be missed.
+                    call = self._new_call(source, response.update.version if applied else None)
+                    timeouts = self._timeouts()
+                    wait, continues = self._wait(timeouts), established and call.version is not None
+                    until = response.received_at + (
+                        timeouts.silent_for(wait, self.lateness, self.callers) if continues else timeouts.first
                     )
-                    if not answer.reusable:
+                    if not response.reusable:
                         self.loop.close(sock)
                         sock = yield from self._connect(address, until)
-                    delay = self.loop.now() - answer.received_at - self.options.discovery.calls_apart
-                    asked = asked._replace(wait=max(0, held - max(0, delay)) if answered else 0)
-                    due = self.loop.now() + asked.wait if asked.wait else until
-                    answer = None
+                    delay = self.loop.now() - response.received_at - self.options.discovery.calls_apart
+                    call = call._replace(wait=max(0, wait - max(0, delay)) if established else 0)
+                    due = self.loop.now() + call.wait if call.wait else until
+                    response = None
             except Silent as error:
-                kept = self._hear_late(sock, place, address, asked, error)
+                kept = self._accept_late(sock, address, call, error)
                 raise
             finally:
-                if answered and self.standing == place:
-                    self.standing = None
+                if established and self.established == source:
+                    self.established = None
                 if not kept:
                     self.loop.close(sock)
         except CallFailed as error:
             if not quiet:
-                self._say_failed(asked, str(error))
-            if place == self.place and not quiet:
+                self._log_failed(call, str(error))
+            if source == self.source and not quiet:
                 emit(DISCOVERY_WATCH_FAILED, why=error, address=address)
             refused = isinstance(error, Refused)
-            # One that breaks past its wait had fallen silent before.
+            # A call that fails after its wait had fallen silent before.
             silent = isinstance(error, Silent) or (self.loop.now() >= due and not refused)
-            return End(answered, silent, refused)
+            return WatchEnd(established, silent, refused)
 
-    def _hear_late(self, sock: socket, place: int, address: str, asked: Asked, silent: Silent) -> bool:
-        """Goes on hearing a call that is given up, beside the next one; whether it does, and closes the socket then.
+    def _accept_late(self, sock: socket, address: str, call: ListCall, silent: Silent) -> bool:
+        """Keep waiting for the response to a call that is given up, besides the next call.
 
-        Where discovery is busy it waits its turn, and the next one stands behind it. Given up for good, each would be
-        worked off for nobody: a fleet with more calls than discovery can answer in time would hear of nothing."""
-        if silent.rest is None or len(self.late) >= listclock.MAX_LATE_CALLS:
+        Returns whether it does so; if it does, it closes the socket in the end.
+
+        At a busy discovery the call waits for its turn, and the next one is queued behind it. If the call were dropped,
+        discovery would handle each one for nothing, and a fleet with more calls than discovery can answer in time would
+        learn of no change.
+        """
+        if silent.keep_waiting is None or len(self.late_calls) >= listclock.MAX_LATE_CALLS:
             return False
-        call = LateCall(sock, place, address, asked, silent.rest)
-        self.late.append(call)
-        call.task = self.loop.spawn(self._outlast(call), self._crashed, urgent=True)
+        late = LateCall(sock, address, call, silent.keep_waiting)
+        self.late_calls.append(late)
+        late.task = self.loop.spawn(self._await_late(late), self._crashed, urgent=True)
         return True
 
-    def _outlast(self, call: LateCall) -> Coroutine[None]:
-        """Hears the answer to a call that was given up. Where no watch stands by then, this is the one from now on.
+    def _await_late(self, late: LateCall) -> Coroutine[None]:
+        """Wait for the response to a call that was given up. If no watch is established by then, continue from it.
 
-        A new watch costs discovery far more than the next call of one that stands. Left for the next new one, a late
-        answer told its list and no more, and a fleet that started together took all of discovery's time for first
-        calls, each answered late again."""
+        A new watch costs discovery far more than the next call of an established one. When a late response only passed
+        its list on and a new watch followed, a fleet that started together kept discovery busy with first calls, each
+        of which was answered late again.
+        """
         kept = False
         try:
             try:
-                answer = yield from call.rest(self.loop.now() + listclock.LATE_RESPONSE_WITHIN)
+                response = yield from late.keep_waiting(self.loop.now() + listclock.LATE_RESPONSE_WITHIN)
             finally:
-                self.late.remove(call)
-            self._say_answered(call.asked, "answered late")
-            if self._is_missing(call):
-                self._replace_watch(call.task)
-                kept = True  # by the watch, which closes it
-                late = LateAnswer(call.sock, call.asked, answer)
-                yield from self._follow(call.place, call.address, call.asked.version, late)
+                self.late_calls.remove(late)
+            self._log_answered(late.call, "answered late")
+            if self._lacks_watch(late.call.source):
+                self._replace_watch(late.task)
+                kept = True  # the watch closes the socket
+                watched = LateResponse(late.sock, late.call, response)
+                yield from self._run_watch(late.call.source, late.address, late.call.version, watched)
             else:
-                self._hear(call.asked, answer, False)
+                self._apply(late.call, response, False)
         except CallFailed as error:
-            self._say_failed(call.asked, f"late: {error}")
-            self._stop_waiting_for_answer(call)
+            self._log_failed(late.call, f"late: {error}")
+            self._resume_after_late_failure(late.call)
         finally:
             if not kept:
-                self.loop.close(call.sock)
+                self.loop.close(late.sock)
 
-    def _stop_waiting_for_answer(self, call: LateCall) -> None:
-        """Calls discovery again, where the balancer keeps the next call back for answers of which none comes now."""
-        kept_back = not call.asked.wait and not self._may_be_answered()
-        if kept_back and self._is_missing(call) and self.watching is not None and self.watching.over:
+    def _resume_after_late_failure(self, call: ListCall) -> None:
+        """Watch again at once if the balancer delays its next call for late responses, of which none will come."""
+        delayed = not call.wait and not self._response_pending()
+        if delayed and self._lacks_watch(call.source) and self.watching is not None and self.watching.over:
             self.watch(True)
 
-    def _is_missing(self, call: LateCall) -> bool:
-        """Whether no watch stands at the place of a call, and one is wanted there."""
+    def _lacks_watch(self, source: int) -> bool:
+        """Whether a watch is wanted at this source and none is established."""
         wanted = self.watching is not None and not self.pushed
-        return wanted and call.place == self.place and self.standing != call.place
+        return wanted and source == self.source and self.established != source
 
     def _replace_watch(self, task: Task | None) -> None:
-        """Another task is the watch; the one that asks anew, if any, is given up."""
+        """Make another task the watch; one that is not yet established is cancelled."""
         if self.watching is not None:
             self.watching.cancel()
         self.watching = task
 
     def _connect(self, address: str, until: int) -> Coroutine[socket]:
+        """Connect to discovery; raise `CallFailed` if that fails."""
         try:
-            return (yield from connect(self.loop, address, self._clock().connect, until))
+            return (yield from connect(self.loop, address, self._timeouts().connect, until))
         except ConnectError:
             if address == self.address:
-                self.owed_since = self.loop.now()  # it could not be reached until now
+                self.current_as_of = self.loop.now()  # until now it could not be reached
             raise CallFailed("not up") from None
 
     def _call(self, sock: socket, target: str, until: int) -> Coroutine[ListResponse]:
-        wire = H11Reader(sock, h11.CLIENT)
+        """Make one call over an open connection."""
+        reader = H11Reader(sock, h11.CLIENT)
         head = f"GET {target} HTTP/1.1\r\nHost: {self.address}\r\n\r\n"
         try:
             yield from send(self.loop, sock, [head.encode()], until)
@@ -500,27 +537,27 @@
             raise Silent("silent") from None
         except OSError as error:
             raise CallFailed(f"broken: {error}") from None
-        return (yield from self._answer(wire, until))
+        return (yield from self._read_response(reader, until))
 
-    def _answer(self, wire: H11Reader, until: int) -> Coroutine[ListResponse]:
-        """The answer to a call. One that has begun is whole soon: what trickles is as good as silent."""
+    def _read_response(self, reader: H11Reader, until: int) -> Coroutine[ListResponse]:
+        """Read the response to a call. Once it has begun it must be complete soon; otherwise it counts as silent."""
         try:
-            head = yield from wire.next_event(until)
+            head = yield from reader.next_event(until)
         except TimedOut:
-            raise Silent("silent", partial(self._answer, wire)) from None
+            raise Silent("silent", partial(self._read_response, reader)) from None
         except (OSError, h11.RemoteProtocolError) as error:
             raise CallFailed(f"broken: {error}") from None
         if not isinstance(head, h11.Response):
             raise CallFailed("no answer")
         received_at = self.loop.now()
-        whole_by = min(until, received_at + self.options.discovery.answer_within)
+        complete_by = min(until, received_at + self.options.discovery.answer_within)
         try:
-            body = yield from wire.body(lambda _: whole_by, self.options.discovery.list_size)
+            body = yield from reader.body(lambda _: complete_by, self.options.discovery.list_size)
         except TimedOut:
             raise Silent("silent") from None
         except (OSError, h11.RemoteProtocolError, TooLarge) as error:
             raise CallFailed(f"broken: {error}") from None
-        reusable = wire.whole() and not wire.rest()
+        reusable = reader.whole() and not reader.rest()
         if head.status_code == 503:
             raise Refused("answered 503", reusable)
         if head.status_code != 200:
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar put together: the loop, the host, the HTTP front and back, discovery, signals, and its end."""
+"""Assembles one sidecar from its parts: loop, host, HTTP frontend and backend, discovery, signals, and shutdown."""
 
 from __future__ import annotations
 
@@ -44,21 +44,21 @@
     from loftweir.partners.part import Partners
     from loftweir.replication.part import ReplicationAgent
 
-OBEYED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-TICK = SECOND  # how often the log is asked for what it owes
-LEAVES_FOR = SECOND  # from a drain on, until connections that rest are closed
-SWEEP_EVERY = 50 * MS
-# From a reload's end to the next one's beginning. A reload holds the loop for some 14 ms, longer where the file lists
-# many providers: signals without end so take an eighth of the processor. Far below the 4 s after which news of a new
-# discovery counts.
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+LOG_TICK = SECOND  # between two calls that let the log report dropped and repeated lines
+DRAIN_NOTICE = SECOND  # from the start of a drain until idle connections are closed; by then clients know of it
+SWEEP_EVERY = 50 * MS  # between two passes that close idle connections of a drained sidecar
+# From a reload's end to the start of the next one. A reload occupies the loop for some 14 ms, longer if the file lists
+# many providers, so an endless stream of signals takes an eighth of the processor. Far below the 4 s after which a
+# change of the discovery address counts as known.
 RELOADS_APART = 100 * MS
-HALF_FOR = 2 * SECOND  # from SIGTERM on, that half a request is waited for
-LONGEST_COUNTED = 3 * SECOND  # of a deadline, before SIGKILL
-ENDS_BEFORE = 600 * MS  # the end, that the last answer is due: SIGKILL may come 0.3 s before the end
+PARTIAL_REQUEST_WAIT = 2 * SECOND  # from SIGTERM on, how long the rest of a partly received request is awaited
+LONGEST_COUNTED = 3 * SECOND  # the longest deadline that the end waits for before SIGKILL may come
+ENDS_BEFORE = 600 * MS  # how long before the end the last response is due: SIGKILL may come 0.3 s before the end
 
 
 class Sidecar:
-    """Owns the parts and the order in which they begin and end."""
+    """Owns the parts of a sidecar, and starts and ends them in order."""
 
     def __init__(
         self,
@@ -68,21 +68,21 @@
         sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
-        """`sites` and `services`: of the files that the operator's names for the partners and the catalog, if any."""
+        """`sites` and `services`: from the partners' and the catalog's files, if the operator's file names them."""
         self.loop = loop
         self.options = options
         self.platform = platform
         limits, memory = options.limits, platform.memory_mb * MIB
         self.life = SidecarLifecycle()
         self.life.changed = self._changed
-        self.left_at = 0  # when the latest drain began
-        self.commands = CommandHandler(loop, self.life, self.listed, self._takes_clients)
+        self.drain_began = 0  # when the latest drain began
+        self.commands = CommandHandler(loop, self.life, self.update_list, self._takes_clients)
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
-        shared = max(int(platform.sockets * limits.consumers_of_sockets), 1)
+        client_sockets = max(int(platform.sockets * limits.consumers_of_sockets), 1)
         others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
         self.fleet: ReplicationAgent | None = None
         if options.replication.members:
-            # Here: a sidecar whose operator names no members has no use for it, and does not pay for it.
+            # Imported here, so that a sidecar without replication doesn't pay for the import.
             from loftweir.replication import part
 
             self.fleet = self.commands.fleet = part.ReplicationAgent(
@@ -94,19 +94,19 @@
             from loftweir.partners import part as partners
 
             self.partners = partners.Partners(
-                loop, platform.name, options, sites, self.fleet, self._tell, self._settings
+                loop, platform.name, options, sites, self.fleet, self._update_partner_providers, self._settings
             )
             self.commands.partners = self.partners
             others += partners.descriptors(options.partners, sites)
-        most_calls = max(platform.sockets - shared - others, 1)
-        self.back = Backend(loop, platform.settings, options, most_calls, int(memory * limits.answers_of_memory))
+        provider_sockets = max(platform.sockets - client_sockets - others, 1)
+        self.back = Backend(loop, platform.settings, options, provider_sockets, int(memory * limits.answers_of_memory))
         self.host = Host(loop, platform.settings, platform.seed, self.back, self.discovery)
         self.back.on_attempt_ended = self.host.attempt_ended
         bodies = int(memory * limits.requests_of_memory)
         self.front = Frontend(loop, self.host, self.life, options, platform.sockets, bodies)
         self.front.free_descriptor = self.back.pool.evict_idle
         self.catalog: Hosts | None = None
-        self.services_file = options.catalog.file  # another one waits for the next start
+        self.services_file = options.catalog.file  # another file is used only from the next start on
         if services is not None and self.partners is not None:
             from loftweir.catalog import hosts
             from loftweir.http1 import named
@@ -117,19 +117,21 @@
                 named.client_class(self.catalog),
                 self.catalog.serves,
             )
-        self.disk: Disk | None = None  # where the snapshot is kept, with `state.keep`
+        self.disk: Disk | None = None  # where the snapshot is stored, with `state.keep`
         self.list_tracker: ListTracker | None = None
         self.written_at = 0  # when the last snapshot was written, by the loop's clock
-        self.writes = False  # a write of the snapshot is due
+        self.write_due = False  # a write of the snapshot is due
 
     def _settings(self) -> Settings:
+        """Return the settings in force."""
         return self.host.settings
 
-    def _tell(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
-        """The balancer, of the partners' providers as of any."""
+    def _update_partner_providers(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Pass a list update of the partners' providers to the balancer, like any other update."""
         self.host.update_list(update, addresses)
 
-    def listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+        """Pass a list update from discovery to all parts that use it."""
         if self.partners is None:
             self.host.update_list(update, addresses)
         else:
@@ -140,10 +142,10 @@
             self.front.open()
         if self.list_tracker is not None and update.kind is not UpdateKind.FAILED:
             self.list_tracker.apply(update, addresses)
-            if not self.writes:
-                self.writes = True
+            if not self.write_due:
+                self.write_due = True
                 apart = self.options.state.write_apart
-                self.loop.after(max(0, self.written_at + apart - self.loop.now()), self._write)
+                self.loop.after(max(0, self.written_at + apart - self.loop.now()), self._write_snapshot)
         emit(
             DISCOVERY_LIST,
             kind=update.kind.value,
@@ -152,7 +154,7 @@
             changes=len(update.endpoints),
         )
 
-    def use(
+    def apply(
         self,
         options: Options,
         discovery: str,
@@ -160,7 +162,7 @@
         sites: PartnersConfig | None = None,
         services: Services | None = None,
     ) -> None:
-        """Other options and settings, whole, from now on; what was spent at the start waits for the next one."""
+        """Use new options and settings from now on, except those that only a restart applies."""
         same_site = options.partners.site == self.options.partners.site
         same_catalog = options.catalog.file == self.services_file
         self.options = self.discovery.options = options
@@ -169,41 +171,42 @@
         if settings != self.host.settings:
             self.host.apply_settings(settings)
         if self.partners is not None and sites is not None and same_site:
-            self.partners.use(sites)  # looks at the settings too
+            self.partners.use(sites)  # it reads the settings too
         if self.catalog is not None:
             self.catalog.use(services if same_site and same_catalog else None)
         self.discovery.change_address(discovery)
         self.discovery.apply_settings(settings.discovery_pushes, settings.balancers)
 
-    # ---- life -----------------------------------------------------------------------------------
+    # ---- start and end --------------------------------------------------------------------------
 
     def start(self, reload: Callable[[], None]) -> None:
-        """`reload` is called on SIGHUP, and answers for what it can't use."""
+        """Start all parts. `reload` is called on SIGHUP, and handles its own errors."""
         platform = self.platform
-        known, addresses = self._remembered(platform.known, platform.addresses)
+        known, addresses = self._initial_list(platform.known, platform.addresses)
         if known.endpoints:
             self.discovery.version = known.version
         woken, wakes = socket.socketpair()
         woken.setblocking(False)
         wakes.setblocking(False)
         signal.set_wakeup_fd(wakes.fileno(), warn_on_full_buffer=False)
-        came: set[int] = set()
+        received: set[int] = set()
 
-        def note(number: int, _: object) -> None:
-            # Blocked, it is kept by the kernel as one, however often it comes: a script that sends it without end
-            # would leave this process no time between two of them.
+        def record(number: int, _: object) -> None:
+            # While it is blocked the kernel keeps only one, however often it arrives. Otherwise a script that sends it
+            # without end would leave this process no time between two of them.
             signal.pthread_sigmask(signal.SIG_BLOCK, {number})
-            came.add(number)
+            received.add(number)
 
-        for number in OBEYED:
-            signal.signal(number, note)
+        for number in HANDLED_SIGNALS:
+            signal.signal(number, record)
         if platform.operator:
             self.commands.begin(os.environ.get("TMPDIR"))
         if self.fleet is not None:
             self.fleet.recall()
         self.commands.update_list(known, addresses)
         if platform.settings.discovery_pushes:
-            # What the agent has counts as told from this process's first moment, and the platform's list is older.
+            # The sidecar counts as notified of what the agent has from its first moment on, and the platform's list is
+            # older than that.
             self.front.opens_at = self.loop.now() + SHORTEST_FRESH_TIMEOUT
         if platform.listen_fd is None:
             self.front.listen(platform.listen)
@@ -214,20 +217,21 @@
         if self.commands.store is not None:
             self.commands.store.announce_serving()
         if self.commands.found_other_process:
-            # News bind soon after this process says that it is ready, and there is one of it: no crowd to spread.
+            # Changes must be followed soon after this process reports that it is ready. It does not start together with
+            # a whole fleet, so its first call needs no jitter.
             self.discovery.watch(True)
         self.discovery.apply_settings(platform.settings.discovery_pushes, platform.settings.balancers)
         if self.partners is not None:
             self.partners.start()
         if self.fleet is not None:
             self.fleet.start()
-        self.loop.spawn(self._obey(woken, wakes, came, reload))
+        self.loop.spawn(self._handle_signals(woken, wakes, received, reload))
         self.loop.spawn(self._keep_log())
 
-    def _remembered(
+    def _initial_list(
         self, given: MembershipUpdate, addresses: dict[str, str]
     ) -> tuple[MembershipUpdate, dict[str, str]]:
-        """The list to start with: the platform's, or the snapshot where it is newer and young enough."""
+        """Return the list to start with: the platform's, or the snapshot if that is newer and not too old."""
         folder = os.environ.get("TMPDIR")
         if self.options.state.keep != "on" or not folder:
             return given, addresses
@@ -249,8 +253,9 @@
         emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
         return given, addresses
 
-    def _write(self) -> None:
-        self.writes, self.written_at = False, self.loop.now()
+    def _write_snapshot(self) -> None:
+        """Write the snapshot of the current list."""
+        self.write_due, self.written_at = False, self.loop.now()
         if self.disk is None or self.list_tracker is None:
             return
         try:
@@ -258,34 +263,35 @@
         except OSError as error:
             emit(STATE_FAILED, file=str(self.disk.path), why=error.strerror or str(error))
 
-    def _obey(
-        self, woken: socket.socket, wakes: socket.socket, came: set[int], reload: Callable[[], None]
+    def _handle_signals(
+        self, woken: socket.socket, wakes: socket.socket, received: set[int], reload: Callable[[], None]
     ) -> Coroutine[None]:
-        """Works off the signals in `came`; what is read from `woken` says only that there may be some.
+        """Handle the signals in `received`; data on `woken` only tells that there may be some.
 
-        SIGHUPs that come before a reload begins are that one reload, of the files as they are then; those that come
-        from then on, until `RELOADS_APART` after its end, are one more. SIGTERM and SIGINT never wait for it. They
-        stay blocked: nothing leads back from the end.
+        All SIGHUPs that arrive before a reload begins cause that one reload, of the files as they are then. Those that
+        arrive from then on, until `RELOADS_APART` after its end, cause one more. SIGTERM and SIGINT never wait for a
+        reload, and stay blocked: the end can't be undone.
         """
-        hears_from: int | None = None  # when SIGHUP is heard again; None while it is
+        unblock_at: int | None = None  # when SIGHUP is unblocked; None while it is not blocked
         while True:
-            if (yield Wait(woken, READABLE, hears_from)):
+            if (yield Wait(woken, READABLE, unblock_at)):
                 woken.recv(4096)
-            for number in came - {signal.SIGHUP}:
-                came.discard(number)
+            for number in received - {signal.SIGHUP}:
+                received.discard(number)
                 if self.life.step(LifecycleEvent.END):
                     emit(STOP_BEGUN, signal=signal.Signals(number).name, open=len(self.host.invocations))
                     self.loop.spawn(self._stop(wakes))
-            if hears_from is not None and self.loop.now() >= hears_from:
-                hears_from = None
-                signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that waits is noted in this call
-            if hears_from is None and signal.SIGHUP in came:
-                came.discard(signal.SIGHUP)
+            if unblock_at is not None and self.loop.now() >= unblock_at:
+                unblock_at = None
+                # A pending signal is recorded within this call.
+                signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+            if unblock_at is None and signal.SIGHUP in received:
+                received.discard(signal.SIGHUP)
                 reload()
-                hears_from = self.loop.now() + RELOADS_APART
+                unblock_at = self.loop.now() + RELOADS_APART
 
     def _keep_log(self) -> Coroutine[None]:
-        """Gives the log its turns: lines that wait for their reader, and numbers of those left out."""
+        """Drive the log: write lines that wait for their reader, and report how many were dropped."""
         writer = log.writer()
         waiting: list[Task] = []
 
@@ -299,34 +305,42 @@
 
         writer.blocked = blocked
         while True:
-            yield Wait(None, 0, self.loop.now() + TICK)
+            yield Wait(None, 0, self.loop.now() + LOG_TICK)
             log.tick()
 
     def _takes_clients(self) -> bool:
+        """Whether clients are accepted and can be served."""
         return self.front.takes_clients()
 
     def _changed(self, before: State) -> None:
+        """Handle a change of the lifecycle's state."""
         emit(LIFE_CHANGED, state=self.life.state.value, before=before.value, open=len(self.host.invocations))
         if self.life.state is State.LEAVING:
-            self.loop.spawn(self._empty())
-
-    def _empty(self) -> Coroutine[None]:
-        """A drain: who sends clients looks at health, and sends new ones a little longer. Kept connections go with
-        their next answer, those that nobody used by then are closed, and so is what comes later and rests."""
-        left_at = self.left_at = self.loop.now()
-        yield Wait(None, 0, left_at + LEAVES_FOR)
-        if self.life.state is State.LEAVING and self.left_at == left_at:
+            self.loop.spawn(self._drain())
+
+    def _drain(self) -> Coroutine[None]:
+        """Carry out a drain.
+
+        Whatever sends clients here polls the health check, and sends new ones a little longer. Connections in use end
+        with their next response. After that time all idle ones are closed, also those that become idle later.
+        """
+        drain_began = self.drain_began = self.loop.now()
+        yield Wait(None, 0, drain_began + DRAIN_NOTICE)
+        if self.life.state is State.LEAVING and self.drain_began == drain_began:
             self.life.step(LifecycleEvent.EMPTIED)
         while self.life.state is State.EMPTY:
             self.front.close_unused(half=False)
             yield Wait(None, 0, self.loop.now() + SWEEP_EVERY)
 
     def _stop(self, wakes: socket.socket) -> Coroutine[None]:
-        """What was taken is answered. Where another process takes clients, this one stops at once; else it goes on
-        for as long as clients may not know. What comes late gets an answer while there is one to give it."""
+        """End the process; requests that were taken are answered.
+
+        If another process accepts clients at this address, this one stops accepting at once. Otherwise it goes on for
+        as long as clients may not know of its end. Requests that arrive late are answered while the process is there.
+        """
         front, limits = self.front, self.options.limits
-        if self.writes:
-            self._write()  # a change still waiting for `state.write_apart` is not lost with this process
+        if self.write_due:
+            self._write_snapshot()  # a change that still waits for `state.write_apart` must not be lost
         if self.partners is not None:
             self.partners.leave()
         if self.fleet is not None:
@@ -334,7 +348,7 @@
         now = self.loop.now()
         longest = max(c.deadline for c in self.host.settings.classes.values())
         last = now + min(longest, LONGEST_COUNTED) + SECOND
-        latest = now + longest + SECOND  # SIGKILL may come far later: what was taken with more time still has it
+        latest = now + longest + SECOND  # SIGKILL may come far later: requests with more time left still get it
         front.ends_at = last - ENDS_BEFORE
         if self.commands.store is not None and not self.commands.store.is_alone():
             front.stop_accepting()
@@ -343,9 +357,10 @@
             yield Wait(None, 0, self.loop.now() + 5 * MS)
         self.life.step(LifecycleEvent.SHUT)
         while front.clients and self.loop.now() < (latest if front.has_unanswered() else last):
-            front.close_unused(half=self.loop.now() > now + HALF_FOR)
+            front.close_unused(half=self.loop.now() > now + PARTIAL_REQUEST_WAIT)
             yield Wait(None, 0, self.loop.now() + 5 * MS)
-        for number in OBEYED:  # Python's own end takes its handlers away: one that comes then would be the exit code
+        # Python removes its handlers at exit: a signal that arrived then would determine the exit code.
+        for number in HANDLED_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         emit(STOP_DONE, left=front.close())
         if self.partners is not None:
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -226,7 +226,7 @@
     client.begin()
     assert not front.evict()
     front.close_unused(half=True)
-    front.host.balancer, front.accepting = SimpleNamespace(servers=[]), None
+    front.host.balancer, front.accepting = SimpleNamespace(providers=[]), None
     del taken
     scenery.loop.after(0, scenery.peer.shutdown, socket.SHUT_WR)
     got = scenery.read()
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -238,7 +238,7 @@
     clock.time = 30 * SECOND
     with pytest.raises(CallFailed):
         list(caller._connect("left", 31 * SECOND))
-    assert clock.now() - caller.owed_since > 9 * SECOND
+    assert clock.now() - caller.current_as_of > 9 * SECOND
 
 
 class FailingDiscovery(SidecarTest):
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -83,7 +83,7 @@
         answer = ListResponse(MembershipUpdate(UpdateKind.CHANGES, (), 1), {}, True, now)
         if now < 10 * SECOND or not self.rows:
             yield Wait(None, 0, now + held)
-            return answer._replace(heard_at=self.loop.now())
+            return answer._replace(received_at=self.loop.now())
         self.made_at.append(now)
         way = self.rows.pop(0)
         if way == SILENT:
