--- a/tests/discovery_scene.py
+++ b/tests/discovery_scene.py
@@ -1,4 +1,4 @@
-"""Discovery's side of a sidecar in virtual time: calls end as a test says, or stand in turn before one discovery."""
+"""A sidecar's calls to discovery in virtual time: they end as a test specifies, or queue at a simulated discovery."""
 
 import heapq
 import random
@@ -14,6 +14,8 @@
 
 
 class Task:
+    """A task as `Loop.spawn` returns it."""
+
     def __init__(self, coroutine):
         self.coroutine, self.over = coroutine, False
 
@@ -23,7 +25,7 @@
 
 
 class Clock:
-    """The loop as discovery's side uses it, in virtual time."""
+    """The parts of the loop that `Discovery` uses, in virtual time."""
 
     def __init__(self):
         self.time, self.order, self.heap = 0, 0, []
@@ -32,10 +34,11 @@
         return self.time
 
     def at(self, time, task):
+        """Run a task's next step at a time."""
         self.order += 1
         heapq.heappush(self.heap, (time, self.order, task))
 
-    def spawn(self, coroutine, crashed=None, urgent=False):
+    def spawn(self, coroutine, on_crash=None, urgent=False):
         task = Task(coroutine)
         self.at(self.time, task)
         return task
@@ -44,6 +47,7 @@
         pass
 
     def run(self, until):
+        """Run all steps up to a time."""
         while self.heap and self.heap[0][0] <= until:
             self.time, _, task = heapq.heappop(self.heap)
             if task.over:
@@ -56,27 +60,30 @@
 
 
 class Calls(Discovery):
-    """Discovery's side, asked by a balancer, over calls that end as `ends` says at each one's beginning: a way and how
-    long it takes. `changes` is when discovery has a change: a good answer that is written from then on has it."""
+    """`Discovery`, driven by a balancer, over simulated calls.
+
+    `ends` is called at the start of each call and returns how it ends, and how long that takes. `changes` is when
+    discovery has a change: a good response that is written from then on contains it.
+    """
 
     def __init__(self, options, ends, changes=1 << 62, ask_within=60 * SECOND, seed=1, callers=1, me=0):
         self.loop, self.ends, self.changes = Clock(), ends, changes
-        self.read_at, self.first_told, self.failed_at, self.asked_at = None, None, [], []
+        self.read_at, self.first_update, self.failed_at, self.called_at = None, None, [], []
         safety = replace(settings().safety, ask_within=ask_within)
         self.balancer = make_balancer(seed, discovery_pushes=False, safety=safety, balancers=callers, me=me)
-        super().__init__(self.loop, "here", options, self._told)
+        super().__init__(self.loop, "here", options, self._updated)
         self.apply_settings(False, callers)
         self.version = 1
 
-    def _told(self, update, _):
+    def _updated(self, update, _):
         now = self.loop.now()
         if update.kind is UpdateKind.FAILED:
             self.failed_at.append(now)
         elif update.version == 2 and self.read_at is None:
             self.read_at = now
-        self._obey(self.balancer.handle(now, [update]))
+        self._carry_out(self.balancer.handle(now, [update]))
 
-    def _obey(self, actions):
+    def _carry_out(self, actions):
         for timer in of_type(Timer, actions):
             self.loop.spawn(self._later(timer))
 
@@ -91,7 +98,7 @@
     def _call(self, sock, target, until):
         now = self.loop.now()
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
-        self.asked_at.append(now)
+        self.called_at.append(now)
         after, held = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
         way, takes = self.ends(now, until, held)
         if way == "good":
@@ -113,49 +120,52 @@
 
 
 class Busy:
-    """A discovery that works through calls in turn, also through those that were given up, and fails one that would
-    have waited too long."""
+    """A discovery that handles one call after another, including those that were given up.
+
+    A call takes `takes`; one that would wait in the queue for longer than `max_wait` fails.
+    """
 
-    def __init__(self, takes, patience, changes):
-        self.takes, self.patience, self.changes, self.free_at = takes, patience, changes, 0
+    def __init__(self, takes, max_wait, changes):
+        self.takes, self.max_wait, self.changes, self.free_at = takes, max_wait, changes, 0
 
     def version(self, now):
+        """The version of the list at a time."""
         return 1 + sum(change <= now for change in self.changes)
 
     def turn(self, now):
-        """When a call is answered, and whether it is worked off."""
-        if self.free_at > now + self.patience:
-            return now + self.patience, False
+        """Queue a call; return when it is answered, and whether it is handled."""
+        if self.free_at > now + self.max_wait:
+            return now + self.max_wait, False
         self.free_at = max(now, self.free_at) + self.takes
         return self.free_at, True
 
 
 class Queued(Calls):
-    """One of many that call one `Busy`."""
+    """One of many sidecars that call one `Busy` discovery."""
 
     def __init__(self, clock, busy, seed, callers=1):
-        me = seed % callers  # the settings tell each sidecar which of so many it is
+        me = seed % callers  # the settings give each sidecar its number among so many
         super().__init__(Options(), lambda *_: None, ask_within=10 * SECOND, seed=seed, callers=callers, me=me)
         self.loop, self.busy, self.read, self.random = clock, busy, {}, random.Random(seed)
-        self._obey(self.balancer.handle(0, [MembershipUpdate(UpdateKind.REMEMBERED)]))
+        self._carry_out(self.balancer.handle(0, [MembershipUpdate(UpdateKind.REMEMBERED)]))
 
-    def _told(self, update, _):
+    def _updated(self, update, _):
         if update.kind is not UpdateKind.FAILED:
             for version in range(2, update.version + 1):
                 self.read.setdefault(version, self.loop.now())
-        self._obey(self.balancer.handle(self.loop.now(), [replace(update, endpoints=())]))
+        self._carry_out(self.balancer.handle(self.loop.now(), [replace(update, endpoints=())]))
 
     def _call(self, sock, target, until):
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         after, held = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
-        return (yield from self._rest(*self.busy.turn(self.loop.now()), after, held, until))
+        return (yield from self._wait_in_queue(*self.busy.turn(self.loop.now()), after, held, until))
 
-    def _rest(self, turn, good, after, held, until):
-        news = next((change for change in self.busy.changes[max(0, after - 1) :]), 1 << 62)
-        answered = turn if after < 1 or not good else max(turn, min(turn + held, news))
+    def _wait_in_queue(self, turn, good, after, held, until):
+        change_at = next((change for change in self.busy.changes[max(0, after - 1) :]), 1 << 62)
+        answered = turn if after < 1 or not good else max(turn, min(turn + held, change_at))
         yield Wait(None, 0, min(answered, until))
         if answered > until:
-            raise Silent("silent", partial(self._rest, turn, good, after, held))
+            raise Silent("silent", partial(self._wait_in_queue, turn, good, after, held))
         if not good:
             raise CallFailed("answered 503")
         kind = UpdateKind.FULL if after < 0 else UpdateKind.CHANGES
@@ -163,53 +173,58 @@
 
 
 class Full(Busy):
-    """One that refuses a call at once where it would have waited too long, at some cost."""
+    """A discovery that refuses a call at once if it would wait too long, which costs it some time."""
 
     def turn(self, now):
-        if self.free_at > now + self.patience:
+        if self.free_at > now + self.max_wait:
             self.free_at += 50 * MS
             return now + MS, False
         return super().turn(now)
 
 
 class Connection:
-    """To a `Counted` discovery."""
+    """A connection to a `Counted` discovery."""
 
     answered_at = None  # when its last call was answered
 
 
 class Counted(Busy):
-    """One that refuses a call at once where it would have waited too long, and that knows a watch which goes on: the
-    next call of one takes it far less time than a new one."""
+    """A discovery that refuses a call at once if it would wait too long, and that recognizes an established watch.
 
-    def __init__(self, new, further, patience, changes):
-        super().__init__(new, patience, changes)
+    The next call of such a watch takes it far less time (`further`) than a new one (`new`).
+    """
+
+    def __init__(self, new, further, max_wait, changes):
+        super().__init__(new, max_wait, changes)
         self.new, self.further = new, further
 
     def turn_of(self, now, connection):
+        """Queue a call of a connection; return as `turn` does."""
         answered_at = connection.answered_at
-        goes_on = answered_at is not None and now - answered_at <= STAYS_WATCHED
-        self.takes = self.further if goes_on else self.new
-        if self.free_at > now + self.patience:
+        continues = answered_at is not None and now - answered_at <= ESTABLISHED_FOR
+        self.takes = self.further if continues else self.new
+        if self.free_at > now + self.max_wait:
             return now + MS, False
         return self.turn(now)
 
 
-STAYS_WATCHED = 200 * MS  # from an answer to the next call of the same watch
+ESTABLISHED_FOR = 200 * MS  # from a response to the next call, for which a watch stays established
 
 
 class Turn:
-    """A call and where it stands."""
+    """A call in the queue, and its state."""
 
     def __init__(self, after, due, good, held_until):
         self.after, self.due, self.good, self.held_until = after, due, good, held_until
         self.written = False
-        self.given_up = False  # it may still be heard
+        self.given_up = False  # its response may still be accepted
 
 
 class Watching(Queued):
-    """One of many that call one `Counted`; `failed_at` has each call that was refused, or given up and
-    heard no more."""
+    """One of many sidecars that call one `Counted` discovery.
+
+    `failed_at` has the time of each call that was refused, or given up with its response no longer accepted.
+    """
 
     def _connect(self, address, until):
         yield Wait(None, 0, self.loop.now())
@@ -220,7 +235,7 @@
         now = self.loop.now()
         due, good = self.busy.turn_of(now, sock)
         turn = Turn(int(query.get("after", -1)), due, good, now + int(query.get("wait_ms", 0)) * MS)
-        self.asked_at.append(now)
+        self.called_at.append(now)
         return (yield from self._wait_for(sock, turn, until))
 
     def _wait_for(self, sock, turn, until):
@@ -234,25 +249,25 @@
             if not turn.good:
                 self.failed_at.append(self.loop.now())
                 raise Refused("answered 503", reusable=True)
-            self._go_on(turn)
+            self._take_turn(turn)
         sock.answered_at = self.loop.now()
         kind = UpdateKind.FULL if turn.after < 0 else UpdateKind.CHANGES
         return ListResponse(MembershipUpdate(kind, (), self.busy.version(turn.due)), {}, True, self.loop.now())
 
-    def _go_on(self, turn):
-        """It is the call's turn: it is answered, or held; news that end the holding wait their turn too."""
+    def _take_turn(self, turn):
+        """Handle a call whose turn it is: answer it, or keep it open. A change that ends the wait is queued too."""
         now, busy = self.loop.now(), self.busy
         if turn.held_until is None or busy.version(now) > turn.after >= 0 or turn.after < 0 or now >= turn.held_until:
             turn.written = True
             return
-        news = next((change for change in busy.changes if change > now), turn.held_until)
-        turn.due = min(news, turn.held_until)
-        if news < turn.held_until:
+        change_at = next((change for change in busy.changes if change > now), turn.held_until)
+        turn.due = min(change_at, turn.held_until)
+        if change_at < turn.held_until:
             turn.due = max(turn.due, busy.free_at)
 
 
-class Unheard(Watching):
-    """One whose watches, where they are asked in a span of time, are never answered."""
+class Unanswered(Watching):
+    """A sidecar whose calls with a wait, if they begin within a span of time, are never answered."""
 
     silent_from = silent_to = 0
 
--- a/tests/fault_shim.py
+++ b/tests/fault_shim.py
@@ -1,8 +1,8 @@
-"""System calls of the real program that fail on purpose, while a test says so.
+"""Injects failures of system calls into the real program, as a test requests them.
 
-Loaded into the program's process before it starts. The program makes every call through Python's socket and epoll
-objects, so these are wrapped, and no compiler is needed; interrupted waits are left out, since Python itself goes on
-with them. A `Row` is written to the process's control file; it holds from then on, for its time.
+It is loaded into the program's process before the program starts. The program makes all these calls through Python's
+socket and epoll objects, which are wrapped here. Interrupted waits are left out, since Python itself resumes them. A
+test writes a `Row` to the process's control file, and the row's failures begin from then on, for its time.
 """
 
 import errno
@@ -15,13 +15,14 @@
 from pathlib import Path
 from typing import NamedTuple
 
+# Files in the program's folder: the row to inject, when its first failure was injected, how many were injected.
 CONTROL, BEGAN, COUNT = "syscall-faults.json", "syscall-faults.began", "syscall-faults.count"
-LOOK_EVERY = 0.02  # seconds
+CHECK_EVERY = 0.02  # seconds between two checks for the control file
 CALLS = ("accept", "socket", "connect", "read", "write", "epoll_add", "setsockopt")
 
 
 class Row(NamedTuple):
-    """One case: `rate` of these calls fail with `error`, for so many seconds from the first of them on."""
+    """One case: a share `rate` of these calls fails with `error`, for `seconds` from the first failure on."""
 
     call: str
     error: str
@@ -30,7 +31,7 @@
 
 
 def checked(rows):
-    """The rows of a table. Raises ValueError, which names the first that can't be played."""
+    """Return the rows of a table; raise ValueError for the first one that can't be injected."""
     for number, row in enumerate(rows, 1):
         faults = {
             f"no such call, but one of {', '.join(CALLS)}": row.call not in CALLS,
@@ -38,27 +39,27 @@
             "a rate is above 0 and at most 1": not 0 < row.rate <= 1,
             "a fault lasts for more than 0 s": row.seconds <= 0,
         }
-        for fault, there in faults.items():
-            if there:
+        for fault, present in faults.items():
+            if present:
                 raise ValueError(f"row {number}, {tuple(row)}: {fault}")
     return rows
 
 
 class Injector:
-    """Which calls fail now."""
+    """Decides which calls fail."""
 
     def __init__(self, folder):
         self.control, self.began, self.counted = (Path(folder, name) for name in (CONTROL, BEGAN, COUNT))
-        self.row, self.until, self.look_at = None, 0.0, 0.0
+        self.row, self.until, self.check_at = None, 0.0, 0.0
         self.injected = 0
         self.random = random.Random(7)
 
     def fault(self, call):
-        """The number of the error with which this call is to fail; 0: it does not."""
+        """Return the error number with which this call has to fail; 0: it does not fail."""
         now = time.monotonic()
-        if now >= self.look_at:
-            self.look_at = now + LOOK_EVERY
-            self._look(now)
+        if now >= self.check_at:
+            self.check_at = now + CHECK_EVERY
+            self._check_control(now)
         row = self.row
         if row is None or row.call != call:
             return 0
@@ -70,7 +71,8 @@
         self.injected += 1
         return getattr(errno, row.error)
 
-    def _look(self, now):
+    def _check_control(self, now):
+        """Take the row of the control file, and end one whose time is over."""
         if self.row is None and self.control.exists():
             self.row = Row(**json.loads(self.control.read_text()))
             self.control.unlink()
@@ -81,7 +83,7 @@
 
 
 def install(folder):
-    """Wraps the calls of this process."""
+    """Wrap the calls of this process."""
     injector, real, outgoing = Injector(folder), socket.socket, set()
     calls = {
         name: getattr(real, name) for name in ("__init__", "_accept", "connect_ex", "recv", "sendmsg", "setsockopt")
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,4 @@
-"""The one helper of the tests on sockets: the real program as a process, with toy parties round it."""
+"""Test helper: runs the real program as a process, with stub providers, a stub discovery and test clients."""
 
 import http.client
 import json
@@ -17,13 +17,16 @@
 
 ROOT = Path(__file__).parent.parent
 MS, SECOND = 1_000_000, 1_000_000_000
-LEAST_PORT, PORT_TRIES = 10_000, 1_000
+LEAST_PORT = 10_000  # the lowest port that a test uses
+PORT_TRIES = 1_000  # ports that are tried before a test gives up
 FIRST_EPHEMERAL_PORT = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
-CHOICE = random.SystemRandom()  # tests seed the common one
+PORTS = random.SystemRandom()  # tests seed the global generator, so ports come from another one
+# The classes of the tests: one that may be retried, one that must run once, one whose duplicates are dropped by key.
 READ, ONCE, KEYED = "status-read", "apply-submit", "place-confirm"
 
 
 def profile(name, effect, scope="all"):
+    """A class of requests as the settings have it."""
     times = {"target": 600 * MS, "hardLimit": 3 * SECOND, "window": 12 * SECOND}
     return {"name": name, "effect": effect, "dedupScope": scope, "stream": False, **times}
 
@@ -54,7 +57,7 @@
 
 
 def eventually(check, seconds=10):
-    """Polls until `check` holds; what it last gave is returned either way."""
+    """Poll until `check()` is true or the time is up; return its last result in both cases."""
     end = time.monotonic() + seconds
     while not (found := check()) and time.monotonic() < end:
         time.sleep(0.01)
@@ -62,26 +65,33 @@
 
 
 def listener():
-    """A listening socket. Many are closed at once, and their address is left to a program that starts a moment later:
-    so it has none of the ports that the system gives to connections, or to whoever asks for any port."""
+    """A listening socket on a random port.
+
+    Many are closed at once, so that a program that starts a moment later can use their address. So the port is none
+    that the system assigns to outgoing connections, or to a program that asks for any port.
+    """
     for _ in range(PORT_TRIES):
         with suppress(OSError):
-            return socket.create_server(("127.0.0.1", CHOICE.randrange(LEAST_PORT, FIRST_EPHEMERAL_PORT)))
+            return socket.create_server(("127.0.0.1", PORTS.randrange(LEAST_PORT, FIRST_EPHEMERAL_PORT)))
     raise OSError("no free port was found")
 
 
 def address_of(sock):
+    """The local address of a socket, as `host:port`."""
     return "{}:{}".format(*sock.getsockname())
 
 
 def http_response(status, body=b"", *headers):
+    """The bytes of a response with a Content-Length."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
 
 class StubServer:
-    """A server that hands each request to `self.answer`; bytes are sent, whole or as they are yielded; None closes the
-    connection."""
+    """A server that calls `self.answer` for each request.
+
+    The bytes that it returns or yields are sent; None closes the connection.
+    """
 
     def __init__(self, answer):
         self.answer = answer
@@ -124,33 +134,33 @@
                 end()
 
     def close(self):
-        """The process dies: its port refuses and its connections end."""
+        """End like a process that dies: the port refuses connections, and open ones are closed."""
         for sock in (self.listener, *self.sockets):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
     def restart(self):
-        """A new process, at the same address."""
+        """Listen again at the same address, like a new process."""
         host, port = self.address.split(":")
         self.listener = socket.create_server((host, int(port)))
         threading.Thread(target=self._accept, daemon=True).start()
 
 
 class StubDiscovery(StubServer):
-    """Discovery: a list that tests change, and watches that wait for a change."""
+    """A stub of discovery: a list that tests change, and watches that wait for a change."""
 
     def __init__(self):
         self.index, self.entries, self.changed = 0, [], []
         self.calls_fail = self.whole = False
-        self.news = threading.Condition()
-        super().__init__(self._catalog)
+        self.condition = threading.Condition()
+        super().__init__(self._respond)
 
-    def _catalog(self, head, _):
+    def _respond(self, head, _):
         query = dict(part.split("=") for part in head.split()[1].partition("?")[2].split("&") if part)
-        with self.news:
+        with self.condition:
             after = int(query.get("after", -1))
-            waited = self.news.wait_for(
+            waited = self.condition.wait_for(
                 lambda: self.calls_fail or self.index > after, int(query.get("wait_ms", 0)) / 1000
             )
             if self.calls_fail:
@@ -160,38 +170,47 @@
             return http_response(200, list_body(self.index, entries, whole))
 
     def change(self, *entries):
-        with self.news:
+        """Make a new version of the list, in which these entries changed; tests set `entries` themselves."""
+        with self.condition:
             self.index, self.changed = self.index + 1, list(entries)
-            self.news.notify_all()
+            self.condition.notify_all()
 
     def fail(self, on):
-        with self.news:
+        """Have all calls fail, or succeed again."""
+        with self.condition:
             self.calls_fail = on
-            self.news.notify_all()
+            self.condition.notify_all()
 
 
 def list_body(index, entries, whole):
+    """The body of a response of discovery."""
     return json.dumps({"index": index, "snapshot": whole, "endpoints": entries}).encode()
 
 
 def entry(name, address, zone="a", status="active", since_ms=0):
+    """An entry of the list, as discovery writes it."""
     place = {"name": name, "address": address, "zone": zone, "type": "m", "group": 0}
     return {**place, "status": status, "weight": 1.0, "since_ms": since_ms}
 
 
 class SidecarTest(unittest.TestCase):
-    """Starts the program with the providers a test names; all of it ends with the test."""
+    """A test case that starts the program with stub providers; all of it ends with the test."""
 
     environment: dict[str, str] = {}
-    operator: str | None = None  # the text of the operator's file, where a test has one
-    stderr = None  # where the log goes, instead of a file
+    operator: str | None = None  # the text of the operator's file, if a test has one
+    stderr = None  # where the log is written, instead of a file
     command = [sys.executable, "-m", "loftweir"]
 
     def start(self, *answers, known=None, fault="", **changes):
+        """Start a stub discovery, a stub server for each of `answers`, and the program.
+
+        `known`: the entries of the list in the configuration, by default one for each server. `changes` replace parts
+        of the configuration. `fault`: see `run_program`.
+        """
         self.catalog = StubDiscovery()
         self.providers = [StubServer(answer) for answer in answers]
-        for party in (self.catalog, *self.providers):
-            self.addCleanup(party.close)
+        for server in (self.catalog, *self.providers):
+            self.addCleanup(server.close)
         self.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
         self.catalog.entries = self.entries if known is None else known
         with listener() as free:
@@ -212,7 +231,7 @@
             self.assertEqual(eventually(lambda: self.health() == 200), True, self.log())
 
     def run_program(self, config, fault=""):
-        """`fault` is code run before the program, to break a part of it."""
+        """Start the program with a configuration; its process first runs the code `fault`, to break a part of it."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name, "config.json")
@@ -226,7 +245,7 @@
         self.program = self.launch()
 
     def launch(self, pass_fds=(), **environment):
-        """One process of the program, on the files of this test; the log of all of them is one."""
+        """Start a process of the program with the files of this test; all of them write to one log."""
         folder = str(self.path.parent)
         settings = {"RELAY_CONFIG": str(self.path), "PYTHONPATH": f"{folder}:{ROOT}"} | self.environment | environment
         with self.errors.open("ab") as errors:
@@ -242,30 +261,34 @@
         return program
 
     def log(self):
+        """The program's log so far."""
         return self.errors.read_text()
 
     def logged(self, event):
-        """The records of an event that the program has logged so far."""
+        """The records of an event in the program's log so far."""
         records = [json.loads(line) for line in self.log().splitlines() if line.endswith("}")]
         return [record for record in records if record["event"] == event]
 
     def wait_until_list_read(self):
-        """The program has read the list as it is now: it asks for what comes after that."""
-        asked = f"after={self.catalog.index}&"
-        self.assertTrue(eventually(lambda: any(asked in head for head, *_ in self.catalog.seen)), self.log())
+        """Wait until the program has read the current list: then it asks for the changes after it."""
+        target = f"after={self.catalog.index}&"
+        self.assertTrue(eventually(lambda: any(target in head for head, *_ in self.catalog.seen)), self.log())
 
     def client(self):
+        """A new client connection."""
         client = http.client.HTTPConnection(self.listen, timeout=10)
         self.addCleanup(client.close)
         return client
 
     def health(self):
+        """The status of the health check; 0 if the program can't be reached."""
         try:
             return self.send_request("GET", "/_health")[0]
         except OSError:
             return 0
 
     def send_request(self, method, target, headers=None, body=None, client=None):
+        """Send a request; return the status, the body and the response."""
         client = client or self.client()
         chunked = "Transfer-Encoding" in (headers or {})
         client.request(method, target, body, headers or {}, encode_chunked=chunked)
@@ -273,6 +296,7 @@
         return response.status, response.read(), response
 
     def invoke(self, kind=READ, deadline_ms=2000, target="/api", body=None, client=None, request_id=None):
+        """Send a request of a class; return the status, the body and the response."""
         headers = {"Req-Id": request_id or os.urandom(8).hex(), "Req-Kind": kind}
         headers["Req-Deadline-Ms"] = str(deadline_ms)
         if kind == KEYED:
@@ -281,7 +305,7 @@
         return self.send_request(method, target, headers, body if body or kind == READ else b"{}", client)
 
     def send_raw(self, data):
-        """Sends bytes on a fresh connection, gives back all that comes until its end."""
+        """Send bytes on a new connection, and return all that arrives until its end."""
         host, port = self.listen.split(":")
         with socket.create_connection((host, int(port)), timeout=10) as sock:
             sock.sendall(data)
@@ -289,8 +313,11 @@
 
     @contextmanager
     def paused(self, program=None):
-        """The program gets no turn meanwhile: all that is done to it waits in the kernel, and is there at once when it
-        is let go. So a crossing is forced: both sides of it have happened before either is looked at."""
+        """Stop the program (SIGSTOP) for the body of the `with` statement.
+
+        Everything that is sent to it meanwhile waits in the kernel, and is there at once when it continues. So a race
+        is forced: both of its events have happened before the program sees either.
+        """
         program = program or self.program
         program.send_signal(signal.SIGSTOP)
         state = Path(f"/proc/{program.pid}/stat")
@@ -301,20 +328,22 @@
             program.send_signal(signal.SIGCONT)
 
     def terminate(self):
+        """Send SIGTERM to the program."""
         self.program.send_signal(signal.SIGTERM)
 
     def reload(self, config):
-        """Replaces the configuration and tells the program."""
+        """Replace the configuration and send SIGHUP to the program."""
         self.path.write_text(config, encoding="utf-8")
         self.program.send_signal(signal.SIGHUP)
 
 
 def ok(head, body):
+    """The answer of a server that serves each request."""
     return http_response(200, b"served " + body)
 
 
 def answer_after(gate):
-    """An answer that waits until the test opens the gate."""
+    """The answer of a server that waits until the test sets the event `gate`."""
 
     def answer(head, body):
         gate.wait(10)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""What the application sees: whole answers, plain words on bad input, one answer for each invocation."""
+"""What clients get: complete responses, clear errors for bad input, one final answer for each invocation."""
 
 import os
 import socket
@@ -12,7 +12,7 @@
 
 
 class ClientTest(SidecarTest):
-    def test_an_invocation_is_passed_on_unchanged_and_its_answer_comes_back_whole(self):
+    def test_an_invocation_is_forwarded_unchanged_and_its_response_returned_complete(self):
         answer = os.urandom(64 * 1024)
         self.start(lambda head, body: http_response(200, answer, "Content-Type: text/x"))
         body = os.urandom(64 * 1024)
@@ -28,19 +28,19 @@
         self.assertLessEqual(int(fields["req-deadline-ms"]), 2000)
         self.assertEqual((fields["x-end"], fields.get("x-hop")), ("2", None))
 
-    def test_a_chunked_body_is_taken(self):
+    def test_a_chunked_body_is_accepted(self):
         self.start(ok)
         headers = {"Req-Id": "r", "Req-Kind": ONCE, "Transfer-Encoding": "chunked"}
         self.assertEqual(self.send_request("POST", "/api", headers, iter([b"ab", b"c"]))[:2], (200, b"served abc"))
 
-    def test_both_sides_reuse_their_connections(self):
+    def test_connections_on_both_sides_are_reused(self):
         self.start(ok)
         client = self.client()
         for _ in range(5):
             self.assertEqual(self.invoke(client=client)[0], 200)
         self.assertEqual({number for _, _, number in self.providers[0].seen}, {1})
 
-    def test_bad_input_gets_a_plain_final_answer(self):
+    def test_bad_input_gets_an_error_response(self):
         self.start(ok)
         good = {"Req-Id": "r", "Req-Kind": READ, "Req-Deadline-Ms": "500"}
         for status, method, target, changed in (
@@ -73,7 +73,7 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 413 "))
         self.assertEqual(self.providers[0].seen, [])
 
-    def test_what_could_hide_another_request_is_rejected_and_the_connection_closed(self):
+    def test_a_message_that_could_hide_another_request_is_rejected_and_the_connection_closed(self):
         self.start(ok)
         head = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: apply-submit\r\n"
         hidden = b"0\r\n\r\n" + head.replace(b"Req-Id: r", b"Req-Id: in") + b"Content-Length: 0\r\n\r\n"
@@ -85,7 +85,7 @@
             self.assertEqual(answer.count(b"HTTP/1.1"), 1)
         self.assertEqual(self.providers[0].seen, [])
 
-    def test_who_sends_nothing_or_half_a_request_gets_an_error_or_a_close_within_3_s(self):
+    def test_a_client_that_sends_nothing_or_half_a_request_gets_an_error_or_a_close_within_3_s(self):
         self.start(ok)
         head = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: apply-submit\r\n"
         halves = {b"": b"", head: b"HTTP/1.1 408 ", head + b"Content-Length: 9\r\n\r\nx": b"HTTP/1.1 408 "}
@@ -95,14 +95,14 @@
                 self.assertTrue(answer.startswith(start) and bool(answer) == bool(start), answer)
             self.assertLess(time.monotonic() - began, 5)
 
-    def test_a_body_known_to_be_too_large_is_not_waited_for(self):
+    def test_a_body_announced_as_too_large_is_not_awaited(self):
         self.start(ok)
         head = b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: apply-submit\r\n"
         began = time.monotonic()
         self.assertTrue(self.send_raw(head + b"Content-Length: 60000000\r\n\r\nx").startswith(b"HTTP/1.1 413 "))
         self.assertLess(time.monotonic() - began, 2)
 
-    def test_what_a_request_needs_is_passed_on_though_its_connection_field_names_it(self):
+    def test_fields_that_a_request_needs_are_forwarded_although_its_connection_field_names_them(self):
         self.start(ok)
         headers = {"Req-Id": "r", "Req-Kind": READ, "Connection": "host, req-id"}
         self.assertEqual(self.send_request("GET", "/api", headers)[0], 200)
@@ -118,7 +118,7 @@
             sock.sendall(b"{}")
             self.assertTrue(sock.recv(4096).startswith(b"HTTP/1.1 200 "))
 
-    def test_when_the_client_goes_its_call_is_drained_and_the_connection_used_again(self):
+    def test_when_the_client_disconnects_its_attempt_runs_on_and_the_connection_is_reused(self):
         gate = threading.Event()
         self.start(answer_after(gate))
         client = self.client()
@@ -130,8 +130,8 @@
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200))
         self.assertEqual(self.providers[0].ends, [])
 
-    def test_an_id_that_is_still_out_is_not_sent_a_second_time(self):
-        """The same id again would run twice, and two of one id would mix up the balancer's attempts."""
+    def test_an_id_in_flight_is_not_sent_a_second_time(self):
+        """A second request with the id would run twice, and the balancer would confuse the attempts of the two."""
         gate = threading.Event()
         self.start(answer_after(gate))
         first = self.client()
@@ -142,7 +142,7 @@
         self.assertEqual(first.getresponse().status, 200)
         self.assertEqual(len(self.providers[0].seen), 1)
 
-    def test_connections_reset_at_once_do_not_end_the_accepting(self):
+    def test_connections_reset_at_once_do_not_stop_the_listener(self):
         self.start(ok)
         host, port = self.listen.split(":")
         for _ in range(50):
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,7 +1,7 @@
-"""A client that has gone: no attempt begins for it, first or further, whatever else comes in the same moment.
+"""A client that has disconnected: no attempt begins for it, first or further, whatever else happens at the same moment.
 
-Each crossing is forced: the program is held still until both sides of it are in the kernel, and then let go. What the
-servers were sent is read once the program has ended, and its connections with it: nothing more can come then.
+Each race is forced: the program is stopped until both events are in the kernel, and then continued. What the providers
+received is checked after the program has ended, when nothing more can be sent.
 """
 
 import socket
@@ -27,16 +27,18 @@
 
 
 def reset(sock):
+    """Close a connection with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
+# The ways in which a client leaves.
 LEAVES = {"closes": socket.socket.close, "resets": reset, "half-closes": lambda sock: sock.shutdown(socket.SHUT_WR)}
-PATIENT = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "connectTimeout": 2500 * MS}}
+LONG_CONNECT_TIMEOUT = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "connectTimeout": 2500 * MS}}
 
 
-def asked(name, kind=READ, body=b"", *lines):
-    """A request's bytes."""
+def request_bytes(name, kind=READ, body=b"", *lines):
+    """The bytes of a request with the id `name`."""
     fields = ["GET /api HTTP/1.1" if kind == READ else "POST /api HTTP/1.1", "Host: h", f"Req-Id: {name}", *lines]
     fields += [f"Req-Kind: {kind}", "Req-Deadline-Ms: 2900", f"Content-Length: {len(body)}", "", ""]
     return "\r\n".join(fields).encode() + body
@@ -46,36 +48,37 @@
     return next(line[8:] for line in head.splitlines() if line.lower().startswith("req-id: "))
 
 
-def coming_up(server):
-    """The ports from which connections to a server are coming up, as the kernel has them: SYN sent, no answer yet."""
+def connecting_ports(server):
+    """The local ports of connections to a server that are being opened: the kernel has sent SYN and has no answer."""
     to = f"{server.getsockname()[1]:04X}"
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     return {int(row[1].split(":")[1], 16) for row in rows if row[2].split(":")[1] == to and row[3] == "02"}
 
 
 class Gate:
-    """A server's answers: at once, but for the requests named, whose answer waits for `open`."""
+    """The answer of a server that answers at once, except the named requests, which wait for `open`."""
 
     def __init__(self, *names, answer=ok):
         self.names, self.answer = names, answer
-        self.let, self.written = threading.Event(), threading.Event()
+        self.opened, self.written = threading.Event(), threading.Event()
 
     def __call__(self, head, body):
         if id_of(head) not in self.names:
             yield ok(head, body)
             return
-        self.let.wait(10)
+        self.opened.wait(10)
         yield self.answer(head, body)
         self.written.set()
 
     def open(self):
-        """Its answer is in the kernel, on the program's side, when this returns."""
-        self.let.set()
+        """Answer the waiting request; the answer is in the kernel, on the program's side, when this returns."""
+        self.opened.set()
         assert self.written.wait(10)
 
 
 class GoneTest(SidecarTest):
     def connected(self, *data):
+        """A new connection on which `data` has been sent."""
         host, port = self.listen.split(":")
         sock = socket.create_connection((host, int(port)), timeout=10)
         self.addCleanup(sock.close)
@@ -84,40 +87,40 @@
         return sock
 
     def served(self, name):
-        """A connection at rest, its request `name` served: all that came before it has been worked off."""
-        sock = self.connected(asked(name))
+        """An idle connection on which the request `name` was served; everything earlier has been handled by then."""
+        sock = self.connected(request_bytes(name))
         self.assertIn(b" 200 ", sock.recv(4096))
         return sock
 
     def ids(self):
-        return [id_of(head) for party in self.providers for head, _, _ in party.seen]
+        return [id_of(head) for server in self.providers for head, _, _ in server.seen]
 
     def has(self, name):
-        """The numbers of the servers that a request has reached."""
+        """The numbers of the servers that have received a request."""
         return [n for n, p in enumerate(self.providers) if name in [id_of(head) for head, _, _ in p.seen]]
 
-    def sent_on(self):
-        """The ids that reached servers, each as often as it did."""
+    def forwarded(self):
+        """The ids that servers received, each as often as they did, without `warm`; ends the program."""
         self.served("stays")
         self.terminate()
         self.program.wait(10)
-        for party in self.providers:
-            self.assertTrue(eventually(lambda p=party: len(p.ends) == len(p.sockets)))
+        for server in self.providers:
+            self.assertTrue(eventually(lambda p=server: len(p.ends) == len(p.sockets)))
         return sorted(name for name in self.ids() if name != "warm")
 
-    def test_it_has_left_when_its_request_is_read(self):
-        """At a late accept, at rest, with the rest of a body to come, and with a body that was waited for with 100."""
+    def test_the_client_has_left_when_its_request_is_read(self):
+        """Its connection waits to be accepted, is idle, or misses the rest of a body, with or without 100 Continue."""
         self.start(ok)
-        whole = asked("in-its-body", ONCE, b"x" * 4000)
-        awaited = asked("awaited", ONCE, b"x" * 9, "Expect: 100-continue")
+        whole = request_bytes("in-its-body", ONCE, b"x" * 4000)
+        awaited = request_bytes("awaited", ONCE, b"x" * 9, "Expect: 100-continue")
         for how, leave in LEAVES.items():
             at_rest, in_its_body = self.served("before"), self.connected(whole[:-99])
             waits = self.connected(awaited[:-9])
             self.assertIn(b" 100 ", waits.recv(4096))
             with self.paused():
                 for sock, rest in (
-                    (self.connected(), asked("to-accept")),
-                    (at_rest, asked("at-rest")),
+                    (self.connected(), request_bytes("to-accept")),
+                    (at_rest, request_bytes("at-rest")),
                     (in_its_body, whole[-99:]),
                     (waits, awaited[-9:]),
                 ):
@@ -125,26 +128,29 @@
                     leave(sock)
             with self.subTest(how):
                 self.served("before")
-        self.assertEqual(self.sent_on(), ["before"] * 6 + ["stays"])
+        self.assertEqual(self.forwarded(), ["before"] * 6 + ["stays"])
 
-    def test_it_leaves_as_the_answer_comes_that_its_request_waits_behind(self):
-        """Sent with the request before it, in the program's hands already, or later, in the kernel."""
+    def test_the_client_leaves_as_the_response_arrives_behind_which_its_request_waits(self):
+        """Its request was sent with the one before, and has been read already, or later, and is still in the kernel."""
         for together in (True, False):
             for how, leave in LEAVES.items():
                 with self.subTest(how, together=together):
                     gate = Gate("first")
                     self.start(gate)
-                    sock = self.connected(asked("first") + asked("second") * together)
+                    sock = self.connected(request_bytes("first") + request_bytes("second") * together)
                     self.assertTrue(eventually(lambda: self.has("first")))
-                    sock.sendall(asked("second") * (not together))
+                    sock.sendall(request_bytes("second") * (not together))
                     with self.paused():
                         gate.open()
                         leave(sock)
-                    self.assertEqual(self.sent_on(), ["first", "stays"])
+                    self.assertEqual(self.forwarded(), ["first", "stays"])
 
-    def test_it_leaves_as_an_attempt_ends_that_another_would_follow(self):
-        """The first server's word comes first, and a connection to the second one rests: what proves that nothing
-        ran, or what may be repeated, would be sent to that one in the same step."""
+    def test_the_client_leaves_as_an_attempt_ends_that_would_be_retried(self):
+        """The first server's response is read first, and there is an idle connection to the second one.
+
+        If the response proves that nothing ran, or the request may be retried, it would be sent to the second one in
+        the same step.
+        """
         ends = {
             "declined": lambda head, body: http_response(503, b"", "Srv-Declined: 1"),
             "failed": lambda head, body: http_response(500),
@@ -155,31 +161,30 @@
                     gates = Gate("r", answer=answer), Gate("r", answer=answer)
                     self.start(*gates)
                     self.assertTrue(eventually(lambda: self.served("warm") and all(p.seen for p in self.providers)))
-                    sock = self.connected(asked("r"))
+                    sock = self.connected(request_bytes("r"))
                     self.assertTrue(eventually(lambda: self.has("r")))
                     with self.paused():
                         gates[self.has("r")[0]].open()
                         leave(sock)
-                    self.assertEqual(self.sent_on(), ["r", "stays"])
+                    self.assertEqual(self.forwarded(), ["r", "stays"])
 
-    def test_it_leaves_as_the_server_is_told_that_its_request_waits_for(self):
+    def test_the_client_leaves_as_the_provider_is_listed_that_its_request_waits_for(self):
         for how, leave in LEAVES.items():
             with self.subTest(how):
                 self.start(ok, known=[])
                 self.assertTrue(eventually(self.health))
                 self.assertTrue(eventually(lambda: any("after=" in head for head, _, _ in self.catalog.seen)))
-                sock = self.connected(asked("r"))
-                self.assertEqual(self.health(), 503)  # asked for later: the request has been read
+                sock = self.connected(request_bytes("r"))
+                self.assertEqual(self.health(), 503)  # sent later: the request has been read
                 with self.paused():
                     self.catalog.entries = self.entries
                     self.catalog.change(*self.entries)
                     leave(sock)
                 self.assertTrue(eventually(lambda: self.health() == 200))
-                self.assertEqual(self.sent_on(), ["stays"])
+                self.assertEqual(self.forwarded(), ["stays"])
 
-    def test_it_leaves_as_a_connection_to_its_server_comes_up(self):
-        """The server's queue of connections is full. The one made for this request waits in the kernel, and comes up
-        once there is room."""
+    def test_the_client_leaves_as_the_connection_to_its_provider_opens(self):
+        """The server's listen queue is full, so the connection for this request waits in the kernel at first."""
         for how, leave in LEAVES.items():
             with self.subTest(how), socket.create_server(("127.0.0.1", 0), backlog=0) as server:
                 fillers = [socket.socket() for _ in range(3)]
@@ -187,11 +192,11 @@
                     self.addCleanup(filler.close)
                     filler.setblocking(False)
                     filler.connect_ex(server.getsockname())
-                self.start(known=[entry("full", address_of(server))], settings=PATIENT)
+                self.start(known=[entry("full", address_of(server))], settings=LONG_CONNECT_TIMEOUT)
                 self.assertTrue(eventually(lambda: self.health() == 200))
                 others = {filler.getsockname()[1] for filler in fillers}
-                sock = self.connected(asked("r"))
-                self.assertTrue(eventually(lambda server=server, others=others: coming_up(server) - others))
+                sock = self.connected(request_bytes("r"))
+                self.assertTrue(eventually(lambda server=server, others=others: connecting_ports(server) - others))
                 with self.paused():
                     server.settimeout(10)
                     up = next(s for s, (_, port) in iter(server.accept, None) if port not in others)
@@ -202,59 +207,64 @@
                 up.settimeout(10)
                 self.assertEqual(up.recv(4096), b"")
 
-    def test_a_burst_of_them_leaves_while_the_program_has_no_turn(self):
+    def test_a_burst_of_clients_leaves_while_the_program_is_stopped(self):
         self.start(ok)
         with self.paused():
             for number in range(200):
-                sock = self.connected(asked(f"r{number}"))
+                sock = self.connected(request_bytes(f"r{number}"))
                 list(LEAVES.values())[number % 2](sock)
-        self.assertEqual(self.sent_on(), ["stays"])
+        self.assertEqual(self.forwarded(), ["stays"])
+
+    def test_the_client_leaves_during_a_long_upload(self):
+        """A body that exceeds the memory budget is forwarded as it arrives.
 
-    def test_it_leaves_in_a_long_upload(self):
-        """A body greater than the room is sent on while it comes: not at all once its client has left, and its server
-        is not kept waiting for the rest of one that breaks off."""
+        Nothing of it is forwarded if its client has left before, and the server does not wait for the rest of one that
+        is cut off.
+        """
         self.start(ok, limits={"cores": 1.0, "memory_mb": 40, "sockets": 256})
         self.assertTrue(eventually(lambda: self.health() == 200))
         for how, leave in LEAVES.items():
             with self.subTest(how):
                 before = len(self.providers[0].ends)
-                sock = self.connected(asked("breaks", ONCE, b"x" * (9 << 20))[: 2 << 20])
-                self.assertTrue(eventually(lambda: self.most_come() >= 1 << 20))
+                sock = self.connected(request_bytes("breaks", ONCE, b"x" * (9 << 20))[: 2 << 20])
+                self.assertTrue(eventually(lambda: self.most_received() >= 1 << 20))
                 leave(sock)
                 self.assertTrue(eventually(lambda b=before: len(self.providers[0].ends) > b, 2))
                 with self.paused():
-                    sock = self.connected(asked("late", ONCE, b"x" * (9 << 20))[: 1 << 16])
+                    sock = self.connected(request_bytes("late", ONCE, b"x" * (9 << 20))[: 1 << 16])
                     leave(sock)
                 self.served("warm")
-        self.assertEqual(self.sent_on(), ["breaks"] * 3 + ["stays"])
+        self.assertEqual(self.forwarded(), ["breaks"] * 3 + ["stays"])
 
-    def test_it_leaves_as_there_is_room_for_its_body(self):
-        """One long body and many short ones, none of them whole, take all the room; with the clients of all, the one
-        whose request waits behind them leaves too."""
+    def test_the_client_leaves_as_memory_for_its_body_becomes_free(self):
+        """One long and many short bodies, all incomplete, take all the memory for bodies.
+
+        A client whose request waits for memory leaves together with all of theirs.
+        """
         self.start(ok, limits={"cores": 1.0, "memory_mb": 40, "sockets": 256})
         self.assertTrue(eventually(lambda: self.health() == 200))
         for how, leave in LEAVES.items():
             with self.subTest(how):
-                crowd = [self.connected(asked("long", ONCE, b"x" * (7 << 20))[:4096])]
-                crowd += [self.connected(asked("short", ONCE, b"x" * (64 << 10))[:4096]) for _ in range(60)]
-                crowd.append(self.connected(asked("waits", ONCE, b"x" * 60_000)))
-                self.assertEqual(self.health(), 200)  # asked for later: all of them have been read
+                crowd = [self.connected(request_bytes("long", ONCE, b"x" * (7 << 20))[:4096])]
+                crowd += [self.connected(request_bytes("short", ONCE, b"x" * (64 << 10))[:4096]) for _ in range(60)]
+                crowd.append(self.connected(request_bytes("waits", ONCE, b"x" * 60_000)))
+                self.assertEqual(self.health(), 200)  # sent later: all of them have been read
                 with self.paused():
                     for sock in crowd:
                         leave(sock)
                 self.served("warm")
-        self.assertEqual(self.sent_on(), ["stays"])
+        self.assertEqual(self.forwarded(), ["stays"])
 
-    def most_come(self):
-        """Bytes that have come to the server on one connection, as its kernel counts them."""
+    def most_received(self):
+        """The most bytes that a connection to the server has received, as the kernel counts them."""
         sizes = [0]
         for sock in self.providers[0].sockets:
             with suppress(OSError):
                 sizes += struct.unpack_from("Q", sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136), 128)
         return max(sizes)
 
-    def test_it_leaves_while_a_long_answer_is_passed_on(self):
-        """Nothing of it is kept: neither its connection nor its server's, whose answer still comes."""
+    def test_the_client_leaves_while_a_long_response_is_forwarded(self):
+        """Neither the client's connection stays open, nor that to the server, whose response still arrives."""
         go_on = threading.Event()
 
         def long(head, body):
@@ -269,20 +279,22 @@
                 self.served("warm").close()
                 before = len(list(files.iterdir()))
                 go_on.clear()
-                sock = self.connected(asked("long"))
+                sock = self.connected(request_bytes("long"))
                 self.assertIn(b" 200 ", sock.recv(1 << 16))
                 with self.paused():
                     leave(sock)
                     go_on.set()
                 self.served("warm").close()
                 self.assertTrue(eventually(lambda b=before: len(list(files.iterdir())) <= b))
-        self.assertEqual(self.sent_on(), ["long"] * 2 + ["stays"])
+        self.assertEqual(self.forwarded(), ["long"] * 2 + ["stays"])
 
 
 class NothingToSendTest(unittest.TestCase):
-    def test_one_who_has_left_is_no_request_to_the_balancer(self):
-        """It takes the time between requests for its measure of the traffic, and spaces a cold server's calls by it:
-        a burst of those who left would have it send them close together."""
+    def test_a_request_whose_client_has_left_is_not_passed_to_the_balancer(self):
+        """The balancer measures the traffic by the time between requests, and spaces attempts at a cold provider by it.
+
+        A burst of requests whose clients have left would make it send them close together.
+        """
         loop = Loop()
         back = Backend(loop, settings(), Options(), 9, 1 << 20)
         host = Host(loop, settings(), 1, back, lists=None)
@@ -294,11 +306,11 @@
             host.release(invocation)
             self.assertEqual(host.invocations, {})
 
-    def test_a_connection_at_rest_is_not_touched_for_a_body_that_was_sent_on_already(self):
-        """Taken and put back it would rest anew, past the time after which its server closes it as idle."""
+    def test_an_idle_connection_is_not_used_for_a_body_that_was_forwarded_already(self):
+        """If it were taken and released, it would count as idle from then on, for longer than its server allows."""
         loop, ends = Loop(), []
         back = Backend(loop, settings(), Options(), 9, 1 << 20)
-        back.on_attempt_ended = lambda call, outcome, payload: ends.append(outcome)
+        back.on_attempt_ended = lambda attempt, outcome, payload: ends.append(outcome)
         ours, theirs = socket.socketpair()
         for sock in (ours, theirs):
             self.addCleanup(sock.close)
@@ -315,31 +327,31 @@
         self.assertEqual([c.idle_since for c in back.pool.idle], [idle_since])
 
 
-class Crowd(SidecarTest):
-    """Many clients, or few that send much, beside one as usual."""
+class ManyClientsTest(SidecarTest):
+    """Many clients, or some that send much, besides an ordinary one."""
 
     connected = GoneTest.connected
 
-    def test_idle_clients_hold_all_they_can_while_discovery_is_down_and_comes_back(self):
-        """None of them leaves. What discovery tells at its return is learnt, and who is new is served by the server
-        that it names."""
+    def test_idle_clients_take_all_connections_while_discovery_is_down_and_returns(self):
+        """None of them leaves. The list that discovery has at its return is read, and a new client is served by the
+        server in that list."""
         self.start(ok, ok, known=[], limits={"cores": 1.0, "memory_mb": 192, "sockets": 64})
         self.catalog.entries = self.entries[:1]
         self.catalog.change(*self.entries[:1])
         self.assertTrue(eventually(lambda: self.health() == 200))
-        place = self.catalog.listener.getsockname()
+        address = self.catalog.listener.getsockname()
         self.catalog.close()
-        crowd = [self.connected(asked(f"idle{n}")) for n in range(40)] + [self.connected() for _ in range(200)]
+        crowd = [self.connected(request_bytes(f"idle{n}")) for n in range(40)] + [self.connected() for _ in range(200)]
         self.assertEqual(self.invoke()[0], 200)
         self.catalog.entries, self.catalog.whole = self.entries[1:], True
         self.catalog.index += 1
-        self.catalog.listener = socket.create_server(place)
+        self.catalog.listener = socket.create_server(address)
         threading.Thread(target=self.catalog._accept, daemon=True).start()
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200 and self.providers[1].seen))
         self.assertEqual(len(crowd), 240)
 
-    def test_one_who_sends_requests_without_end_leaves_the_others_their_turns(self):
-        """Answered at once, without a server, and read as fast as they come: never a moment with nothing to read."""
+    def test_a_client_that_sends_requests_without_end_does_not_starve_the_others(self):
+        """Health checks are answered at once, and their responses read as they arrive: there is always input."""
         self.start(ok)
         flood, over = self.connected(), threading.Event()
 
@@ -351,7 +363,7 @@
             while flood.recv(1 << 20):
                 pass
 
-        threads = [threading.Thread(target=suppressed, args=(turn,), daemon=True) for turn in (send, read)]
+        threads = [threading.Thread(target=suppressed, args=(part,), daemon=True) for part in (send, read)]
         for thread in threads:
             thread.start()
         times = [self.timed() for _ in range(20)]
@@ -360,24 +372,26 @@
         self.assertLess(sorted(times)[10], 0.2)
 
     def timed(self):
+        """How long an ordinary request takes, in seconds."""
         began = time.monotonic()
         self.assertEqual(self.invoke()[0], 200)
         return time.monotonic() - began
 
     def memory(self):
+        """The program's resident memory in MiB."""
         lines = Path(f"/proc/{self.program.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS")) / 1024
 
-    def test_who_sends_much_and_goes_takes_bounded_room(self):
-        """Bodies without end and half of them, requests by the hundred before any answer is read, and heads that never
-        end: from forty connections, twice."""
+    def test_clients_that_send_much_and_leave_take_bounded_memory(self):
+        """Too large bodies, incomplete ones, thousands of pipelined requests without reading a response, and heads that
+        never end, on forty connections, twice."""
         self.start(ok)
         self.invoke()
         before = self.memory()
         much = (
-            asked("body", ONCE, b"x" * (20 << 20)),
-            asked("half", ONCE, b"x" * (4 << 20))[:-1],
-            b"".join(asked(f"p{n}") for n in range(3000)),
+            request_bytes("body", ONCE, b"x" * (20 << 20)),
+            request_bytes("half", ONCE, b"x" * (4 << 20))[:-1],
+            b"".join(request_bytes(f"p{n}") for n in range(3000)),
             b"GET /api HTTP/1.1\r\nX: " + b"x" * (8 << 20),
         )
         for leave in (socket.socket.close, reset):
@@ -395,9 +409,10 @@
         self.assertLess(self.memory() - before, 64)
 
 
-def suppressed(turn):
+def suppressed(function):
+    """Call a function and ignore the errors of its connection."""
     with suppress(OSError):
-        turn()
+        function()
 
 
 if __name__ == "__main__":
--- a/tests/test_grammar.py
+++ b/tests/test_grammar.py
@@ -1,4 +1,4 @@
-"""The common form of HTTP against h11, the reference: what is read here, h11 reads the same, at every cut."""
+"""The fast parser against h11, the reference: whatever it accepts, h11 reads in the same way, at every cut."""
 
 import random
 
@@ -13,11 +13,11 @@
     b"POST /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: 9b1f\r\nReq-Kind: apply-submit\r\n"
     b"Req-Deadline-Ms: 480\r\nContent-Length: 5\r\n\r\nhello"
 )
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nSrv-Load: queue=2\r\nContent-Length: 5\r\n\r\nhello"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nSrv-Load: queue=2\r\nContent-Length: 5\r\n\r\nhello"
 
 
-def by_h11(role, data):
-    """What h11 makes of the bytes: the head, the body and what is left behind it; None: refused, or not whole."""
+def read_by_h11(role, data):
+    """How h11 reads the data: the head, the body and the data behind it; None if it rejects it or it is incomplete."""
     connection = h11.Connection(role)
     if role is h11.CLIENT:
         connection.send(h11.Request(method="POST", target="/", headers=[("Host", "x"), ("Content-Length", "0")]))
@@ -34,11 +34,12 @@
     if not isinstance(event, h11.EndOfMessage):
         return None
     start = (head.method, head.target) if isinstance(head, h11.Request) else (b"%d" % head.status_code, head.reason)
-    again = connection.their_state is h11.DONE
-    return start, list(head.headers.raw_items()), body, bytes(connection.trailing_data[0]), again
+    reusable = connection.their_state is h11.DONE
+    return start, list(head.headers.raw_items()), body, bytes(connection.trailing_data[0]), reusable
 
 
-def read_here(role, data):
+def read_fast(role, data):
+    """How the fast parser reads the data; None if it leaves it to h11 or it is incomplete."""
     head = (grammar.request if role is h11.SERVER else grammar.response)(data)
     if head is None or len(data) < head.end + head.length:
         return None
@@ -46,20 +47,20 @@
     return (head.first, head.second), head.pairs, data[head.end : end], data[end:], True
 
 
-def agree(role, data):
-    """Whatever is read here is read by h11, and the same."""
-    here = read_here(role, data)
-    if here is not None:
-        assert here == by_h11(role, data), data
-    return here
+def check_agreement(role, data):
+    """Check that h11 reads the data in the same way if the fast parser reads it; return what the latter read."""
+    fast = read_fast(role, data)
+    if fast is not None:
+        assert fast == read_by_h11(role, data), data
+    return fast
 
 
-@pytest.mark.parametrize(("role", "data"), [(h11.SERVER, REQUEST), (h11.CLIENT, ANSWER)])
-def test_the_common_form_is_read_here_whole_and_at_every_cut_as_h11_reads_it(role, data):
-    assert agree(role, data) is not None
-    assert agree(role, data + data) is not None, "another one right behind"
+@pytest.mark.parametrize(("role", "data"), [(h11.SERVER, REQUEST), (h11.CLIENT, RESPONSE)])
+def test_the_common_form_is_read_as_h11_reads_it_and_only_when_it_is_whole(role, data):
+    assert check_agreement(role, data) is not None
+    assert check_agreement(role, data + data) is not None, "with another message right behind"
     for cut in range(len(data)):
-        assert agree(role, data[:cut]) is None
+        assert check_agreement(role, data[:cut]) is None
 
 
 @pytest.mark.parametrize(
@@ -99,13 +100,13 @@
         b"Req-Id: twice",
     ],
 )
-@pytest.mark.parametrize(("role", "data"), [(h11.SERVER, REQUEST), (h11.CLIENT, ANSWER)])
-def test_what_is_unusual_is_left_to_h11(role, data, line):
+@pytest.mark.parametrize(("role", "data"), [(h11.SERVER, REQUEST), (h11.CLIENT, RESPONSE)])
+def test_unusual_fields_are_left_to_h11(role, data, line):
     head, _, body = data.partition(b"\r\n\r\n")
     if line in (b"Host: other", b"Req-Id: twice") and role is h11.CLIENT:
-        return  # an answer may have these
+        return  # a response may have these
     for place in (head + b"\r\n" + line, head.replace(b"\r\n", b"\r\n" + line + b"\r\n", 1)):
-        assert read_here(role, place + b"\r\n\r\n" + body) is None
+        assert read_fast(role, place + b"\r\n\r\n" + body) is None
 
 
 @pytest.mark.parametrize(
@@ -131,28 +132,28 @@
     ],
 )
 def test_other_requests_are_left_to_h11(data):
-    assert read_here(h11.SERVER, data) is None
+    assert read_fast(h11.SERVER, data) is None
 
 
 @pytest.mark.parametrize(
     "data",
     [
-        ANSWER.replace(b"200", b"204"),
-        ANSWER.replace(b"200", b"304"),
-        ANSWER.replace(b"200", b"100"),
-        ANSWER.replace(b"200", b"2000"),
-        ANSWER.replace(b"200", b"20"),
-        ANSWER.replace(b"200", b"600"),
-        ANSWER.replace(b"200 OK", b"200"),
-        ANSWER.replace(b"200 OK", b"200  OK"),
-        ANSWER.replace(b"1.1", b"1.0"),
-        ANSWER.replace(b"Content-Length: 5\r\n", b""),
-        b"\r\n" + ANSWER,
-        ANSWER.replace(b"HTTP", b"http"),
+        RESPONSE.replace(b"200", b"204"),
+        RESPONSE.replace(b"200", b"304"),
+        RESPONSE.replace(b"200", b"100"),
+        RESPONSE.replace(b"200", b"2000"),
+        RESPONSE.replace(b"200", b"20"),
+        RESPONSE.replace(b"200", b"600"),
+        RESPONSE.replace(b"200 OK", b"200"),
+        RESPONSE.replace(b"200 OK", b"200  OK"),
+        RESPONSE.replace(b"1.1", b"1.0"),
+        RESPONSE.replace(b"Content-Length: 5\r\n", b""),
+        b"\r\n" + RESPONSE,
+        RESPONSE.replace(b"HTTP", b"http"),
     ],
 )
-def test_other_answers_are_left_to_h11(data):
-    assert read_here(h11.CLIENT, data) is None
+def test_other_responses_are_left_to_h11(data):
+    assert read_fast(h11.CLIENT, data) is None
 
 
 PIECES = [
@@ -186,17 +187,17 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_fuzzed_bytes_are_read_alike_or_left_to_h11(seed):
-    """Spoilt at one to four places each, with pieces that readers differ on."""
+def test_fuzzed_data_is_read_as_by_h11_or_left_to_h11(seed):
+    """Messages changed at one to four places, with pieces on which parsers differ."""
     draw, read = random.Random(seed), 0
     for _ in range(4000):
-        role, data = draw.choice([(h11.SERVER, REQUEST), (h11.CLIENT, ANSWER)])
-        spoilt = bytearray(data)
+        role, data = draw.choice([(h11.SERVER, REQUEST), (h11.CLIENT, RESPONSE)])
+        mutated = bytearray(data)
         for _ in range(draw.randint(1, 4)):
-            at = draw.randrange(len(spoilt) + 1)
-            spoilt[at : at + draw.choice([0, 0, 1, 2])] = draw.choice(PIECES)
-        read += agree(role, bytes(spoilt)) is not None
-    assert read > 50, "some of them are good ones"
+            at = draw.randrange(len(mutated) + 1)
+            mutated[at : at + draw.choice([0, 0, 1, 2])] = draw.choice(PIECES)
+        read += check_agreement(role, bytes(mutated)) is not None
+    assert read > 50, "some of them are valid"
 
 
 TOKENS = st.text("abcXYZ-_!", min_size=1, max_size=8)
@@ -209,13 +210,13 @@
     st.lists(st.tuples(TOKENS, st.sampled_from([": ", ":", " : ", ":  "]), VALUES), max_size=5),
     st.binary(max_size=12),
 )
-def test_any_fields_are_read_alike_or_left_to_h11(role, fields, tail):
+def test_any_fields_are_read_as_by_h11_or_left_to_h11(role, fields, tail):
     start = b"GET /api HTTP/1.1\r\nHost: x" if role is h11.SERVER else b"HTTP/1.1 200 OK\r\nContent-Length: 3"
     lines = [start, *(f"{name}{sign}{value}".encode("latin-1") for name, sign, value in fields)]
-    agree(role, b"\r\n".join(lines) + b"\r\n\r\n" + tail)
+    check_agreement(role, b"\r\n".join(lines) + b"\r\n\r\n" + tail)
 
 
-def test_names_that_clients_make_up_take_bounded_room():
+def test_field_names_that_clients_make_up_take_bounded_memory():
     for number in range(3 * grammar.KNOWN_NAMES):
-        agree(h11.SERVER, REQUEST.replace(b"Req-Id", b"X-%d" % number))
+        check_agreement(h11.SERVER, REQUEST.replace(b"Req-Id", b"X-%d" % number))
     assert len(grammar.known) <= grammar.KNOWN_NAMES
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -1,4 +1,4 @@
-"""Start, discovery, broken parts and the end of the process."""
+"""The real program: start, discovery, faults of its parts, limits on connections, and the end of the process."""
 
 import json
 import select
@@ -9,6 +9,7 @@
 
 from scene import ONCE, SidecarTest, StubDiscovery, answer_after, entry, eventually, ok
 
+# Code for `run_program`: the method `name` of the class `part` raises for the request with the id "break".
 BREAK = """
 whole = getattr(part, name)
 def broken(self, thing, *rest):
@@ -20,7 +21,7 @@
 
 
 class LifeTest(SidecarTest):
-    def test_a_bad_configuration_ends_it_with_a_line_for_each_fault(self):
+    def test_a_bad_configuration_ends_the_program_with_one_log_line_for_each_fault(self):
         nowhere = '{"listen": "nowhere", "discovery": "127.0.0.1:1", "seed": "z"}'
         rest = {"limits.sockets", "limits.memory_mb", "seed", "settings", "known"}
         cases = {"{": {""}, "[]": {""}, "{}": rest | {"listen", "discovery"}, nowhere: rest | {"listen"}}
@@ -38,16 +39,16 @@
         self.catalog.change(*self.entries)
         self.assertTrue(eventually(lambda: self.health() == 200))
 
-    def test_a_list_of_version_0_is_watched_not_fetched_over_and_over(self):
+    def test_a_list_of_version_0_is_watched_and_not_fetched_repeatedly(self):
         self.start(ok)
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > 1))
         time.sleep(0.5)
-        # The first call does not wait; the next one does, by a lateness of ours less than 4 s, and is out still.
+        # The first call does not wait. The next one does, for 4 s less the program's own delay, and is still in flight.
         first, second = (head.split()[1] for head, _, _ in self.catalog.seen)
         self.assertEqual(first, "/catalog/members?after=0&wait_ms=0")
         self.assertRegex(second, r"^/catalog/members\?after=0&wait_ms=(4000|3\d{3})$")
 
-    def test_a_drain_is_kept_and_the_watch_goes_on(self):
+    def test_a_drain_is_followed_and_the_watch_continues(self):
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
         for number, leaving in enumerate((self.entries[0], self.entries[0] | {"status": "active"})):
@@ -57,9 +58,9 @@
             for _ in range(6):
                 self.assertEqual(self.invoke()[0], 200)
             self.assertEqual(len(self.providers[0].seen) > before, bool(number))
-        self.assertEqual(self.catalog.ends, [], "one connection carries the watch")
+        self.assertEqual(self.catalog.ends, [], "the watch uses one connection")
 
-    def test_failed_calls_to_discovery_are_made_again_and_the_old_list_serves_on(self):
+    def test_failed_calls_to_discovery_are_repeated_and_the_old_list_stays_in_use(self):
         self.start(ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
         self.catalog.fail(True)
@@ -70,14 +71,14 @@
         self.catalog.change(entry("s0", self.providers[0].address, status="leaving"))
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 15))
 
-    def test_a_silent_discovery_is_given_up_and_called_again(self):
+    def test_a_call_to_a_silent_discovery_times_out_and_is_repeated(self):
         self.start(ok, known=[])
         listed, self.catalog.answer = self.catalog.answer, lambda head, body: time.sleep(5)
         self.assertTrue(eventually(lambda: "silent" in self.log()), self.log())
         self.catalog.answer, self.catalog.entries = listed, self.entries
         self.assertTrue(eventually(lambda: self.health() == 200))
 
-    def test_a_discovery_without_patience_is_not_called_in_a_tight_loop(self):
+    def test_a_discovery_that_never_waits_is_not_called_in_a_tight_loop(self):
         self.start(ok)
         listed = self.catalog.answer
         self.catalog.answer = lambda head, body: listed(head.replace("wait_ms=", "wait_ms=0&was="), body)
@@ -87,7 +88,7 @@
         time.sleep(1)
         self.assertLess(len(self.catalog.seen) - calls, 20 * (time.monotonic() - began))
 
-    def move(self, catalog):
+    def switch_discovery(self, catalog):
         self.reload(json.dumps(self.config | {"discovery": catalog.address}))
 
     def served_by(self, number):
@@ -96,37 +97,37 @@
         got = [len(p.seen) - b for p, b in zip(self.providers, before, strict=True)]
         return statuses == [200] * 4 and got[number] == 4
 
-    def moves(self, old, new, number):
-        old.index = 7 - number  # no version of the new one's
+    def switches(self, old, new, number):
+        old.index = 7 - number  # a version that the new discovery does not have
         new.entries = [self.entries[number]]
-        self.move(new)
+        self.switch_discovery(new)
         self.assertTrue(eventually(lambda: self.served_by(number), 4), self.log())
-        old.change()  # its toy writes, and so finds its reader gone
+        old.change()  # the stub writes a response, and so notices that its reader has gone
         self.assertTrue(eventually(lambda: old.ends, 4), "the old watch ends")
-        self.assertTrue(eventually(lambda: "after=" in new.seen[-1][0], 4), "the new one goes on")
+        self.assertTrue(eventually(lambda: "after=" in new.seen[-1][0], 4), "the new one continues")
 
-    def test_sighup_moves_to_the_discovery_of_the_new_file_at_once_each_time(self):
-        """Also with RELAY_DISCOVERY set, and with an older list there: what it tells counts 4 s later."""
+    def test_each_sighup_switches_to_the_discovery_address_of_the_new_file_at_once(self):
+        """Also with RELAY_DISCOVERY set, and with an older list there. The sidecar counts as notified 4 s later."""
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
         other = StubDiscovery()
         self.addCleanup(other.close)
-        self.moves(self.catalog, other, 0)
-        self.moves(other, self.catalog, 1)
+        self.switches(self.catalog, other, 0)
+        self.switches(other, self.catalog, 1)
         self.assertIsNone(self.program.poll())
 
-    def test_what_the_old_discovery_tells_while_the_new_one_is_silent_counts(self):
+    def test_changes_from_the_old_discovery_are_followed_while_the_new_one_is_silent(self):
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
         silent = StubDiscovery()
         self.addCleanup(silent.close)
         silent.answer = lambda head, body: time.sleep(9)
-        self.move(silent)
+        self.switch_discovery(silent)
         self.assertTrue(eventually(lambda: silent.seen, 4))
         self.catalog.change(self.entries[0] | {"status": "leaving"})
         self.assertTrue(eventually(lambda: self.served_by(1), 1.5))
 
-    def test_a_bad_new_file_is_logged_and_the_old_discovery_kept(self):
+    def test_a_bad_new_file_is_logged_and_the_old_discovery_stays_in_use(self):
         self.start(ok, ok)
         self.assertTrue(eventually(lambda: self.catalog.seen))
         for number, bad in enumerate(("{", json.dumps(self.config | {"discovery": "nowhere"}))):
@@ -136,22 +137,22 @@
         self.assertTrue(eventually(lambda: self.served_by(1)))
         self.assertEqual(self.catalog.ends, [])
 
-    def test_sighup_near_sigterm_harms_nothing(self):
+    def test_sighup_around_sigterm_does_no_harm(self):
         gate = threading.Event()
         self.start(answer_after(gate))
         waiting = self.client()
         waiting.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         for _ in range(3):
-            self.move(self.catalog)
+            self.switch_discovery(self.catalog)
             self.terminate()
         self.assertTrue(eventually(lambda: self.logged("stop.begun")))
-        self.move(self.catalog)
+        self.switch_discovery(self.catalog)
         gate.set()
         self.assertEqual(waiting.getresponse().status, 200)
         self.assertEqual(self.program.wait(10), 0)
 
-    def test_one_broken_part_is_logged_and_answered_and_the_process_lives(self):
+    def test_a_fault_in_one_part_is_logged_and_answered_and_the_process_goes_on(self):
         for fault, status in (
             ("http1.back import Backend as part; name = 'message'", 502),
             ("http1.client import ClientConnection as part; name = '_decide'", 500),
@@ -165,7 +166,7 @@
                 self.assertEqual(self.invoke(ONCE, request_id="fine again")[0], 200)
                 self.assertIsNone(self.program.poll())
 
-    def test_a_wait_keeps_its_time_though_many_others_end_before_theirs(self):
+    def test_a_request_times_out_on_time_although_many_others_end_before_their_timeouts(self):
         self.start(lambda head, body: time.sleep(3) if body == b"slow" else ok(head, body))
         with ThreadPoolExecutor() as pool:
             began = time.monotonic()
@@ -176,22 +177,24 @@
             self.assertEqual(slow.result()[0], 504)
             self.assertTrue(1.9 < time.monotonic() - began < 5)
 
-    def test_out_of_room_it_closes_who_says_nothing_and_serves_on(self):
+    def test_out_of_connections_it_closes_silent_ones_and_serves_on(self):
         self.start(ok, limits={"sockets": 24, "memory_mb": 192})
         self.assertTrue(eventually(lambda: self.health() == 200))
         usual = self.client()
         self.assertEqual(self.invoke(client=usual)[0], 200)
-        for wait in [0] * 10 + [0.3] + [0] * 7:  # 12 have room; a new one has 0.25 s to send something
+        for wait in [0] * 10 + [0.3] + [0] * 7:  # there is room for 12; a new one has 0.25 s to send something
             time.sleep(wait)
             self.client().connect()
         self.assertTrue(eventually(lambda: self.logged("accept.no_room")))
         self.assertEqual(self.invoke(client=usual)[0], 200)
         self.assertEqual(self.invoke()[0], 200)
-        self.assertEqual({number for _, _, number in self.providers[0].seen}, {1}, "its connection stays")
+        self.assertEqual(
+            {number for _, _, number in self.providers[0].seen}, {1}, "the connection to the provider stays open"
+        )
         self.assertIsNone(self.program.poll())
 
-    def test_of_many_clients_that_rest_those_unused_for_longest_are_closed(self):
-        self.start(ok, limits={"sockets": 64, "memory_mb": 192})  # 8 may rest
+    def test_of_too_many_idle_connections_those_unused_for_longest_are_closed(self):
+        self.start(ok, limits={"sockets": 64, "memory_mb": 192})  # 8 may be idle
         self.assertTrue(eventually(lambda: self.health() == 200))
         clients = [self.client() for _ in range(20)]
         self.assertEqual([self.invoke(client=client)[0] for client in clients], [200] * 20)
@@ -199,7 +202,7 @@
             self.assertEqual(client.sock.recv(1), b"")
         self.assertEqual([self.invoke(client=client)[0] for client in clients[12:]], [200] * 8)
 
-    def test_more_invocations_than_connections_to_providers_are_answered_and_none_is_lost(self):
+    def test_more_invocations_than_connections_to_providers_are_all_answered(self):
         gate = threading.Event()
         self.start(answer_after(gate), limits={"sockets": 40, "memory_mb": 192})  # 20 for clients, 4 for providers
         self.assertTrue(eventually(lambda: self.health() == 200))
@@ -207,15 +210,15 @@
         for number, client in enumerate(clients):
             client.request("POST", "/api", b"{}", {"Req-Id": f"r{number}", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: len(self.providers[0].seen) == 4))
-        refused = self.first_answered(clients, 4)  # before the gate opens: no room has come free meanwhile
-        self.assertEqual([client.getresponse().status for client in refused], [503] * 4)
+        rejected = self.first_answered(clients, 4)  # before the gate opens: no connection has become free meanwhile
+        self.assertEqual([client.getresponse().status for client in rejected], [503] * 4)
         gate.set()
-        served = [client for client in clients if client not in refused]
+        served = [client for client in clients if client not in rejected]
         self.assertEqual([client.getresponse().status for client in served], [200] * 4)
         self.assertEqual(len(self.providers[0].seen), 4)
 
     def first_answered(self, clients, count):
-        """The first clients that are told something, so many of them."""
+        """The first `count` clients that receive something."""
 
         def answered():
             readable, _, _ = select.select([client.sock for client in clients], [], [], 0)
@@ -226,7 +229,7 @@
         self.assertEqual(len(found), count)
         return found
 
-    def test_a_planned_end_answers_all_that_was_taken_and_takes_more_for_a_while(self):
+    def test_sigterm_answers_all_requests_taken_and_accepts_more_for_a_while(self):
         gate = threading.Event()
         self.start(answer_after(gate))
         waiting, idle = self.client(), self.client()
@@ -238,8 +241,8 @@
         late = self.client()
         late.request("GET", "/api", headers={"Req-Id": "late", "Req-Kind": "status-read"})
         self.assertTrue(eventually(lambda: len(self.providers[0].seen) == 2))
-        self.assertTrue(eventually(lambda: self.health() == 0), "it takes no more")
-        self.assertIsNone(self.program.poll(), "two answers are owed")
+        self.assertTrue(eventually(lambda: self.health() == 0), "it accepts no more connections")
+        self.assertIsNone(self.program.poll(), "two responses are due")
         gate.set()
         self.assertEqual([c.getresponse().status for c in (waiting, late)], [200, 200])
         self.assertEqual(self.program.wait(10), 0)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -114,7 +114,7 @@
     for _ in range(300):
         script = Script(rng, row, down)
         late, calls = script.late(), script.calls
-        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.asked_at)
+        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.called_at)
 
 
 @pytest.mark.parametrize("row", [*AFTER, [AT_ONCE, SILENT], [AT_ONCE, AT_ONCE], [LATE, LATE]], ids=", ".join)
@@ -123,7 +123,7 @@
     for _ in range(300):
         script = Script(rng, row, rng.random() < 0.5, pushed=True)
         late, calls = script.late(), script.calls
-        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.asked_at)
+        assert late <= listclock.NOTIFIED_AFTER, (calls.options.discovery, script.changes, calls.called_at)
 
 
 @pytest.mark.parametrize("way", ["silent", "fails"])
@@ -133,7 +133,7 @@
         calls.fetch() if method == "fetch" else calls.watch(True)
         calls.loop.run(listclock.READ_WITHIN - listclock.LONGEST_BACKOFF)
         assert len(calls.failed_at) >= 1 and calls.read_at is None
-        before = [at for at in calls.asked_at if at < calls.failed_at[0]]
+        before = [at for at in calls.called_at if at < calls.failed_at[0]]
         assert len(before) == (1 + listclock.FRESH_CALLS if way == "silent" else 1)
 
 
@@ -179,7 +179,7 @@
         calls = Calls(Options(), lambda now, until, held: ("fails", MS), ask_within=ask_within, seed=seed)
         calls.watch(True)
         calls.loop.run(20 * SECOND)
-        asked += calls.asked_at[1:]
+        asked += calls.called_at[1:]
     tenths = Counter(at // (100 * MS) for at in asked)
     assert max(tenths.values()) <= 2 * 200 * 100 * MS // (min(ask_within, listclock.LONGEST_BACKOFF) // 2)
     settled = [n for tenth, n in tenths.items() if 6 * SECOND <= tenth * 100 * MS < 19 * SECOND]
@@ -192,7 +192,7 @@
     silent = Calls(options, lambda now, until, held: ("silent", 0), callers=callers)
     silent.watch(True)
     silent.loop.run(10 * SECOND)
-    apart = silent.asked_at[1] - silent.asked_at[0]
+    apart = silent.called_at[1] - silent.called_at[0]
     least, most = (0, 0) if small else (listclock.LONGEST_BACKOFF // 2, listclock.LONGEST_BACKOFF)
     assert least <= apart - options.discovery.answer_within <= most
 
@@ -200,7 +200,7 @@
     stands.watch(True)
     stands.loop.run(10 * SECOND)
     figures = options.discovery
-    answered_at, anew_at = stands.asked_at[0] + MS, stands.asked_at[2]
+    answered_at, anew_at = stands.called_at[0] + MS, stands.called_at[2]
     assert anew_at - answered_at <= figures.calls_apart + figures.wait + figures.silent_after
 
 
@@ -392,7 +392,7 @@
         self.begins()
         fail()
         self.failures(3)
-        with self.catalog.news:
+        with self.catalog.condition:
             self.catalog.index += 1
             self.catalog.changed = [self.entries[0] | {"status": "leaving"}]
             self.catalog.entries = [*self.catalog.changed, self.entries[1]]
--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -78,7 +78,7 @@
         self.start(lambda head, body: http_response(200, b"0"), lambda head, body: http_response(200, b"1"))
         self.gate = threading.Event()
         self.addCleanup(self.gate.set)
-        with self.catalog.news:
+        with self.catalog.condition:
             self.catalog.index = 40
         self.catalog.change()
         self.assertTrue(eventually(lambda: any("after=41&wait" in head for head, *_ in self.catalog.seen)), self.log())
@@ -259,8 +259,8 @@
 # ---- a process that is behind, and long lists ---------------------------------------------------------
 
 
-@pytest.mark.parametrize("lane", ["runnable", "new_work"])
-def test_a_list_that_is_there_goes_before_the_requests_that_wait(lane):
+@pytest.mark.parametrize("queue", ["runnable", "new_work"])
+def test_a_list_that_is_there_goes_before_the_requests_that_wait(queue):
     """The requests that wait to be decided are begun once the list is told, however slow each of them is."""
     loop, begun, told = Loop(), [], []
     listener = socket.create_server(("127.0.0.1", 0))
@@ -278,7 +278,7 @@
             begun.append(time.sleep(MAX_TURN_TIME / SECOND))
             loop.stopped = loop.stopped or len(begun) == 64
 
-        getattr(loop, lane).extend([request] * 64)
+        getattr(loop, queue).extend([request] * 64)
 
     loop.spawn(serve())
     discovery.fetch()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,7 @@
-"""The loop: waits end by events, by time and by others; what is silent costs nothing; new work waits for answers."""
+"""The event loop: waits end by events, timeouts and wake-ups; idle tasks cost nothing; running work goes first.
+
+Also the detection of overload of the process itself.
+"""
 
 import socket
 import time
@@ -24,7 +27,7 @@
 
 
 def run(loop, *coroutines, seconds=5):
-    """Runs until all of these are over."""
+    """Run the loop until all of these coroutines are over."""
     tasks = [loop.spawn(c) for c in coroutines]
 
     def watch():
@@ -48,7 +51,7 @@
     near.close(), far.close()
 
 
-def test_a_wait_ends_by_its_event_its_time_or_another(pair):
+def test_a_wait_ends_by_its_event_its_timeout_or_a_wake_up(pair):
     near, far = pair
     loop, ends = Loop(), []
 
@@ -70,8 +73,8 @@
 
 @settings(max_examples=20, deadline=None)
 @given(st.lists(st.integers(0, 40), min_size=1, max_size=10))
-def test_waits_of_one_task_end_at_their_own_time_whatever_entry_serves_them(delays):
-    """Ended early or not: a timer left by a longer or a shorter wait never ends another too soon or too late."""
+def test_each_wait_of_a_task_ends_at_its_own_time_whichever_heap_entry_it_uses(delays):
+    """Whether it ended early or not, a timer left over from one wait never ends another one too soon or too late."""
     loop, seen = Loop(), []
 
     def waits():
@@ -108,7 +111,7 @@
     assert len(loop.timers) < 20
 
 
-def test_the_timers_of_tasks_that_are_over_are_swept():
+def test_the_timers_of_tasks_that_are_over_are_removed():
     loop = Loop()
 
     def once():
@@ -120,7 +123,7 @@
     assert len(loop.timers) < 3 * SWEEP_THRESHOLD and loop.dead_timers < 3 * SWEEP_THRESHOLD
 
 
-def test_a_descriptor_stays_registered_and_is_forgotten_at_its_close(pair):
+def test_a_descriptor_stays_registered_until_it_is_closed(pair):
     near, far = pair
     loop, seen = Loop(), []
 
@@ -137,20 +140,20 @@
         yield Wait(None, 0, loop.now() + 30 * MS)
 
     run(loop, nothing())
-    assert len(seen) == 1, "handed out once, and nobody watches any more: it does not spin"
+    assert len(seen) == 1, "the event is handed out once, and the loop does not spin without a watcher"
     assert loop.registered == {}
     loop.watch(near.fileno(), Watching())
     fd = near.fileno()
     loop.close(near)
     assert fd not in loop.registered and fd not in loop.watchers
     again = socket.socket()
-    if again.fileno() == fd:  # the number is another's now
+    if again.fileno() == fd:  # the number belongs to another socket now
         loop.watch(fd, Watching())
         assert loop.registered[fd] == READABLE
     loop.close(again)
 
 
-def test_an_event_that_the_waiter_did_not_ask_for_does_not_spin(pair):
+def test_an_event_that_nobody_waits_for_does_not_make_the_loop_spin(pair):
     near, far = pair
     loop, polls = Loop(), []
 
@@ -174,7 +177,7 @@
     assert len(polls) < 200
 
 
-def test_what_is_under_way_goes_before_new_work():
+def test_running_work_goes_before_new_work():
     loop, order = Loop(), []
     for number in range(3 * NEW_STEPS_PER_ROUND):
         loop.new_work.append(
@@ -190,12 +193,12 @@
     assert order.index("answer") <= NEW_STEPS_PER_ROUND and order.count("answer") == 3 * NEW_STEPS_PER_ROUND
 
 
-STEP = 25 * MS  # of 1 ms of processor time, with a twenty-fifth of a core
+STEP = 25 * MS  # a step of 1 ms of processor time takes this long with a twenty-fifth of a core
 
 
 @pytest.fixture
 def slow(monkeypatch):
-    """A step that takes `STEP` by the loop's clock."""
+    """A step that takes `STEP` on the loop's clock."""
     ahead = [0]
     real = time.monotonic_ns
     monkeypatch.setattr(
@@ -208,9 +211,9 @@
     return step
 
 
-@pytest.mark.parametrize("lane", ["runnable", "new_work"])
-def test_what_is_urgent_is_read_though_many_slow_steps_wait(pair, slow, lane):
-    """Counted in steps alone, a turn went on for 0.8 s of new work, and for 6.4 s of what is under way."""
+@pytest.mark.parametrize("queue", ["runnable", "new_work"])
+def test_urgent_work_is_done_although_many_slow_steps_wait(pair, slow, queue):
+    """When only the number of steps limited a turn, one took 0.8 s with new work, and 6.4 s with running work."""
     near, far = pair
     loop, steps = Loop(), []
 
@@ -224,29 +227,29 @@
         steps.append(slow())
 
     loop.spawn(urgent(), urgent=True)
-    getattr(loop, lane).extend([step] * 256)
+    getattr(loop, queue).extend([step] * 256)
     loop.run()
     assert len(steps) <= 2
 
 
-def test_new_work_has_its_turn_though_slow_steps_under_way_have_no_end(slow):
+def test_new_work_gets_its_turn_although_slow_running_work_never_ends(slow):
     loop, steps, new = Loop(), [], []
 
-    def under_way():
+    def running():
         steps.append(slow())
-        loop.runnable.append(under_way)
+        loop.runnable.append(running)
 
-    def fresh():
+    def new_step():
         new.append(slow())
         loop.stopped = len(new) == 3 * NEW_STEPS_PER_ROUND
 
-    loop.runnable.extend([under_way] * 8)
-    loop.new_work.extend([fresh] * 3 * NEW_STEPS_PER_ROUND)
+    loop.runnable.extend([running] * 8)
+    loop.new_work.extend([new_step] * 3 * NEW_STEPS_PER_ROUND)
     loop.run()
     assert len(steps) <= 3 * STEPS_PER_ROUND
 
 
-def test_the_age_of_what_waits_in_a_socket_is_known():
+def test_the_age_of_unread_data_in_a_socket_is_known():
     server = socket.create_server(("127.0.0.1", 0))
     client = socket.create_connection(server.getsockname())
     accepted, _ = server.accept()
@@ -261,31 +264,31 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 300), st.integers(0, 500)), min_size=1, max_size=200))
-def test_the_part_stays_in_bounds_and_moves_by_no_more_than_its_gain(reads):
+def test_the_share_to_reject_stays_in_bounds_and_rises_by_at_most_its_gain(reads):
     overload, now, before = Overload(), 10**18, 0.0
     for gap, age in reads:
         now += gap * MS
-        part = overload.read(now, age * MS)
-        assert 0 <= part <= MOST and part - before <= GAIN + 1e-9
-        before = part
+        share = overload.read(now, age * MS)
+        assert 0 <= share <= MOST and share - before <= GAIN + 1e-9
+        before = share
 
 
-def test_a_queue_that_stands_is_shed_and_one_burst_is_not():
+def test_a_standing_queue_causes_rejections_and_a_single_burst_does_not():
     overload, now = Overload(), 10**18
-    for number in range(1000):  # each interval has old ones and a fresh one: it is worked off
+    for number in range(1000):  # each interval has old requests and a fresh one, so the queue is worked off
         now += 10 * MS
         assert overload.read(now, 0 if number % 10 == 0 else 5 * TARGET) == 0
     for _ in range(300):
         now += 10 * MS
         overload.read(now, 3 * TARGET)
-    assert overload.reject_share == MOST, "within three seconds nearly all"
+    assert overload.reject_share == MOST, "nearly all are rejected within three seconds"
     for _ in range(200):
         now += 10 * MS
         overload.read(now, 0)
-    assert overload.reject_share == 0, "and within two none any more"
+    assert overload.reject_share == 0, "and none any more within two"
 
 
-def test_silence_ends_it_too():
+def test_a_time_without_requests_ends_the_rejections_too():
     overload, now = Overload(), 10**18
     for _ in range(300):
         now += 10 * MS
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -52,9 +52,9 @@
         self.listener.listen(128)
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def _catalog(self, head, body):
+    def _respond(self, head, body):
         if "after=" in head.split()[1]:
-            return super()._catalog(head, body)
+            return super()._respond(head, body)
         with self.gate:
             self.asked += 1
             if self.inside >= self.room:
@@ -64,7 +64,7 @@
         time.sleep(self.slow)
         with self.gate:
             self.inside -= 1
-        return super()._catalog(head, body)
+        return super()._respond(head, body)
 
 
 class Restarted(unittest.TestCase):
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from discovery_scene import Calls, Clock, Counted, Unheard
+from discovery_scene import Calls, Clock, Counted, Unanswered
 from scene import (
     SETTINGS,
     SidecarTest,
@@ -46,7 +46,7 @@
         missed_at = ANSWERED_AT + random.Random(play).randrange(50, 1500) * MS
         clock = Clock()
         busy = Counted(new_watch, 12 * MS, patience, [ANSWERED_AT, missed_at])
-        fleet = [Unheard(clock, busy, 1000 * play + me, sidecars) for me in range(sidecars)]
+        fleet = [Unanswered(clock, busy, 1000 * play + me, sidecars) for me in range(sidecars)]
         for sidecar in fleet:
             sidecar.silent_from, sidecar.silent_to = ANSWERED_AT, ANSWERED_AT + SECOND
         clock.run(30 * SECOND)
@@ -72,14 +72,14 @@
         self.watch(True)
         self.loop.run(40 * SECOND)
 
-    def _told(self, update, addresses):
+    def _updated(self, update, addresses):
         if update.kind is UpdateKind.FAILED:
             self.failures.append(update)
-        super()._told(update, addresses)
+        super()._updated(update, addresses)
 
     def _call(self, sock, target, until):
         now, held = self.loop.now(), int(target.partition("wait_ms=")[2] or 0) * MS
-        self.asked_at.append(now)
+        self.called_at.append(now)
         answer = ListResponse(MembershipUpdate(UpdateKind.CHANGES, (), 1), {}, True, now)
         if now < 10 * SECOND or not self.rows:
             yield Wait(None, 0, now + held)
@@ -108,13 +108,13 @@
 
 def test_watches_answered_in_one_moment_are_not_given_up_in_one_moment():
     clock, busy = Clock(), Counted(100 * MS, 12 * MS, SECOND, [ANSWERED_AT])
-    fleet = [Unheard(clock, busy, me, 16) for me in range(16)]
+    fleet = [Unanswered(clock, busy, me, 16) for me in range(16)]
     for sidecar in fleet:
         sidecar.silent_from, sidecar.silent_to = ANSWERED_AT, ANSWERED_AT + SECOND
     clock.run(ANSWERED_AT + 2 * SECOND)
-    calls = {sidecar: len(sidecar.asked_at) for sidecar in fleet}
+    calls = {sidecar: len(sidecar.called_at) for sidecar in fleet}
     clock.run(ANSWERED_AT + 6 * SECOND)
-    anew_at = sorted(sidecar.asked_at[calls[sidecar]] for sidecar in fleet)
+    anew_at = sorted(sidecar.called_at[calls[sidecar]] for sidecar in fleet)
     assert anew_at[-1] - anew_at[0] > SECOND
 
 
@@ -130,7 +130,7 @@
     sidecar = Ends(SILENT, SILENT, SILENT)
     (failure,) = sidecar.failures
     assert failure.response_pending
-    next_call_at = next(at for at in sidecar.asked_at if at > sidecar.made_at[-1])
+    next_call_at = next(at for at in sidecar.called_at if at > sidecar.made_at[-1])
     assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST_FRESH_TIMEOUT + REFUSED_LATE_AFTER + MS
 
 
@@ -145,7 +145,7 @@
         self.never = threading.Event()
         super().__init__()
 
-    def _catalog(self, head, body):
+    def _respond(self, head, body):
         if self.silent and "wait_ms=" in head and "wait_ms=0" not in head:
             self.never.wait(60)
             return None
@@ -157,7 +157,7 @@
                 self.free_at = max(now, self.free_at) + self.new_watch
                 due = self.free_at
             time.sleep(due - now)
-        answer = super()._catalog(head, body)
+        answer = super()._respond(head, body)
         self.watches.answered_at = time.monotonic()
         return answer
 
@@ -211,7 +211,7 @@
         self.catalog.silent = True
         self.catalog.change()
         time.sleep(0.9)
-        with self.catalog.news:
+        with self.catalog.condition:
             drained = self.entries[0] | {"status": "leaving"}
             self.catalog.entries = [drained, self.entries[1]]
         self.catalog.change(drained)
