--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -25,12 +25,12 @@
     runs = parser.parse_args().runs
     times = []
     for _ in range(runs):
-        case = MassRestart("test_all_come_back_on_their_snapshots_with_discovery_down_and_a_drain_kept")
+        case = MassRestart("test_all_restart_with_their_snapshots_while_discovery_is_down_and_a_drain_is_kept")
         result = unittest.TestResult()
         case.run(result)
         if result.failures or result.errors:
             sys.exit(f"a run failed: {(result.failures or result.errors)[0][1]}")
-        times.append(case.back_in * 1000)
+        times.append(case.restart_time * 1000)
     median, worst = statistics.median(times), max(times)
     print(f"{runs} runs of 5 sidecars: to full service median {median:.0f} ms, worst {worst:.0f} ms")
 
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -1,5 +1,8 @@
-"""Crossings on the servers' side: what comes on a connection between two lines of an attempt, answers that break off,
-connections that come up too late, and many requests over few connections while the settings change. Each is forced."""
+"""Races on the providers' side, each of them forced.
+
+Data that arrives on a connection in the middle of an attempt, responses that break off, connections that open too late,
+and many requests over few connections while the settings change.
+"""
 
 import http.client
 import itertools
@@ -41,21 +44,23 @@
 from loftweir.interface import Outcome
 from loftweir.net.loop import READABLE, Loop, Wait
 
-STALE = http_response(200, b"another's")
+STALE = http_response(200, b"another's")  # a response that belongs to another request
 DECLINED = http_response(503, b"", "Srv-Declined: 1")
 
 
 def reset(sock):
-    """Ends a connection at once, whoever else holds the object: no FIN, an RST."""
+    """Reset a connection at once (RST instead of FIN), even if another thread uses the object."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     socket.close(sock.detach())
 
 
-def speaks(data):
+def sends(data):
+    """A server that sends data on its connection."""
     return lambda sock: sock.sendall(data)
 
 
-def ends(sock):
+def closes_its_side(sock):
+    """Close the sending side of a connection (FIN)."""
     sock.shutdown(socket.SHUT_WR)
 
 
@@ -63,11 +68,11 @@
     pass
 
 
-# ---- the order of the loop, by hand ---------------------------------------------------------------
+# ---- the backend on a loop that the test runs itself ----------------------------------------------
 
 
-class Side:
-    """The servers' side alone, its loop turned by hand, with one server that the test plays itself."""
+class BackendOnLoop:
+    """The backend alone, on a loop that the test runs step by step, with one server that is the test itself."""
 
     def __init__(self):
         self.loop = Loop()
@@ -75,20 +80,23 @@
         self.back.on_attempt_ended = self.ended
         self.listener = listener()
         self.back.pool.addresses["s"] = address_of(self.listener)
-        self.told = []
+        self.ended_with = []  # the outcome and the body of each attempt
 
-    def ended(self, call, outcome, answer):
-        call.running = None
-        self.told.append((outcome, answer and b"".join(answer.body)))
+    def ended(self, attempt, outcome, answer):
+        attempt.running = None
+        self.ended_with.append((outcome, answer and b"".join(answer.body)))
 
     def begin(self):
-        fields = {b"host": b"h", b"req-id": b"r%d" % len(self.told)}
+        """Begin an attempt at the server."""
+        fields = {b"host": b"h", b"req-id": b"r%d" % len(self.ended_with)}
         message = HttpRequest(b"POST", b"/api", list(fields.items()), fields, [b"{}"])
         invocation = Invocation("r", CLASSES[1], SECOND, message)
         invocation.deadline = self.loop.now() + 2 * SECOND
         self.back.begin(ProviderAttempt(invocation, "s", 0, self.loop.now()))
 
-    def turn(self, done):
+    def run_until(self, done):
+        """Run the loop until `done()`."""
+
         def watch():
             until = time.monotonic() + 5
             while not done() and time.monotonic() < until:
@@ -100,105 +108,105 @@
         self.loop.run()
         assert done()
 
-    def used(self):
-        """The server's end of a connection over which one request has been answered, and which rests."""
+    def used_connection(self):
+        """The server's end of an idle connection over which one request has been answered."""
         self.begin()
         peer, _ = self.listener.accept()
-        self.turn(lambda: select.select([peer], [], [], 0)[0])
+        self.run_until(lambda: select.select([peer], [], [], 0)[0])
         assert peer.recv(9999).endswith(b"{}")
         peer.sendall(http_response(200, b"own"))
-        self.turn(lambda: self.told)
-        assert self.told == [(Outcome.OK, b"own")] and len(self.back.pool.idle) == 1
+        self.run_until(lambda: self.ended_with)
+        assert self.ended_with == [(Outcome.OK, b"own")] and len(self.back.pool.idle) == 1
         return peer
 
 
 @pytest.fixture
-def side():
-    side = Side()
-    yield side
-    side.listener.close()
-    side.loop.epoll.close()
+def backend():
+    backend = BackendOnLoop()
+    yield backend
+    backend.listener.close()
+    backend.loop.epoll.close()
 
 
-AHEAD = b"HTTP/1.1 102 X\r\n\r\n"
-LATE = {"a second answer": STALE, "one that declines": DECLINED, "half a line": b"HTTP/1.1 20", "1xx": AHEAD}
+INFORMATIONAL = b"HTTP/1.1 102 X\r\n\r\n"
+LATE = {"a second answer": STALE, "one that declines": DECLINED, "half a line": b"HTTP/1.1 20", "1xx": INFORMATIONAL}
 
 
 @pytest.mark.parametrize("what", LATE)
-def test_what_comes_between_the_look_at_a_resting_connection_and_the_write_answers_nothing(side, what):
-    peer = side.used()
-    # As in any exchange of requests and answers: the server acknowledges with what it sends.
+def test_data_between_the_check_of_an_idle_connection_and_the_write_is_no_response(backend, what):
+    peer = backend.used_connection()
+    # As usual in exchanges of requests and responses, the server acknowledges together with what it sends.
     peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_QUICKACK, 0)
-    (connection,) = side.back.pool.idle
-    message = side.back.message
+    (connection,) = backend.back.pool.idle
+    message = backend.back.message
 
-    def crossed(call):
+    def crossed(attempt):
         peer.sendall(LATE[what])
         assert select.select([connection.sock], [], [], 5)[0]
-        return message(call)
+        return message(attempt)
 
-    side.back.message = crossed
-    side.begin()
-    side.turn(lambda: len(side.told) == 2)
-    assert side.told[1] == (Outcome.RESET, None)
-    assert peer.recv(9999).endswith(b"{}"), "it was written whole, and may run"
-    assert side.back.pool.open_count == 0
+    backend.back.message = crossed
+    backend.begin()
+    backend.run_until(lambda: len(backend.ended_with) == 2)
+    assert backend.ended_with[1] == (Outcome.RESET, None)
+    assert peer.recv(9999).endswith(b"{}"), "it was written completely, and may run"
+    assert backend.back.pool.open_count == 0
 
 
 @pytest.mark.parametrize("what", ["a second answer", "half a line", "its end", "a reset"])
-def test_a_new_connection_that_has_been_spoken_on_or_ended_before_the_request_is_not_used(side, what):
-    side.begin()
-    peer, _ = side.listener.accept()
-    (fd,) = side.loop.watchers
-    {"its end": ends, "a reset": reset}.get(what, speaks(LATE.get(what)))(peer)
-    assert select.select([fd], [], [], 5)[0], "it has come before the loop has its turn"
-    side.turn(lambda: side.told)
-    assert side.told == [(Outcome.CONNECT_FAILED, None)], "nothing was written: it never ran"
+def test_a_new_connection_with_data_or_an_end_before_the_request_is_not_used(backend, what):
+    backend.begin()
+    peer, _ = backend.listener.accept()
+    (fd,) = backend.loop.watchers
+    {"its end": closes_its_side, "a reset": reset}.get(what, sends(LATE.get(what)))(peer)
+    assert select.select([fd], [], [], 5)[0], "it has arrived before the loop has a turn"
+    backend.run_until(lambda: backend.ended_with)
+    assert backend.ended_with == [(Outcome.CONNECT_FAILED, None)], "nothing was written: it never ran"
     if what != "a reset":
         with suppress(ConnectionResetError):
             assert peer.recv(9999) == b""
-    assert side.back.pool.open_count == 0
+    assert backend.back.pool.open_count == 0
 
 
-def handed_out(side):
-    """An event about the resting connection has been handed out by epoll, and has not been worked off."""
-    (connection,) = side.back.pool.idle
-    side.loop.watchers.pop(connection.sock.fileno()).ready(READABLE)
+def hand_out_event(backend):
+    """Have an event of the idle connection handed out as by epoll, and not yet handled; return the connection."""
+    (connection,) = backend.back.pool.idle
+    backend.loop.watchers.pop(connection.sock.fileno()).ready(READABLE)
     return connection
 
 
-def work_off(side):
-    while side.loop.runnable:
-        side.loop.runnable.popleft()()
+def run_queued_steps(backend):
+    while backend.loop.runnable:
+        backend.loop.runnable.popleft()()
 
 
-def test_an_event_of_a_connection_at_rest_that_is_worked_off_once_it_is_in_use_or_closed_ends_no_other(side):
-    pool = side.back.pool
-    peer = side.used()
-    connection = handed_out(side)
-    assert pool.acquire("s") is connection, "nothing had come after all"
-    work_off(side)
-    assert pool.open_count == 1 and connection.sock.fileno() >= 0, "in use it is not closed"
+def test_an_event_of_an_idle_connection_that_is_handled_once_it_is_in_use_or_closed_has_no_effect(backend):
+    pool = backend.back.pool
+    peer = backend.used_connection()
+    connection = hand_out_event(backend)
+    assert pool.acquire("s") is connection, "no data had arrived"
+    run_queued_steps(backend)
+    assert pool.open_count == 1 and connection.sock.fileno() >= 0, "a connection in use is not closed"
     pool.release(connection)
     peer.sendall(b"noise")
     assert select.select([connection.sock], [], [], 5)[0]
-    handed_out(side)
-    assert pool.acquire("s") is None and pool.open_count == 0, "with bytes on it, it is not taken"
-    work_off(side)
+    hand_out_event(backend)
+    assert pool.acquire("s") is None and pool.open_count == 0, "a connection with unread data is not used"
+    run_queued_steps(backend)
     assert pool.open_count == 0 and not pool.idle and not pool.idle_by_provider
 
 
-def test_a_connection_that_rests_again_before_an_earlier_event_is_worked_off_is_closed_once_at_most(side):
-    pool = side.back.pool
-    peer = side.used()
-    connection = handed_out(side)
+def test_a_connection_that_is_idle_again_before_an_event_is_handled_is_closed_at_most_once(backend):
+    pool = backend.back.pool
+    peer = backend.used_connection()
+    connection = hand_out_event(backend)
     pool.release(pool.acquire("s"))
-    work_off(side)
-    assert (pool.open_count, list(pool.idle), pool.idle_by_provider, side.loop.watchers) == (0, [], {}, {})
+    run_queued_steps(backend)
+    assert (pool.open_count, list(pool.idle), pool.idle_by_provider, backend.loop.watchers) == (0, [], {}, {})
     assert connection.sock.fileno() == -1 and peer.recv(1) == b""
 
 
-def test_an_event_of_a_closed_socket_is_not_handed_to_the_next_that_has_its_number():
+def test_an_event_of_a_closed_socket_is_not_passed_to_the_next_one_with_its_number():
     loop, seen = Loop(), []
     (near, far), (other, other_far) = socket.socketpair(), socket.socketpair()
     fresh = []
@@ -217,23 +225,23 @@
 
     def waits():
         yield Wait(other, READABLE, None)
-        seen.append("the closed one's event")
+        seen.append("an event of the closed socket")
 
     loop.start(first())
     second = loop.start(waits())
     far.send(b"x")
-    other_far.send(b"x")  # both are in the kernel: one poll has both
+    other_far.send(b"x")  # both events are in the kernel, so one poll returns both
     loop.run()
     assert seen == [0, READABLE]
     for sock in (near, far, other_far, *fresh):
         sock.close()
 
 
-# ---- answers ahead of the request's last byte -----------------------------------------------------
+# ---- responses ahead of the request's last byte ---------------------------------------------------
 
 
-class Early(StubServer):
-    """A server that reads the beginning of a request, does what the test says, and reads no more."""
+class EarlyServer(StubServer):
+    """A server that waits for the beginning of a request, calls `does` with its socket, and reads nothing."""
 
     def __init__(self, does):
         self.does = does
@@ -254,27 +262,29 @@
     operator = '[log]\naccess = "all"\n'
 
     def outcomes(self):
+        """The outcomes of the attempts in the first access line."""
         self.assertTrue(eventually(lambda: self.logged("access")))
         return [call["outcome"] for call in self.logged("access")[0]["calls"]]
 
-    def beside(self, does):
-        self.early = Early(does)
+    def start_with_early_server(self, does):
+        """Start with an ordinary provider and an `EarlyServer`."""
+        self.early = EarlyServer(does)
         self.addCleanup(self.early.close)
         self.start(ok)
         self.catalog.change(entry("early", self.early.address))
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > 1))
 
-    def test_one_who_answers_or_ends_before_the_last_byte_is_out_never_ran_it_and_another_serves_it(self):
-        body = os.urandom(8 << 20)  # more than the kernel takes of it
+    def test_a_request_answered_or_cut_before_its_last_byte_never_ran_and_another_provider_serves_it(self):
+        body = os.urandom(8 << 20)  # more than the kernel buffers
         for name, does in {
-            "declines": speaks(DECLINED),
-            "answers": speaks(STALE),
-            "half a line": speaks(b"HTTP/1.1 5"),
-            "ends": ends,
+            "declines": sends(DECLINED),
+            "answers": sends(STALE),
+            "half a line": sends(b"HTTP/1.1 5"),
+            "closes": closes_its_side,
             "resets": reset,
         }.items():
             with self.subTest(name):
-                self.beside(does)
+                self.start_with_early_server(does)
                 for _ in range(30):
                     began = time.monotonic()
                     status, answer, _ = self.invoke(ONCE, 3000, body=body)
@@ -284,8 +294,8 @@
                         break
                 self.assertTrue(self.early.seen)
 
-    def test_one_whose_body_is_sent_on_while_it_comes_is_given_up_as_soon_as_it_is_answered(self):
-        early = Early(speaks(STALE))
+    def test_a_forwarded_body_is_given_up_as_soon_as_it_is_answered(self):
+        early = EarlyServer(sends(STALE))
         self.addCleanup(early.close)
         self.start(known=[entry("early", early.address)], limits={"sockets": 256, "memory_mb": 16})
         self.assertTrue(eventually(lambda: self.health() == 200))
@@ -294,22 +304,22 @@
         self.assertLess(time.monotonic() - began, 1.5)
         self.assertEqual(self.outcomes()[0], "connect_failed")
 
-    def test_an_answer_ahead_of_the_acknowledgement_of_its_request_is_not_served(self):
-        """All of it is written, but the server's machine has no room for it yet: it may run, later."""
-        early = Early(speaks(STALE))
+    def test_a_response_before_its_request_is_acknowledged_is_not_used(self):
+        """The request is written completely, but the server's machine has no room for it yet: it may run later."""
+        early = EarlyServer(sends(STALE))
         self.addCleanup(early.close)
         self.start(known=[entry("early", early.address)])
         self.assertEqual(self.invoke(ONCE, body=b"x" * 10_000)[0], 502)
         self.assertEqual(self.outcomes(), ["reset"])
 
 
-# ---- answers that break off -----------------------------------------------------------------------
+# ---- responses that break off ---------------------------------------------------------------------
 
 LENGTH = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n"
 CHUNKED = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
 NO_LENGTH = b"HTTP/1.1 200 X\r\n\r\n"
 OLD = b"HTTP/1.0 200 X\r\n\r\n"
-BROKEN = {  # what comes, and the status where its connection ends with a FIN then
+BROKEN = {  # what arrives, and the status of the final answer if the connection then ends with a FIN
     "nothing": (b"", 502),
     "half a line": (b"HTTP/1.1 20", 502),
     "half a head": (NO_LENGTH[:-2], 502),
@@ -322,19 +332,22 @@
     "a head with no length": (NO_LENGTH, 200),
     "no length": (NO_LENGTH + b"x" * 9, 200),
     "no length, HTTP/1.0": (OLD + b"x" * 9, 200),
-    "1xx ahead": (AHEAD, 502),
-    "1xx ahead of a length too short": (AHEAD + LENGTH % 9 + b"x", 502),
-    "1xx ahead of no length": (AHEAD + NO_LENGTH + b"x" * 9, 200),
+    "1xx first": (INFORMATIONAL, 502),
+    "1xx before a length too short": (INFORMATIONAL + LENGTH % 9 + b"x", 502),
+    "1xx before no length": (INFORMATIONAL + NO_LENGTH + b"x" * 9, 200),
 }
 OUTCOMES = {200: "ok", 502: "reset", 504: "timed_out"}
 
 
 class BrokenTest(SidecarTest):
-    operator = '[log]\naccess = "all"\n\n[limits]\nsilent_for = "1s"\n'  # for what is begun and long
+    operator = '[log]\naccess = "all"\n\n[limits]\nsilent_for = "1s"\n'  # for long bodies that have begun
 
     def one(self, data, end, still=False, after=0.0):
-        """A server that says this much and ends so, `after` seconds later; with both in the kernel before the program
-        has a turn, if it is held still from the request on."""
+        """Send a request to a server that sends `data` and then ends by `end`, `after` seconds later.
+
+        With `still` the program is stopped from the request on until both are in the kernel. Returns the status, the
+        body, how long it took, and the attempt's outcome.
+        """
         begun, go = threading.Event(), threading.Event()
 
         def answer(head, body):
@@ -380,33 +393,35 @@
         return response.status, body, took, call["outcome"]
 
     def test_one_that_breaks_off_is_never_served_as_whole_and_may_have_run(self):
-        for (name, (data, at_fin)), end in itertools.product(BROKEN.items(), (ends, reset, stays_silent)):
+        for (name, (data, at_fin)), end in itertools.product(BROKEN.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(what=name, end=end.__name__):
                 status, body, took, outcome = self.one(data, end, still=end is not stays_silent)
-                expected = {ends: at_fin, reset: 502, stays_silent: 504}[end]
+                expected = {closes_its_side: at_fin, reset: 502, stays_silent: 504}[end]
                 self.assertEqual((status, outcome), (expected, OUTCOMES[expected]))
                 if status == 200:
                     self.assertEqual(body, data.partition(NO_LENGTH[8:])[2])
                 self.assertLess(took, 1.3)
                 self.assertEqual(len(self.providers[0].seen), 1)
 
-    def test_one_that_breaks_off_once_it_is_passed_on_has_failed_and_its_client_can_tell(self):
+    def test_a_response_that_breaks_off_while_it_is_forwarded_is_visibly_incomplete(self):
         long = os.urandom(100_000)
         framings = {
             "length": LENGTH % 200_000 + long,
             "chunked": CHUNKED + b"%x\r\n%s\r\n" % (len(long), long),
             "no length": NO_LENGTH + long,
         }
-        for (name, data), end in itertools.product(framings.items(), (ends, reset, stays_silent)):
+        for (name, data), end in itertools.product(framings.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(framing=name, end=end.__name__):
-                status, body, took, outcome = self.one(data, end, after=0.3)  # what has no length is held for 0.2 s
-                whole = name == "no length" and end is ends
+                status, body, took, outcome = self.one(
+                    data, end, after=0.3
+                )  # a response without a length is held for 0.2 s
+                whole = name == "no length" and end is closes_its_side
                 self.assertEqual((status, outcome), (200, "ok"))
                 self.assertTrue(body == (long if whole else None if status == 200 else b"failed\n"))
                 self.assertLess(took, 2)
                 self.assertEqual(len(self.providers[0].seen), 1)
 
-    def test_a_long_one_of_no_known_length_that_is_reset_at_once_has_failed_and_nothing_of_it_was_passed_on(self):
+    def test_a_long_response_of_unknown_length_that_is_reset_at_once_fails_and_is_not_forwarded(self):
         long = os.urandom(100_000)
         framings = {"chunked": CHUNKED + b"%x\r\n%s\r\n" % (len(long), long), "no length": NO_LENGTH + long}
         for (name, data), after in itertools.product(framings.items(), (0.0, 0.002, 0.05)):
@@ -415,13 +430,13 @@
                 self.assertEqual((status, body, outcome), (502, b"failed\n", "reset"))
                 self.assertLess(took, 1)
 
-    def test_one_of_no_known_length_is_begun_before_that_once_it_is_far_over_what_is_held(self):
+    def test_a_response_of_unknown_length_is_forwarded_earlier_if_it_is_far_over_the_held_size(self):
         longer = os.urandom(400_000)
         status, body, _, outcome = self.one(NO_LENGTH + longer, reset, after=0.1)
         self.assertEqual((status, body, outcome), (200, None, "ok"))
 
-    def test_a_length_beside_chunks_does_not_frame_what_is_passed_on(self):
-        """RFC 9112, 6.3: Transfer-Encoding goes before it. By the length, the rest would be the next answer."""
+    def test_a_content_length_besides_chunked_encoding_is_not_forwarded(self):
+        """RFC 9112, 6.3: Transfer-Encoding overrides it. By that length, the rest would count as the next response."""
         long = os.urandom(100_000)
         head = CHUNKED[:-2] + b"Content-Length: 70000\r\n\r\n"
         self.start(lambda head_, body: head + b"%x\r\n%s\r\n0\r\n\r\n" % (len(long), long))
@@ -431,11 +446,11 @@
             self.assertEqual((status, len(body), body == long), (200, len(long), True))
 
 
-class DripTest(SidecarTest):
-    def drips(self, answer, pause, deadline_ms=600):
-        """What a client gets that asks for an answer whose parts come so far apart, and for how long it has to wait."""
+class SlowPartsTest(SidecarTest):
+    def receive_in_parts(self, answer, pause, deadline_ms=600):
+        """What a client receives of a response whose parts are `pause` seconds apart, and for how long it waits."""
 
-        def say(head, body):
+        def send_slowly(head, body):
             for part in answer:
                 yield part
                 time.sleep(pause)
@@ -443,7 +458,7 @@
 
         gate = threading.Event()
         self.addCleanup(gate.set)
-        self.start(say)
+        self.start(send_slowly)
         began = time.monotonic()
         request = f"GET /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: {READ}\r\n"
         request += f"Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
@@ -457,27 +472,27 @@
                     break
         return got, time.monotonic() - began
 
-    def test_a_short_answer_of_no_length_that_was_begun_and_falls_silent_is_ended_soon_after_its_deadline(self):
-        """An answer is timed at its last byte, and lost half a second after its time: it has failed before."""
+    def test_a_short_response_of_unknown_length_that_falls_silent_is_ended_soon_after_its_deadline(self):
+        """A response counts when its last byte arrives, and as lost half a second past its deadline."""
         for head, part in ((NO_LENGTH, b"xxx"), (CHUNKED, b"3\r\nxxx\r\n")):
             with self.subTest(head=head):
-                got, took = self.drips([head + part] + [part] * 2, 0.15)
+                got, took = self.receive_in_parts([head + part] + [part] * 2, 0.15)
                 self.assertTrue(got.startswith(b"HTTP/1.1 200 ") and b"xxx" in got, got)
-                self.assertFalse(got.endswith(b"0\r\n\r\n"), "not as a whole one")
+                self.assertFalse(got.endswith(b"0\r\n\r\n"), "it must not look complete")
                 self.assertLess(took, 2)
 
-    def test_one_that_goes_on_past_its_deadline_is_passed_on_to_its_end(self):
-        """What the server still gives is not cut off: it may be a long one."""
+    def test_a_response_that_goes_on_past_its_deadline_is_forwarded_to_its_end(self):
+        """It may be a long response, so it is not cut off as long as the server sends more."""
         part = b"3\r\nxxx\r\n"
-        got, took = self.drips([CHUNKED + part] + [part] * 9 + [b"0\r\n\r\n"], 0.12)
+        got, took = self.receive_in_parts([CHUNKED + part] + [part] * 9 + [b"0\r\n\r\n"], 0.12)
         self.assertEqual((got.count(b"xxx"), got[-5:]), (10, b"0\r\n\r\n"))
         self.assertGreater(took, 1)
 
 
-class ShortTest(SidecarTest):
+class SmallHeldSizeTest(SidecarTest):
     operator = '[limits]\nheld = "2B"\n'
 
-    def test_what_comes_with_an_answer_that_is_over_held_and_whole_is_not_passed_on_with_it(self):
+    def test_data_behind_a_complete_response_above_the_held_size_is_not_forwarded(self):
         number = itertools.count()
         for behind in (b"", b"noise", STALE):
             with self.subTest(behind=behind):
@@ -489,15 +504,15 @@
                 self.assertEqual(len(set(answers)), 4)
 
 
-# ---- connections that come up late ----------------------------------------------------------------
+# ---- connections that open late -------------------------------------------------------------------
 
 
 class LateTest(SidecarTest):
-    def test_a_connection_that_is_up_only_when_its_time_is_over_is_closed_with_nothing_on_it(self):
-        """Both are there when the program has its next turn: the event that it is up, and the end of its time."""
+    def test_a_connection_that_opens_only_when_its_time_is_over_is_closed_without_data(self):
+        """At the program's next turn both have happened: the connection is open, and its time is over."""
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.addCleanup(full.close)
-        waiting = [socket.create_connection(full.getsockname())]  # the kernel drops what comes after it
+        waiting = [socket.create_connection(full.getsockname())]  # the kernel drops connections beyond it
         self.addCleanup(waiting[0].close)
         self.start(known=[entry("late", address_of(full))])
         client = self.client()
@@ -507,7 +522,7 @@
         with self.paused():
             waiting.append(full.accept()[0])
             full.settimeout(5)
-            late, _ = full.accept()  # as the kernel asks once more, after 1 s
+            late, _ = full.accept()  # when the kernel repeats the SYN, after 1 s
             self.addCleanup(late.close)
         late.settimeout(5)
         self.assertEqual(late.recv(1000), b"")
@@ -515,7 +530,7 @@
             sock.close()
 
 
-# ---- other settings while a request is under way ----------------------------------------------------
+# ---- new settings while a request is in flight ------------------------------------------------------
 
 PLACED = "grant-place"
 OF_CLASS = {
@@ -525,38 +540,38 @@
     "window over": profile(PLACED, "by_key") | {"window": 150 * MS},
     "short": profile(PLACED, "once") | {"target": 200 * MS, "hardLimit": 600 * MS},
 }
-# The class as it was at the request's head and as it is then, the moment of the change, how the attempt under way ends,
-# the client's answer and how many attempts there were.
+# The class when the request's head arrives, the class after the change, the moment of the change, how the attempt in
+# flight ends, the status of the final answer and the number of attempts.
 CHANGED = [
-    ("once", "repeatable", "out", reset, 502, 1),
-    ("repeatable", "once", "out", reset, 200, 2),
-    ("once", "by_key", "out", reset, 502, 1),
-    ("by_key", "once", "out", reset, 200, 2),
-    ("by_key", "window over", "out", reset, 200, 2),
-    ("window over", "by_key", "out", reset, 503, 1),  # not sent again here; a client may, with its key
-    ("once", "short", "out", speaks(http_response(200, b"own")), 200, 1),
-    ("short", "once", "out", stays_silent, 504, 1),
-    ("repeatable", "once", "out again", reset, 200, 3),
-    ("by_key", "once", "out again", reset, 200, 3),
+    ("once", "repeatable", "in flight", reset, 502, 1),
+    ("repeatable", "once", "in flight", reset, 200, 2),
+    ("once", "by_key", "in flight", reset, 502, 1),
+    ("by_key", "once", "in flight", reset, 200, 2),
+    ("by_key", "window over", "in flight", reset, 200, 2),
+    ("window over", "by_key", "in flight", reset, 503, 1),  # it is not retried here; a client may retry with its key
+    ("once", "short", "in flight", sends(http_response(200, b"own")), 200, 1),
+    ("short", "once", "in flight", stays_silent, 504, 1),
+    ("repeatable", "once", "retry in flight", reset, 200, 3),
+    ("by_key", "once", "retry in flight", reset, 200, 3),
     ("once", "repeatable", "head", reset, 502, 1),
     ("repeatable", "once", "head", reset, 200, 2),
     ("by_key", "window over", "head", reset, 200, 2),
-    ("once", "short", "head", speaks(http_response(200, b"own")), 200, 1),
+    ("once", "short", "head", sends(http_response(200, b"own")), 200, 1),
     ("short", "once", "head", stays_silent, 504, 1),
 ]
 
 
 class ChangedTest(SidecarTest):
-    def test_a_request_keeps_the_class_with_which_its_head_came_until_its_end(self):
+    def test_a_request_keeps_the_class_of_when_its_head_arrived(self):
         for was, becomes, moment, end, status, attempts in CHANGED:
             with self.subTest(was=was, becomes=becomes, moment=moment, end=end.__name__):
-                self.play(self.settings_of(was), self.settings_of(becomes), moment, end, status, attempts)
+                self.check_change(self.settings_of(was), self.settings_of(becomes), moment, end, status, attempts)
 
     @staticmethod
     def settings_of(name):
         return SETTINGS | {"profiles": [OF_CLASS[name]]}
 
-    def play(self, was, becomes, moment, end, status, attempts):
+    def check_change(self, was, becomes, moment, end, status, attempts):
         out, over = [threading.Event() for _ in range(4)], threading.Event()
         goes, order = [threading.Event() for _ in range(4)], iter(range(4))
         self.addCleanup(over.set)
@@ -566,11 +581,11 @@
             out[number].set()
             if number < held:
                 goes[number].wait(10)
-                end(self.party_of(head).sockets[-1])
+                end(self.server_of(head).sockets[-1])
                 over.wait(5)
             return http_response(200, b"own")
 
-        held = 2 if moment == "out again" else 1
+        held = 2 if moment == "retry in flight" else 1
         self.start(answer, answer, answer, settings=was)
         self.assertTrue(eventually(lambda: self.health() == 200))
         client = self.client()
@@ -596,8 +611,8 @@
             self.assertLess(time.monotonic() - began, 2)
         over.set()
 
-    def party_of(self, head):
-        """The server that was sent a request last: one is out at a time."""
+    def server_of(self, head):
+        """The server that received the last request: one attempt is in flight at a time."""
         return next(p for p in self.providers if p.seen and p.seen[-1][0] is head)
 
     def change(self, settings):
@@ -612,7 +627,7 @@
     operator = '[log]\naccess = "all"\n'
     CLIENTS, EACH = 8, 400
 
-    def test_each_request_is_passed_on_as_its_own_and_gets_its_own_answer_while_the_settings_change(self):
+    def test_each_request_gets_its_own_response_while_the_settings_change(self):
         def echo(head, body):
             return http_response(200, json.dumps([head, body.decode()]).encode())
 
@@ -621,19 +636,21 @@
         with ThreadPoolExecutor(self.CLIENTS + 1) as pool:
             reloading = pool.submit(self.reload_until, over)
             try:
-                for served in pool.map(self.ask_many, range(self.CLIENTS)):
-                    self.assertGreater(served, self.EACH / 2)  # a loaded machine turns some away
+                for served in pool.map(self.send_many, range(self.CLIENTS)):
+                    self.assertGreater(served, self.EACH / 2)  # on a busy machine some are rejected
             finally:
                 over.set()
             self.assertGreater(reloading.result(), 3)
-        attempts = sum(len(party.seen) for party in self.providers)
-        connections = sum(len(party.sockets) for party in self.providers)
-        self.assertLess(connections, attempts / 20, "they are used again and again")
+        attempts = sum(len(server.seen) for server in self.providers)
+        connections = sum(len(server.sockets) for server in self.providers)
+        self.assertLess(connections, attempts / 20, "connections are reused")
         outcomes = {call["outcome"] for record in self.logged("access") for call in record["calls"]}
-        self.assertFalse(outcomes & {"reset", "connect_failed", "error"}, "no sound answer is taken for another's")
+        self.assertFalse(
+            outcomes & {"reset", "connect_failed", "error"}, "no response is taken for that of another request"
+        )
 
     def reload_until(self, over):
-        """Every class with another effect, deadline and window, by turns; the effect fits how it is sent."""
+        """Reload in turn two versions of the classes, with different effects, deadlines and windows, until `over`."""
         both = [SETTINGS["profiles"]]
         both.append([profile(READ, "once"), profile(ONCE, "repeatable"), profile(KEYED, "by_key")])
         for p in both[1]:
@@ -646,13 +663,13 @@
             count += 1
         return count
 
-    def ask_many(self, number):
+    def send_many(self, number):
         client, served = self.client(), 0
         for n in range(self.EACH):
             own = f"c{number}n{n}"
             kind = (READ, ONCE, KEYED)[(n + number) % 3]
             fields = {"Req-Id": own, "Req-Kind": kind, "Req-Deadline-Ms": "2000"}
-            # Some have a field that others have not: one that stays with a connection would be seen.
+            # Some requests have fields that others lack, so that one that stays with a connection would show.
             fields |= {"Req-Key": own + "k"} if n % 2 else {}
             fields |= {"Req-Extra": f"own={own}", "X-Tenant": own + "t"} if n % 5 == 0 else {}
             fields |= {"Idempotency-Key": own + "i"} if kind == KEYED else {}
--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -1,5 +1,7 @@
-"""Lists that cross: an older one that arrives after a newer change, other addresses, versions counted anew, and a
-server told as leaving between two lines of an attempt."""
+"""Races of endpoint lists: older lists that arrive after newer changes, new addresses, versions that start again.
+
+Also a provider that begins to drain in the middle of an attempt, and long lists.
+"""
 
 import json
 import socket
@@ -36,7 +38,7 @@
 
 
 class Crossed(Discovery):
-    """A watch past 40 and a fetch, out at once in virtual time; what is told is kept as versions."""
+    """A watch from version 40 and a fetch, both in flight, in virtual time; `versions` has the lists passed on."""
 
     def __init__(self, fetched, watched):
         self.versions, self.fetched, self.watched = [], fetched, watched
@@ -58,19 +60,19 @@
         return ListResponse(MembershipUpdate(kind, (member,), version), {"s0": "here"}, True, self.loop.now())
 
 
-@pytest.mark.parametrize("fetched, watched, told", [(41, 42, [42]), (42, 42, [42]), (43, 42, [42, 43])])
-def test_a_fetch_that_a_watch_has_overtaken_is_told_only_where_it_is_newer(fetched, watched, told):
+@pytest.mark.parametrize("fetched, watched, expected", [(41, 42, [42]), (42, 42, [42]), (43, 42, [42, 43])])
+def test_a_fetch_overtaken_by_a_watch_is_passed_on_only_if_it_is_newer(fetched, watched, expected):
     crossed = Crossed(fetched, watched)
-    assert [version for n, version in enumerate(crossed.versions) if version not in crossed.versions[:n]] == told
-    assert crossed.version == max(told)
+    assert [version for n, version in enumerate(crossed.versions) if version not in crossed.versions[:n]] == expected
+    assert crossed.version == max(expected)
 
 
 def leaving(listed):
     return listed | {"status": "leaving"}
 
 
-class Listed(SidecarTest):
-    """Two servers, each answering its number, and a watch that stands at version 41."""
+class WatchingTest(SidecarTest):
+    """Two servers, each of which answers its number, and an established watch at version 41."""
 
     operator = '[log]\nlevel = "debug"\nrepeat_every = "0s"\n'
 
@@ -83,35 +85,36 @@
         self.catalog.change()
         self.assertTrue(eventually(lambda: any("after=41&wait" in head for head, *_ in self.catalog.seen)), self.log())
 
-    def party(self, answer):
-        party = StubServer(answer)
-        self.addCleanup(party.close)
-        return party
+    def server(self, answer):
+        server = StubServer(answer)
+        self.addCleanup(server.close)
+        return server
 
     def silent(self):
-        return self.party(answer_after(self.gate))
+        return self.server(answer_after(self.gate))
 
-    def moves_to(self, party):
+    def change_address_to(self, server):
         before = len(self.logged("reload.done"))
-        self.config["discovery"] = party.address
+        self.config["discovery"] = server.address
         self.reload(json.dumps(self.config))
         self.assertTrue(eventually(lambda: len(self.logged("reload.done")) > before), self.log())
-        self.assertTrue(eventually(lambda: party.seen or not party.listener.fileno()), self.log())
+        self.assertTrue(eventually(lambda: server.seen or not server.listener.fileno()), self.log())
 
-    def told(self, kind="changes"):
+    def updates(self, kind="changes"):
+        """The list updates of a kind with endpoints that the program has logged."""
         return [record for record in self.logged("discovery.list") if record["kind"] == kind and record["changes"]]
 
-    def nothing_goes_to_the_first(self):
-        """Counted where it would arrive: a machine under load may be late, and requests then be refused."""
+    def check_nothing_goes_to_the_first(self):
+        """Check by what the first server receives: on a busy machine requests may be rejected."""
         before = len(self.providers[0].seen)
         answers = {self.invoke()[1] for _ in range(8)}
         self.assertEqual(len(self.providers[0].seen), before, self.log())
         self.assertIn(b"1", answers)
 
 
-class MovedTest(Listed):
-    def test_an_older_whole_list_of_the_new_address_brings_no_drained_server_back(self):
-        """It was written before the change that the old watch has brought meanwhile; the next call is not answered."""
+class MovedTest(WatchingTest):
+    def test_an_older_whole_list_from_the_new_address_does_not_restore_a_drained_provider(self):
+        """The list is older than a change that the old watch has returned meanwhile; the next call is not answered."""
         changed = threading.Event()
         self.addCleanup(changed.set)
 
@@ -121,76 +124,79 @@
                 return http_response(200, list_body(5, self.entries, True))
             return answer_after(self.gate)(head, body)
 
-        new = self.party(catalog)
-        self.moves_to(new)
+        new = self.server(catalog)
+        self.change_address_to(new)
         self.catalog.change(leaving(self.entries[0]))
-        self.assertTrue(eventually(self.told), self.log())
+        self.assertTrue(eventually(self.updates), self.log())
         changed.set()
         self.assertTrue(eventually(lambda: len(new.seen) > 1), self.log())
-        self.nothing_goes_to_the_first()
+        self.check_nothing_goes_to_the_first()
 
-    def test_a_new_address_that_failed_first_is_asked_for_its_whole_list(self):
-        new = self.party(lambda head, body: http_response(503))
-        self.moves_to(new)
+    def test_a_new_address_whose_first_call_failed_is_asked_for_the_whole_list(self):
+        new = self.server(lambda head, body: http_response(503))
+        self.change_address_to(new)
         self.assertTrue(eventually(lambda: len(new.seen) > 1), self.log())
-        self.assertNotIn("after=", new.seen[1][0], "versions of the address left mean nothing here")
+        self.assertNotIn("after=", new.seen[1][0], "versions of the previous address mean nothing here")
 
-    def test_a_change_on_the_old_watch_counts_after_the_address_was_left_and_come_back_to(self):
-        """The new call there is held until the old watch has told the change."""
+    def test_a_change_on_the_old_watch_is_followed_after_the_address_changed_and_changed_back(self):
+        """The new call there is not answered until the old watch has returned the change."""
         catalog = self.catalog.answer
         self.catalog.answer = lambda head, body: (
             catalog(head, body) if "after" in head else answer_after(self.gate)(head, body)
         )
-        self.moves_to(self.silent())
+        self.change_address_to(self.silent())
         calls = len(self.catalog.seen)
-        self.moves_to(self.catalog)
+        self.change_address_to(self.catalog)
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls), self.log())
         self.catalog.change(leaving(self.entries[0]))
-        self.assertTrue(eventually(self.told, 3), self.log())
-        self.nothing_goes_to_the_first()
+        self.assertTrue(eventually(self.updates, 3), self.log())
+        self.check_nothing_goes_to_the_first()
         self.assertFalse(self.logged("coroutine.broken"))
 
-    def test_a_change_on_the_old_watch_counts_after_two_moves_whose_calls_are_not_answered(self):
-        self.moves_to(self.silent())
-        self.moves_to(self.silent())
+    def test_a_change_on_the_old_watch_is_followed_after_two_address_changes_without_response(self):
+        self.change_address_to(self.silent())
+        self.change_address_to(self.silent())
         self.catalog.change(leaving(self.entries[0]))
-        self.assertTrue(eventually(self.told, 3), self.log())
-        self.nothing_goes_to_the_first()
+        self.assertTrue(eventually(self.updates, 3), self.log())
+        self.check_nothing_goes_to_the_first()
 
-    def test_a_change_that_is_there_with_the_signal_counts(self):
+    def test_a_change_that_arrives_together_with_the_signal_is_followed(self):
         new = self.silent()
         self.config["discovery"] = new.address
         with self.paused():
             self.catalog.change(leaving(self.entries[0]))
-            time.sleep(0.1)  # it is written while the program is held, so before the signal is seen
+            time.sleep(0.1)  # it is written while the program is stopped, so before the program sees the signal
             self.reload(json.dumps(self.config))
-        self.assertTrue(eventually(lambda: new.seen and self.told()), self.log())
-        self.nothing_goes_to_the_first()
+        self.assertTrue(eventually(lambda: new.seen and self.updates()), self.log())
+        self.check_nothing_goes_to_the_first()
 
-    def test_a_move_while_discovery_is_down_is_heard_at_once(self):
+    def test_an_address_change_while_discovery_is_down_takes_effect_at_once(self):
         self.catalog.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         moved = [leaving(self.entries[0]), self.entries[1]]
-        self.moves_to(self.party(lambda head, body: http_response(200, list_body(2, moved, True))))
-        self.assertTrue(eventually(lambda: self.told("full"), 1), self.log())
-        self.nothing_goes_to_the_first()
+        self.change_address_to(self.server(lambda head, body: http_response(200, list_body(2, moved, True))))
+        self.assertTrue(eventually(lambda: self.updates("full"), 1), self.log())
+        self.check_nothing_goes_to_the_first()
 
 
-class RestartedTest(Listed):
-    def test_a_discovery_that_counts_versions_anew_is_asked_for_its_whole_list(self):
+class RestartedTest(WatchingTest):
+    def test_a_discovery_whose_versions_start_again_is_asked_for_the_whole_list(self):
         self.catalog.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         self.catalog.index, self.catalog.entries = 3, [leaving(self.entries[0]), self.entries[1]]
         self.catalog.restart()
-        self.assertTrue(eventually(lambda: self.told("full"), NOTIFIED_AFTER / SECOND), self.log())
-        self.nothing_goes_to_the_first()
+        self.assertTrue(eventually(lambda: self.updates("full"), NOTIFIED_AFTER / SECOND), self.log())
+        self.check_nothing_goes_to_the_first()
 
 
 class AttemptTest(SidecarTest):
-    """A server is told as leaving while an attempt on it is under way. Between the look for a resting connection and
-    the first byte written on it the program does nothing else: there is no crossing to force."""
+    """A provider begins to drain while an attempt at it is in flight.
+
+    Between the check of an idle connection and the first byte written to it the program does nothing else, so there is
+    no race to force.
+    """
 
-    def test_a_connection_that_comes_up_after_it_carries_nothing(self):
+    def test_a_connection_that_opens_after_the_drain_carries_no_request(self):
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.addCleanup(full.close)
         waiting = [socket.create_connection(full.getsockname())]
@@ -206,7 +212,7 @@
         thread = threading.Thread(target=lambda: found.append(self.invoke(ONCE, 3000)))
         thread.start()
         self.addCleanup(thread.join)
-        self.assertTrue(eventually(lambda: self.syn_sent(full)), "no attempt begins")
+        self.assertTrue(eventually(lambda: self.syn_sent(full)), "no attempt has begun")
         calls = len(self.catalog.seen)
         self.catalog.change(leaving(only), entry("s1", other.address))
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls), self.log())
@@ -216,18 +222,18 @@
         late, _ = full.accept()
         self.addCleanup(late.close)
         late.settimeout(5)
-        self.assertEqual(late.recv(4096), b"", "a request was sent to a server that leaves")
+        self.assertEqual(late.recv(4096), b"", "a request was sent to a provider that drains")
         thread.join(5)
         self.assertEqual(found and found[0][:2], (200, b"other"))
 
     @staticmethod
     def syn_sent(listener):
-        """Whether a connection to it waits for its answer: the kernel's word for what no peer can see."""
+        """Whether the kernel has sent SYN for a connection to the listener and has no answer yet."""
         remote = f"0100007F:{listener.getsockname()[1]:04X}"
         with open("/proc/net/tcp", encoding="ascii") as table:
             return any(line.split()[2:4] == [remote, "02"] for line in table)
 
-    def test_a_request_half_written_is_finished_and_sent_once(self):
+    def test_a_request_that_is_partly_written_is_completed_and_sent_once(self):
         with socket.create_server(("127.0.0.1", 0)) as slow:
             other = StubServer(ok)
             self.addCleanup(other.close)
@@ -256,15 +262,15 @@
             self.assertEqual(other.seen, [])
 
 
-# ---- a process that is behind, and long lists ---------------------------------------------------------
+# ---- an overloaded process, and long lists ------------------------------------------------------------
 
 
 @pytest.mark.parametrize("queue", ["runnable", "new_work"])
-def test_a_list_that_is_there_goes_before_the_requests_that_wait(queue):
-    """The requests that wait to be decided are begun once the list is told, however slow each of them is."""
-    loop, begun, told = Loop(), [], []
+def test_a_list_that_has_arrived_is_handled_before_waiting_requests(queue):
+    """Requests that wait to be decided are handled after the list has been passed on, however slow each of them is."""
+    loop, begun, updates = Loop(), [], []
     listener = socket.create_server(("127.0.0.1", 0))
-    discovery = Discovery(loop, address_of(listener), Options(), lambda update, _: told.append(len(begun)))
+    discovery = Discovery(loop, address_of(listener), Options(), lambda update, _: updates.append(len(begun)))
 
     def serve():
         yield Wait(listener, READABLE, None)
@@ -283,7 +289,7 @@
     loop.spawn(serve())
     discovery.fetch()
     loop.run()
-    assert told and told[0] <= 2
+    assert updates and updates[0] <= 2
 
 
 def providers(count, lifecycle=Lifecycle.READY):
@@ -291,8 +297,8 @@
     return endpoints, {f"s{n}": f"127.0.0.1:{n + 1}" for n in range(count)}
 
 
-def test_a_long_whole_list_is_taken_in_time_that_goes_with_its_length():
-    """Each entry was compared with each: 180 ms of processor time for 1,024, in which nothing else is read."""
+def test_a_long_whole_list_is_applied_in_time_proportional_to_its_length():
+    """When each entry was compared with each other one, 1,024 took 180 ms of processor time without other work."""
 
     def takes(count):
         endpoints, addresses = providers(count)
@@ -306,10 +312,10 @@
             spent.append(time.process_time_ns() - began)
         return min(spent)
 
-    assert takes(4000) < 80 * takes(250), "sixteen times as long"
+    assert takes(4000) < 80 * takes(250), "for a list sixteen times as long"
 
 
-def test_of_two_entries_for_one_server_in_one_list_the_later_one_holds():
+def test_of_two_entries_for_one_provider_in_a_list_the_later_one_counts():
     back = Backend(Loop(), settings(), Options(), 8, 1 << 20)
     endpoints, addresses = providers(1)
     left = replace(endpoints[0], lifecycle=Lifecycle.DRAINING)
@@ -320,7 +326,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(0, 4)), max_size=30))
-def test_an_address_is_that_of_the_one_that_took_it_last(moves):
+def test_an_address_belongs_to_the_provider_that_got_it_last(moves):
     pool, whole = Pool(Loop(), settings(), Options(), 8), {}
     for name, number in moves:
         if number:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies: in pieces, within the room for them, and told apart from broken ones."""
+"""Long and slow bodies: they arrive in pieces, stay within the memory budget, and differ from broken ones."""
 
 import http.client
 import os
@@ -29,28 +29,32 @@
 
 
 def chunks(*parts):
+    """A chunked body of these parts, with chunk extensions and a trailer."""
     return b"".join(b"%x;ext=1\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\nTrailer: x\r\n\r\n"
 
 
 class LongTest(SidecarTest):
-    def small(self, *answers, memory_mb=48):
-        patient = SETTINGS | {"profiles": [p | {"hardLimit": 30 * SECOND} for p in SETTINGS["profiles"]]}
-        self.start(*answers, limits={"sockets": 256, "memory_mb": memory_mb}, settings=patient)
+    def start_with_little_memory(self, *answers, memory_mb=48):
+        """Start with little memory and long deadlines."""
+        long_deadlines = SETTINGS | {"profiles": [p | {"hardLimit": 30 * SECOND} for p in SETTINGS["profiles"]]}
+        self.start(*answers, limits={"sockets": 256, "memory_mb": memory_mb}, settings=long_deadlines)
         self.assertTrue(eventually(lambda: self.health() == 200))
 
     def peak_mb(self):
+        """The highest resident memory of the program so far, in MiB."""
         status = Path(f"/proc/{self.program.pid}/status").read_text()
         return int(status.split("VmHWM:")[1].split()[0]) / 1024
 
     def client_socket(self, request_id=b"r"):
+        """A connected client, its socket, and the beginning of a request's head."""
         client = self.client()
         client.connect()
         return client, client.sock, HEAD % request_id
 
-    def test_more_long_answers_than_memory_holds_are_all_passed_on(self):
-        """To clients that read slowly, beside small requests: back-pressure reaches the providers."""
+    def test_more_long_responses_than_fit_into_memory_are_all_forwarded(self):
+        """The clients read slowly, and small requests are served besides: backpressure reaches the providers."""
         answer = os.urandom(MIB) * 16
-        self.small(lambda head, body: http_response(200, answer if body == b"long" else b"small"))
+        self.start_with_little_memory(lambda head, body: http_response(200, answer if body == b"long" else b"small"))
         with ThreadPoolExecutor(12) as pool:
             long = [pool.submit(self.invoke, ONCE, 20000, "/api", b"long") for _ in range(8)]
             small = [pool.submit(self.invoke, ONCE, 20000, "/api", b"s") for _ in range(20)]
@@ -58,7 +62,7 @@
             self.assertTrue(all(call.result()[:2] == (200, answer) for call in long))
         self.assertLess(self.peak_mb(), 48)
 
-    def test_a_long_answer_begins_before_it_has_ended_and_no_deadline_cuts_it(self):
+    def test_a_long_response_begins_before_it_is_complete_and_no_deadline_cuts_it(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
 
@@ -73,12 +77,12 @@
         client.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE, "Req-Deadline-Ms": "500"})
         response = client.getresponse()
         self.assertEqual((response.status, response.read(1000)), (200, b"x" * 1000))
-        time.sleep(0.8)  # past the deadline
+        time.sleep(0.8)  # until after the deadline
         gate.set()
         self.assertEqual(response.read(), b"x" * 299000)
-        self.assertEqual(self.invoke(client=client)[0], 200)  # and its connection goes on
+        self.assertEqual(self.invoke(client=client)[0], 200)  # the connection can be used again
 
-    def test_a_long_answer_that_breaks_is_cut_so_that_the_client_can_tell_and_is_not_tried_again(self):
+    def test_a_long_response_that_breaks_off_is_visibly_cut_and_its_request_not_retried(self):
         whole = b"y" * 300000
         framings = {
             "length": http_response(200, whole)[:-9],
@@ -91,7 +95,7 @@
                 def answer(head, body, data=data, sockets=sockets):
                     self.providers[0].sockets[-1].sendall(data)
                     sockets.append(1)
-                    time.sleep(0.3)  # before that, one of no known length has not been begun
+                    time.sleep(0.3)  # before that, the forwarding of a response of unknown length has not begun
 
                 self.start(answer)
                 with self.assertRaises((http.client.IncompleteRead, ConnectionResetError)):
@@ -99,7 +103,7 @@
                 self.assertEqual(len(sockets), 1)
                 self.assertIsNone(self.program.poll())
 
-    def test_a_long_answer_whose_head_comes_alone_is_whole(self):
+    def test_a_long_response_whose_head_arrives_alone_is_forwarded_whole(self):
         def answer(head, body):
             self.providers[0].sockets[-1].sendall(b"HTTP/1.1 200 X\r\nContent-Length: 200000\r\n\r\n")
             time.sleep(0.2)
@@ -108,7 +112,7 @@
         self.start(answer)
         self.assertEqual(self.invoke(ONCE)[:2], (200, b"w" * 200000))
 
-    def test_answers_of_every_framing_are_passed_on_whole(self):
+    def test_responses_of_every_framing_are_forwarded_whole(self):
         body = os.urandom(200000)
         chunked = b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n"
         answers = [
@@ -145,7 +149,7 @@
         )
         self.assertTrue(self.providers[0].seen[-1][0].startswith("GET /api?q=1 "))
 
-    def test_one_that_was_declined_is_sent_on_whole_a_second_time(self):
+    def test_a_declined_request_with_a_long_body_is_sent_whole_to_another_provider(self):
         self.start(ok, ok)
         first = []
 
@@ -153,13 +157,13 @@
             first.append(body)
             return http_response(503, b"", "Srv-Declined: 1") if len(first) == 1 else ok(head, body)
 
-        for party in self.providers:
-            party.answer = decline_once
+        for server in self.providers:
+            server.answer = decline_once
         body = os.urandom(MIB)
         self.assertEqual(self.invoke(ONCE, body=body)[:2], (200, b"served " + body))
         self.assertEqual([len(b) for b in first], [MIB, MIB])
 
-    def test_a_slow_head_and_a_slow_body_are_waited_for_and_slower_ones_are_not(self):
+    def test_a_slow_head_and_a_slow_body_are_awaited_and_a_silent_one_is_not(self):
         self.start(ok)
 
         def slow(pause, rate, request_id):
@@ -181,11 +185,13 @@
             self.assertIn(b" 408 ", sock.recv(100))
             self.assertEqual(waited.result(), 200)
 
-    def test_with_no_room_long_bodies_are_rejected_at_once_or_wait_and_small_ones_are_served(self):
+    def test_without_memory_long_bodies_wait_or_are_rejected_and_small_ones_are_served(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
         waits = answer_after(gate)
-        self.small(lambda head, body: (waits if len(body) > MIB else ok)(head, body[:9]), memory_mb=16)
+        self.start_with_little_memory(
+            lambda head, body: (waits if len(body) > MIB else ok)(head, body[:9]), memory_mb=16
+        )
         with ThreadPoolExecutor(8) as pool:
             first = pool.submit(self.invoke, ONCE, 20000, "/api", b"x" * 2 * MIB)
             self.assertTrue(eventually(lambda: self.providers[0].seen))
@@ -197,23 +203,23 @@
             gate.set()
             self.assertEqual([first.result()[0], second.result()[0]], [200, 200])
 
-    def test_bodies_greater_than_the_room_are_sent_on_while_they_come(self):
-        """Several at once, each greater than all the room, to a provider that reads slowly."""
+    def test_bodies_larger_than_the_memory_budget_are_forwarded_as_they_arrive(self):
+        """Several at once, each larger than the whole memory budget, to a provider that reads slowly."""
         body = os.urandom(MIB) * 12
 
         def count(head, sent):
             return http_response(200, b"%d" % len(sent) if sent != body else b"whole")
 
-        self.small(count, memory_mb=40)
+        self.start_with_little_memory(count, memory_mb=40)
         with ThreadPoolExecutor(6) as pool:
-            calls = [pool.submit(self.invoke, ONCE, 20000, "/api", body) for _ in range(5)]
+            requests = [pool.submit(self.invoke, ONCE, 20000, "/api", body) for _ in range(5)]
             self.assertEqual(self.invoke(ONCE, body=b"small")[:2], (200, b"5"))
-            self.assertEqual([call.result()[:2] for call in calls], [(200, b"whole")] * 5)
+            self.assertEqual([call.result()[:2] for call in requests], [(200, b"whole")] * 5)
         self.assertLess(self.peak_mb(), 40)
 
-    def test_one_sent_on_whose_client_falls_silent_or_goes_never_ran_and_blames_nobody(self):
-        self.small(ok, memory_mb=16)
-        for ends, times in (("silent", 1), ("goes", 4)):
+    def test_a_forwarded_body_whose_client_falls_silent_or_leaves_does_not_count_against_the_provider(self):
+        self.start_with_little_memory(ok, memory_mb=16)
+        for ends, times in (("silent", 1), ("leaves", 4)):
             for n in range(times):
                 client, sock, head = self.client_socket(b"%s%d" % (ends.encode(), n))
                 sock.sendall(head + b"Content-Length: 9000000\r\n\r\n" + b"x" * 300000)
@@ -225,8 +231,8 @@
         self.assertEqual(self.invoke(ONCE)[0], 200)
         self.assertEqual([body for _, body, _ in self.providers[0].seen if len(body) == 9000000], [])
 
-    def test_one_sent_on_may_come_with_its_head_or_well_after_it(self):
-        self.small(ok, memory_mb=16)
+    def test_a_forwarded_body_may_arrive_with_its_head_or_well_after_it(self):
+        self.start_with_little_memory(ok, memory_mb=16)
         body = b"x" * 5 * MIB
         for n, cut in enumerate((0, 1, 30000)):
             client, sock, head = self.client_socket(b"r%d" % n)
@@ -237,17 +243,17 @@
             response.begin()
             self.assertEqual(response.read(), b"served " + body)
 
-    def test_one_sent_on_is_sent_elsewhere_as_long_as_nothing_of_it_is_out(self):
+    def test_a_forwarded_body_goes_to_another_provider_if_none_of_it_was_sent(self):
         with listener() as gone:
             address = address_of(gone)
-        self.small(ok, memory_mb=16)
+        self.start_with_little_memory(ok, memory_mb=16)
         self.catalog.change(entry("gone", address))
         self.wait_until_list_read()
         for _ in range(4):
             self.assertEqual(self.invoke(ONCE, body=b"x" * 5 * MIB)[0], 200)
 
-    def test_a_body_of_single_bytes_takes_no_more_room_than_it_has(self):
-        self.small(ok, memory_mb=32)
+    def test_a_body_that_arrives_byte_by_byte_takes_no_more_memory_than_its_size(self):
+        self.start_with_little_memory(ok, memory_mb=32)
         before = self.peak_mb()
         client, sock, head = self.client_socket()
         sock.sendall(head + b"Content-Length: 20000\r\n\r\n")
@@ -263,17 +269,17 @@
     unittest.main()
 
 
-class LittleRoomTest(SidecarTest):
-    """Room for 1.4 MB of long answers at a time."""
+class SmallBudgetTest(SidecarTest):
+    """The memory budget allows 1.4 MB of long responses at a time."""
 
     operator = '[limits]\nanswers_of_memory = "1%"\n'
 
-    def test_long_ones_of_no_known_length_are_passed_on_at_once_where_room_is_short(self):
+    def test_long_responses_of_unknown_length_are_forwarded_at_once_if_the_budget_is_short(self):
         long, together = os.urandom(250_000), 12
 
         def answer(head, body):
             yield b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(long), long)
-            time.sleep(0.1)  # the end comes before any has been held for its time
+            time.sleep(0.1)  # the end arrives before any response has been held for its full time
             yield b"0\r\n\r\n"
 
         self.start(answer)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -1,4 +1,4 @@
-"""Five sidecars killed together and started again while discovery is down: each comes back on its snapshot."""
+"""Five sidecars are killed together and restarted while discovery is down: each starts with its snapshot."""
 
 import http.client
 import json
@@ -29,19 +29,24 @@
 SIDECARS = 5
 
 
-def said(name):
+def answering(name):
+    """The answer of a server that responds with its name."""
     return lambda head, body: http_response(200, name.encode())
 
 
 class Fleet(unittest.TestCase):
-    """Sidecars, each with a folder of its own, beside providers and discovery; all but `far` in the sidecars' zone."""
+    """Sidecars, each with a folder of its own, with providers and a discovery. Only `far` is in another zone."""
 
     def setUp(self):
         self.catalog = StubDiscovery()
-        self.old, self.new, self.leaving = StubServer(said("old")), StubServer(said("new")), StubServer(said("leaving"))
-        self.far = StubServer(said("far"))
-        for party in (self.catalog, self.old, self.new, self.leaving, self.far):
-            self.addCleanup(party.close)
+        self.old, self.new, self.leaving = (
+            StubServer(answering("old")),
+            StubServer(answering("new")),
+            StubServer(answering("leaving")),
+        )
+        self.far = StubServer(answering("far"))
+        for server in (self.catalog, self.old, self.new, self.leaving, self.far):
+            self.addCleanup(server.close)
         self.catalog.entries = [entry("s-old", self.old.address)]
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.programs = {}
@@ -55,7 +60,7 @@
             "discovery": self.catalog.address,
             "seed": f"{number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(list_body(0, self.catalog.entries, True)),  # what the platform gives, now and after
+            "known": json.loads(list_body(0, self.catalog.entries, True)),  # the platform's list, also after a restart
             "settings": SETTINGS,
         }
 
@@ -96,14 +101,15 @@
             return -1
 
     def serves(self, config, answer, seconds=10):
+        """Wait until a sidecar's request is answered by a certain provider."""
         return eventually(lambda: self.served_by(config["listen"]) == (200, answer), seconds)
 
     def logged(self, number, event):
         log = (self.folder / f"n{number}" / "log").read_text()
         return [json.loads(line) for line in log.splitlines() if f'"{event}"' in line]
 
-    def started(self, sidecars=SIDECARS):
-        """All serve the old provider, as the platform's list has it."""
+    def start_sidecars(self, sidecars=SIDECARS):
+        """Start sidecars; all use the old provider, which is in the platform's list."""
         configs = {n: self.config(n) for n in range(sidecars)}
         for number, config in configs.items():
             self.launch(number, config)
@@ -111,8 +117,8 @@
             self.assertEqual(self.serves(config, b"old"), True)
         return configs
 
-    def started_beside(self, data, config):
-        """One sidecar that finds `data` in its snapshot's place; it serves the old provider all the same."""
+    def start_with_snapshot(self, data, config):
+        """Start a sidecar that finds `data` in place of its snapshot, and check that it still uses the old provider."""
         (self.folder / "n0").mkdir()
         (self.folder / "n0" / "loftweir-snapshot").write_bytes(data)
         self.launch(0, config)
@@ -120,7 +126,10 @@
         self.assertEqual([self.served_by(config["listen"]) for _ in range(5)], [(200, b"old")] * 5)
 
     def restart(self, configs, moved, *lost):
-        """The list moves on, is kept, and all sidecars are killed; discovery and `lost` are down at the new start."""
+        """Change the list, wait until it is stored, kill all sidecars and restart them.
+
+        Discovery and the servers in `lost` are down by then. Returns when the restart began.
+        """
         self.catalog.entries = moved
         self.catalog.change(entry("s-old", self.old.address, status="left"), *moved)
         for number in configs:
@@ -130,24 +139,24 @@
         for program in self.programs.values():
             program.wait(10)
         self.catalog.fail(True)
-        for party in (self.old, *lost):
-            party.close()
+        for server in (self.old, *lost):
+            server.close()
         began = time.monotonic()
         for number, config in configs.items():
-            self.launch(number, config)  # the platform gives its old list again
+            self.launch(number, config)  # with the platform's old list
         return began
 
 
 class MassRestart(Fleet):
-    def test_all_come_back_on_their_snapshots_with_discovery_down_and_a_drain_kept(self):
-        configs = self.started()
-        # The old provider leaves, a new one comes, a third drains.
+    def test_all_restart_with_their_snapshots_while_discovery_is_down_and_a_drain_is_kept(self):
+        configs = self.start_sidecars()
+        # The old provider leaves, a new one is listed, a third one drains.
         moved = [entry("s-new", self.new.address), entry("s-leaving", self.leaving.address, status="leaving")]
         before = len(self.leaving.seen)
         began = self.restart(configs, moved)
         for number, config in configs.items():
             self.assertEqual(self.serves(config, b"new", 15), True, number)
-        self.back_in = time.monotonic() - began  # until the last of them serves: benchmarks/restart.py
+        self.restart_time = time.monotonic() - began  # until the last one serves; used by benchmarks/restart.py
         for number, config in configs.items():
             for _ in range(5):
                 self.assertEqual(self.served_by(config["listen"]), (200, b"new"))
@@ -156,34 +165,36 @@
             self.assertEqual(taken[-1]["index"], 1)
         self.assertEqual(len(self.leaving.seen), before)
 
-    def test_a_restart_during_the_loss_of_the_own_zone_serves_from_the_other(self):
-        configs = self.started()
+    def test_a_restart_after_the_loss_of_the_own_zone_uses_the_other_zone(self):
+        configs = self.start_sidecars()
         self.restart(configs, [entry("s-new", self.new.address), entry("s-far", self.far.address, zone="b")], self.new)
         for config in configs.values():
             self.assertEqual(self.serves(config, b"far", 15), True)
             self.assertEqual([self.served_by(config["listen"]) for _ in range(8)], [(200, b"far")] * 8)
 
 
-class Untrusted(Fleet):
-    def test_a_torn_snapshot_is_set_aside_and_the_start_goes_on_with_the_given_list(self):
-        self.started_beside(b'loftweir-snapshot 1 0000abcd\n{"epoch": 4, "index": 9, "taken', self.config(0))
+class UnusableSnapshot(Fleet):
+    def test_a_truncated_snapshot_is_renamed_and_the_start_uses_the_given_list(self):
+        self.start_with_snapshot(b'loftweir-snapshot 1 0000abcd\n{"epoch": 4, "index": 9, "taken', self.config(0))
         (damaged,) = self.logged(0, "state.damaged")
         self.assertIn("cut short", damaged["why"])
         self.assertTrue((self.folder / "n0" / "loftweir-snapshot.damaged").exists())
-        self.assertEqual(eventually(lambda: self.snapshot_index(0) == 0), True)  # written anew, whole
+        self.assertEqual(eventually(lambda: self.snapshot_index(0) == 0), True)  # it has been written again
 
-    def test_a_snapshot_older_than_the_given_list_is_not_sent_by(self):
+    def test_a_snapshot_older_than_the_given_list_is_not_used(self):
         config = self.config(0)
         config["known"] = json.loads(list_body(5, self.catalog.entries, True))
         entries = [Entry("s-new", self.new.address, "a", "m", 0, "ready", 1.0, 0)]
-        self.started_beside(encode(Snapshot(2, 3, time.time_ns(), entries)), config)
+        self.start_with_snapshot(encode(Snapshot(2, 3, time.time_ns(), entries)), config)
         self.assertEqual([t["choice"] for t in self.logged(0, "state.taken")], ["stale"])
         self.assertEqual(self.new.seen, [])
 
     def test_a_change_that_waits_to_be_written_is_written_at_sigterm(self):
         config = self.config(0)
         self.launch(0, config, write_apart="60s")
-        self.assertEqual(self.serves(config, b"old"), True)  # its start is written, the next change waits a minute
+        self.assertEqual(
+            self.serves(config, b"old"), True
+        )  # the first list is written at once, the next change waits a minute
         self.catalog.entries = [entry("s-new", self.new.address)]
         self.catalog.change(entry("s-old", self.old.address, status="left"), *self.catalog.entries)
         self.assertEqual(self.serves(config, b"new"), True)
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -1,4 +1,7 @@
-"""Lists that an agent on the sidecar's machine pushes: what it has counts as told, so it is always watched."""
+"""Lists pushed by an agent on the sidecar's machine.
+
+The sidecar counts as notified of whatever the agent has, so the agent is always watched.
+"""
 
 import threading
 import time
@@ -9,7 +12,7 @@
 
 
 class PushedTest(SidecarTest):
-    def test_the_agent_is_watched_from_the_start_and_a_drain_is_kept(self):
+    def test_the_agent_is_watched_from_the_start_and_a_drain_is_followed(self):
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
         self.assertTrue(eventually(lambda: self.catalog.seen, 5), "the agent is never called")
@@ -18,9 +21,9 @@
         before = len(self.providers[0].seen)
         for _ in range(8):
             self.assertEqual(self.invoke()[0], 200)
-        self.assertEqual(len(self.providers[0].seen), before, "a drained provider is sent to")
+        self.assertEqual(len(self.providers[0].seen), before, "a request was sent to a drained provider")
 
-    def test_a_failing_agent_is_called_again_and_the_list_held_serves_on(self):
+    def test_a_failing_agent_is_called_again_and_the_current_list_stays_in_use(self):
         self.start(ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
         self.assertTrue(eventually(lambda: self.catalog.seen, 5))
@@ -31,7 +34,7 @@
         self.catalog.fail(False)
         self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 15), "not called again")
 
-    def test_a_silent_agent_is_given_up_soon_and_called_again(self):
+    def test_a_call_to_a_silent_agent_times_out_soon_and_is_repeated(self):
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
         self.assertTrue(eventually(lambda: self.catalog.seen, 5))
@@ -39,8 +42,10 @@
         self.addCleanup(gate.set)
         self.catalog.answer = lambda head, body: answer(head, body) if gate.wait(20) else None
         calls = len(self.catalog.seen)
-        # A call waits 1 s and is given up 0.25 s past that: within 6 s, more than two new calls.
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 2, 6), "a silent agent is waited for")
+        # A call waits for 1 s and times out 0.25 s later: more than two new calls within 6 s.
+        self.assertTrue(
+            eventually(lambda: len(self.catalog.seen) > calls + 2, 6), "the call to a silent agent does not time out"
+        )
         self.assertEqual(self.invoke()[0], 200)
         self.catalog.answer = answer
         gate.set()
@@ -51,11 +56,11 @@
         before = len(self.providers[0].seen)
         for _ in range(8):
             self.assertEqual(self.invoke()[0], 200)
-        self.assertEqual(len(self.providers[0].seen), before, "news after the silence are not taken")
+        self.assertEqual(len(self.providers[0].seen), before, "a change after the silence is not followed")
 
 
 class RestartedTest(SidecarTest):
-    """A new process: the platform's list is older than what the agent has, which counts from the first moment."""
+    """A new process: the platform's list is older than that of the agent, which counts from the first moment on."""
 
     def run_program(self, config, fault=""):
         self.catalog.change(self.entries[0] | {"status": "leaving"})
@@ -64,29 +69,29 @@
         self.catalog.answer = lambda head, body: answer(head, body) if self.gate.wait(self.agent_takes) else None
         super().run_program(config, fault)
 
-    def begins(self, agent_takes):
+    def begin(self, agent_takes):
         self.agent_takes = agent_takes
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.catalog.seen, 10), self.log())
         self.assertTrue(eventually(lambda: self.logged("start.listening"), 10), self.log())
 
-    def test_no_client_is_taken_before_the_agent_has_answered(self):
-        self.begins(30)
+    def test_no_client_is_accepted_before_the_agent_has_answered(self):
+        self.begin(30)
         timer = threading.Timer(0.2, self.gate.set)
         timer.start()
         self.addCleanup(timer.join)
         for _ in range(8):
             self.assertEqual(self.invoke()[0], 200)
-        self.assertFalse(self.providers[0].seen, "a drained provider is sent to")
+        self.assertFalse(self.providers[0].seen, "a request was sent to a drained provider")
 
-    def test_a_silent_agent_is_not_waited_for_long(self):
-        self.begins(30)
+    def test_the_start_waits_only_briefly_for_a_silent_agent(self):
+        self.begin(30)
         began = time.monotonic()
         self.assertEqual(self.invoke()[0], 200)
         self.assertLess(time.monotonic() - began, 2)
 
-    def test_an_end_meanwhile_still_answers_who_waits(self):
-        self.begins(30)
+    def test_a_client_that_waits_is_answered_if_the_program_ends_meanwhile(self):
+        self.begin(30)
         with self.paused():
             client = self.client()
             client.connect()
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,8 +1,8 @@
-"""Ready after a restart: processes of the program started together, discovery down at first and then crowded.
+"""Ready after a restart: several processes start together, while discovery is down at first and then busy.
 
-From the start of each process to its first `GET /_health` that answers 200. Discovery refuses connections for a while,
-then answers few calls at a time, each slowly, and the others with 503; watches that wait take no room, as their callers
-have been served.
+The time runs from the start of each process to its first `GET /_health` that answers 200. Discovery refuses connections
+for a while, then answers few calls at a time, each slowly, and the others with 503. Watches that wait do not count, as
+their sidecars have their list.
 """
 
 import json
@@ -19,24 +19,24 @@
 
 from scene import ROOT, SETTINGS, StubDiscovery, StubServer, address_of, entry, http_response, list_body, listener, ok
 
-ALLOWED = 10.0  # the operators': nine in ten of the restarted are ready within it
-ASK_WITHIN = 10_000_000_000
+ALLOWED = 10.0  # seconds; the operators require that nine of ten restarted processes are ready by then
+ASK_WITHIN = 10_000_000_000  # ns
 
 
-class Crowded(StubDiscovery):
-    """Discovery that is down until `comes_back`, and has room for few callers then."""
+class SlowDiscovery(StubDiscovery):
+    """A discovery that is down until `come_up`, and then answers `room` calls at a time, each in `slow` seconds."""
 
     def __init__(self, room=4, slow=0.2):
         self.room, self.slow, self.inside = room, slow, 0
-        self.turned_away = self.asked = 0
+        self.refused = self.calls = 0
         self.gate = threading.Lock()
         super().__init__()
-        self.listener.shutdown(socket.SHUT_RDWR)  # ends the wait for callers
+        self.listener.shutdown(socket.SHUT_RDWR)  # ends the thread that accepts
         self.listener.close()
-        self.listener = self.bound()
+        self.listener = self.bound_socket()
 
-    def bound(self):
-        """Its port, bound and with nobody who listens: it refuses."""
+    def bound_socket(self):
+        """A socket bound to its port that does not listen, so that connections are refused."""
         host, port = self.address.split(":")
         for _ in range(500):
             sock = socket.socket()
@@ -46,9 +46,9 @@
                 return sock
             sock.close()
             time.sleep(0.01)
-        raise OSError(f"{self.address} is still taken")
+        raise OSError(f"{self.address} is still in use")
 
-    def comes_back(self):
+    def come_up(self):
         self.listener.listen(128)
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -56,9 +56,9 @@
         if "after=" in head.split()[1]:
             return super()._respond(head, body)
         with self.gate:
-            self.asked += 1
+            self.calls += 1
             if self.inside >= self.room:
-                self.turned_away += 1
+                self.refused += 1
                 return http_response(503)
             self.inside += 1
         time.sleep(self.slow)
@@ -67,14 +67,14 @@
         return super()._respond(head, body)
 
 
-class Restarted(unittest.TestCase):
-    """`number` processes, started together; what each is given as `known` is the platform's list, or none."""
+class RestartTest(unittest.TestCase):
+    """Starts processes of the program together; `known` is the platform's list for each, which may be empty."""
 
     def setUp(self):
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        self.provider, self.discovery = StubServer(ok), Crowded()
-        for party in (self.provider, self.discovery):
-            self.addCleanup(party.close)
+        self.provider, self.discovery = StubServer(ok), SlowDiscovery()
+        for server in (self.provider, self.discovery):
+            self.addCleanup(server.close)
         self.discovery.entries = [entry("s0", self.provider.address)]
 
     def launch(self, n, known):
@@ -110,9 +110,12 @@
         return False
 
     def ready_in(self, number, known, down, within=ALLOWED):
-        """Seconds to ready of each that was within the time; discovery comes back `down` after the first start."""
+        """Start processes; return the seconds until each was ready, of those within the time.
+
+        Discovery comes up `down` seconds after the first start.
+        """
         began = time.monotonic()
-        back = threading.Timer(down, self.discovery.comes_back)
+        back = threading.Timer(down, self.discovery.come_up)
         back.start()
         self.addCleanup(back.cancel)
         self.programs = {}
@@ -130,7 +133,7 @@
         return sorted(t for t in times if t <= within)
 
     def cpu(self):
-        """Seconds of processor time that the processes have used, the mean."""
+        """The mean processor time that the processes have used, in seconds."""
         ticks = []
         for program, _, _ in self.programs.values():
             fields = Path(f"/proc/{program.pid}/stat").read_text().rpartition(") ")[2].split()
@@ -138,29 +141,29 @@
         return sum(ticks) / len(ticks) / os.sysconf("SC_CLK_TCK")
 
 
-class Ready(Restarted):
-    def test_with_a_list_of_the_platform_discovery_need_not_be_up(self):
+class ReadyTest(RestartTest):
+    def test_with_a_list_from_the_platform_discovery_is_not_needed(self):
         known = self.discovery.entries
         self.assertEqual(len(self.ready_in(8, known, down=60)), 8)
 
-    def test_with_no_list_nine_in_ten_are_ready_in_time_beside_a_discovery_that_is_down_and_then_crowded(self):
+    def test_without_a_list_nine_of_ten_are_ready_in_time_with_a_discovery_that_is_down_and_then_slow(self):
         times = self.ready_in(10, [], down=3)
         self.assertGreaterEqual(len(times), 9, times)
-        self.assertGreater(times[0], 2.5)  # not before discovery was back: it was
+        self.assertGreater(times[0], 2.5)  # none was ready before discovery was up
 
 
 if __name__ == "__main__":
     number, down, room, slow, listed = (float(a) for a in sys.argv[1:6])
-    case = Ready()
+    case = ReadyTest()
     case.folder = Path(tempfile.mkdtemp())
-    case.provider, case.discovery = StubServer(ok), Crowded(int(room), slow)
+    case.provider, case.discovery = StubServer(ok), SlowDiscovery(int(room), slow)
     case.discovery.entries = [entry("s0", case.provider.address)]
     times = case.ready_in(int(number), case.discovery.entries if listed else [], down, 20)
     median, ninth = times[len(times) // 2], times[int(number * 0.9) - 1] if len(times) >= number * 0.9 else None
     print(
         f"{int(number)} processes, down {down} s, room {room:.0f} x {slow} s, {'list' if listed else 'no list'}: ready "
         f"{len(times)}, median {median:.1f}, ninth tenth {ninth}, worst {times[-1]:.1f}, within 10 s "
-        f"{sum(t <= 10 for t in times)}; cpu {case.cpu():.2f} s each; calls {case.discovery.asked}, turned away "
-        f"{case.discovery.turned_away}"
+        f"{sum(t <= 10 for t in times)}; cpu {case.cpu():.2f} s each; calls {case.discovery.calls}, refused "
+        f"{case.discovery.refused}"
     )
     case.doCleanups()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings at SIGHUP: taken whole or turned down whole, and what is under way keeps its class."""
+"""New settings at SIGHUP: applied as a whole or rejected as a whole; requests in flight keep their class."""
 
 import json
 import os
@@ -33,7 +33,7 @@
     return settings(classes={c.name: c for c in classes}, **more)
 
 
-def test_a_keyed_request_under_way_keeps_its_class_while_it_becomes_once():
+def test_a_request_in_flight_keeps_its_by_key_class_when_the_class_becomes_once():
     balancer = make_balancer()
     balancer.handle(S, [full_list(endpoint("a1"), endpoint("a2"))])
     (first,) = attempts(balancer.handle(S, [request("r", "log-all")]))
@@ -43,10 +43,10 @@
     assert again.provider != first.provider
     (new,) = attempts(balancer.handle(S, [request("new", "log-all")]))
     (answer,) = [a for a in balancer.handle(S, [attempt_ended(new, Outcome.RESET)]) if isinstance(a, Fail | Reject)]
-    assert isinstance(answer, Fail), "the new one is once"
+    assert isinstance(answer, Fail), "the new request is of the new class"
 
 
-def test_a_request_whose_class_vanished_ends_well_and_fewer_attempts_bind_at_once():
+def test_a_request_whose_class_was_removed_is_finished_and_fewer_attempts_apply_at_once():
     balancer = make_balancer()
     balancer.handle(S, [full_list(*(endpoint(f"a{n}") for n in range(4)))])
     (first,) = attempts(balancer.handle(S, [request("r")]))
@@ -54,14 +54,14 @@
     other = RequestClass("other", Effect.REPEATABLE, 200 * MS, S)
     balancer.handle(S, [SettingsChanged(with_classes(other, max_attempts=1))])
     assert not attempts(balancer.handle(S, [attempt_ended(first, Outcome.ERROR)]))
-    # Its head came before, its last byte after.
+    # The head of this request arrived before the change, its last byte after it.
     (late,) = attempts(balancer.handle(S, [request("late", "read", request_class=gone)]))
     balancer.handle(S, [attempt_ended(late, Outcome.OK)])
     assert set(balancer.class_shares) == {"other"} and balancer.class_shares["other"] > 0.9
     assert len(attempts(balancer.handle(S, [request("n", "other"), list_changes(endpoint("a9"))]))) == 1
 
 
-def test_what_was_learnt_of_a_class_that_vanished_is_dropped_and_of_others_is_kept():
+def test_the_statistics_of_a_removed_class_are_dropped_and_those_of_others_kept():
     balancer = make_balancer()
     balancer.handle(S, [full_list(endpoint("a1"))])
     for n, kind in enumerate(("read", "push")):
@@ -72,8 +72,8 @@
     assert set(balancer.providers["a1"].failure_rates) == {"read"} and balancer.providers["a1"].penalty > 0
 
 
-# A reload that has read its files holds on while there is a file `hold`.
-SLOW = """
+# A reload that has read its files waits as long as there is a file `hold`.
+SLOW_READ = """
 import time
 from pathlib import Path
 from loftweir import daemon
@@ -86,16 +86,16 @@
     return found
 daemon.read = read_slowly
 """
-APART = "from loftweir import sidecar\nsidecar.RELOADS_APART = 60 * 10**9"
-# Python's own end takes a while: no handler of the program's is left in it.
-LATE = """
+RARE_RELOADS = "from loftweir import sidecar\nsidecar.RELOADS_APART = 60 * 10**9"
+# Python's own shutdown takes a while, in which no signal handler of the program is left.
+SLOW_EXIT = """
 import time
 class Late:
     def __del__(self, sleep=time.sleep):
         sleep(0.5)
 late = Late()
 """
-WITHOUT_END = "import os, sys, time\nend = time.time() + 20\nwhile time.time() < end: os.kill(int(sys.argv[1]), 1)"
+ENDLESS_SIGNALS = "import os, sys, time\nend = time.time() + 20\nwhile time.time() < end: os.kill(int(sys.argv[1]), 1)"
 
 
 class Reloading(SidecarTest):
@@ -105,7 +105,7 @@
 
 
 class ReloadTest(Reloading):
-    def test_classes_appear_and_vanish_and_fewer_attempts_are_made(self):
+    def test_classes_are_added_and_removed_and_fewer_attempts_are_made(self):
         self.start(lambda head, body: http_response(503, b"", "Srv-Declined: 1"), ok)
         self.assertEqual(self.invoke("grant-read")[0], 400)
         self.reload(self.settings(profile("grant-read", "repeatable"), profile(ONCE, "once"), maxAttempts=1))
@@ -114,9 +114,9 @@
         self.assertEqual(found, {"max_attempts", "classes.grant-read", f"classes.{READ}", f"classes.{KEYED}"})
         self.assertEqual(self.invoke(READ)[0], 400)
         statuses = {self.invoke("grant-read")[0] for _ in range(12)}
-        self.assertEqual(statuses, {200, 503}, "one attempt: where it is declined it is not made again")
+        self.assertEqual(statuses, {200, 503}, "there is only one attempt, also if it is declined")
 
-    def test_a_request_under_way_is_served_though_its_class_has_gone(self):
+    def test_a_request_in_flight_is_served_although_its_class_was_removed(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
         self.start(answer_after(gate))
@@ -127,7 +127,7 @@
         half.sock.sendall(b"POST /api HTTP/1.1\r\nHost: h\r\nReq-Id: h\r\nReq-Kind: place-confirm\r\n")
         half.sock.sendall(b"Idempotency-Key: k\r\nContent-Length: 2\r\n\r\n{")
         self.assertTrue(eventually(lambda: self.providers[0].seen))
-        time.sleep(0.5)  # nothing tells that the half request's head has been read
+        time.sleep(0.5)  # nothing shows that the head of the half request has been read
         self.reload(self.settings(profile(ONCE, "once")))
         self.assertTrue(eventually(lambda: self.logged("reload.done")), self.log())
         half.sock.sendall(b"}")
@@ -135,7 +135,7 @@
         self.assertEqual(client.getresponse().status, 200)
         self.assertIn(b" 200 ", half.sock.recv(4096))
 
-    def test_each_bad_file_is_turned_down_whole_and_its_fault_named(self):
+    def test_each_bad_file_is_rejected_as_a_whole_and_its_fault_named(self):
         self.start(ok)
         whole = json.loads(self.settings(profile("grant-read", "repeatable")))
         text = json.dumps(whole)
@@ -161,7 +161,7 @@
                 before = len(self.logged("reload.fault"))
                 self.reload(bad)
                 self.assertTrue(eventually(lambda n=before: len(self.logged("reload.fault")) > n, 3), (number, bad))
-                self.health()  # answered once the reload is over: all of its lines are in the log
+                self.health()  # it is answered once the reload is over, so all of its lines are in the log
                 faults = [fault["path"] for fault in self.logged("reload.fault")[before:]]
                 if path and "NaN" not in bad:
                     self.assertIn(path, faults)
@@ -175,10 +175,10 @@
 
 class BurstTest(Reloading):
     def traffic(self):
-        """Requests without a pause; ends them and gives the seconds and status of each."""
+        """Send requests without pause; return a function that ends them and returns the time and status of each."""
         found, stop = [], threading.Event()
 
-        def ask():
+        def send_requests():
             client = self.client()
             while not stop.is_set():
                 began = time.monotonic()
@@ -191,18 +191,18 @@
                 thread.join(20)
             return found
 
-        threads = [threading.Thread(target=ask) for _ in range(2)]
+        threads = [threading.Thread(target=send_requests) for _ in range(2)]
         for thread in threads:
             thread.start()
         self.addCleanup(end)
         return end
 
-    def unharmed(self, found):
+    def check_unharmed(self, found):
         self.assertLess(max(found)[0], 1, "seconds; the deadline is 2")
         served = sum(status == 200 for _, status in found)
-        self.assertGreater(served, len(found) / 2, "a busy machine may make it shed a few")
+        self.assertGreater(served, len(found) / 2, "on a busy machine a few may be rejected")
 
-    def test_a_burst_is_few_reloads_that_hold_no_request_and_the_last_file_is_in_force(self):
+    def test_a_burst_causes_few_reloads_that_delay_no_request_and_the_last_file_is_in_force(self):
         self.start(ok)
         end, began = self.traffic(), time.monotonic()
         for number in range(1000):
@@ -211,25 +211,29 @@
             self.program.send_signal(signal.SIGHUP)
             time.sleep(0.002)
         self.assertTrue(eventually(lambda: self.invoke("class-999")[0] == 200), self.log())
-        self.unharmed(end())
+        self.check_unharmed(end())
         self.assertLess(len(self.logged("reload.done")), 2 + (time.monotonic() - began) / 0.1)
 
-    def test_signals_without_end_leave_time_for_requests_and_for_the_end(self):
+    def test_endless_signals_leave_time_for_requests_and_for_the_end_of_the_process(self):
         self.start(ok)
         end = self.traffic()
-        sender = subprocess.Popen([sys.executable, "-c", WITHOUT_END, str(self.program.pid)])
+        sender = subprocess.Popen([sys.executable, "-c", ENDLESS_SIGNALS, str(self.program.pid)])
         self.addCleanup(sender.wait)
         self.addCleanup(sender.kill)
         self.assertTrue(eventually(lambda: len(self.logged("reload.done")) > 9), self.log())
-        self.unharmed(end())
+        self.check_unharmed(end())
         self.terminate()
-        at_its_end = (os.P_PID, self.program.pid, os.WEXITED | os.WNOWAIT | os.WNOHANG)  # its number stays its own
+        at_its_end = (
+            os.P_PID,
+            self.program.pid,
+            os.WEXITED | os.WNOWAIT | os.WNOHANG,
+        )  # the process stays unreaped, so its id is not reused
         self.assertTrue(eventually(lambda: os.waitid(*at_its_end)), self.log())
         sender.kill()
         self.assertEqual((self.program.wait(10), len(self.logged("stop.done"))), (0, 1))
 
-    def test_the_first_is_taken_at_once_and_sigterm_waits_for_no_reload(self):
-        self.start(ok, fault=APART)
+    def test_the_first_sighup_is_handled_at_once_and_sigterm_does_not_wait_for_a_reload(self):
+        self.start(ok, fault=RARE_RELOADS)
         for _ in range(9):
             self.reload(self.settings())
             self.assertTrue(eventually(lambda: self.logged("reload.done")), self.log())
@@ -237,15 +241,15 @@
         self.assertEqual(self.program.wait(10), 0)
         self.assertEqual(len(self.logged("reload.done")), 1)
 
-    def test_one_that_comes_at_the_very_end_changes_nothing(self):
-        self.start(ok, fault=LATE)
+    def test_a_sighup_at_the_very_end_changes_nothing(self):
+        self.start(ok, fault=SLOW_EXIT)
         self.terminate()
         self.assertTrue(eventually(lambda: self.logged("stop.done")), self.log())
         eventually(lambda: self.program.poll() is not None or self.program.send_signal(signal.SIGHUP))
         self.assertEqual(self.program.wait(10), 0)
 
-    def test_one_that_comes_while_a_reload_runs_is_one_more(self):
-        self.start(ok, fault=SLOW)
+    def test_a_sighup_during_a_reload_causes_one_more(self):
+        self.start(ok, fault=SLOW_READ)
         hold, read = (self.path.with_name(name) for name in ("hold", "read"))
         read.unlink()
         hold.touch()
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -1,4 +1,4 @@
-"""System calls fail for a moment, or one in five of them: callers have what they are owed, and are served again."""
+"""System calls fail for a moment, or some of them do: requests have their final answers, and are served again."""
 
 import json
 import os
@@ -16,19 +16,19 @@
 
 CLIENTS = 16
 DEADLINE_MS = 800
-ANSWERED_WITHIN = 1.3  # seconds: the deadline, and the half second in which an answer only earns nothing
-PACE = 0.02  # seconds from an answer to the same client's next call
-CALLS_A_CONNECTION = 10  # after so many a client opens a new one
-ANSWERS_A_CONNECTION = 5  # after so many an upstream closes it, so that new ones are made all the time
-BEFORE = 1.0  # seconds of calls before the fault
+ANSWERED_WITHIN = 1.3  # seconds: the deadline, and half a second in which a response is worthless but not yet lost
+PACE = 0.02  # seconds from a response to the same client's next request
+REQUESTS_PER_CONNECTION = 10  # after so many a client opens a new connection
+RESPONSES_PER_CONNECTION = 5  # after so many a provider closes a connection, so that new ones are always needed
+BEFORE = 1.0  # seconds of requests before the fault
 SERVED_AGAIN_WITHIN = 1.0  # seconds after the fault
-AFTER = 1.0  # seconds of calls from then on
-FEW, PART, ALL = 0.05, 0.2, 1.0
-BRIEF, LONG = 0.2, 1.0  # seconds
+AFTER = 1.0  # seconds of requests from then on
+FEW, PART, ALL = 0.05, 0.2, 1.0  # shares of the calls that fail
+BRIEF, LONG = 0.2, 1.0  # how long the failures last, in seconds
 
 
 class Answered(NamedTuple):
-    """How a call ended: `status` 0 is a connection that was closed with no answer."""
+    """How a request ended; status 0: the connection was closed without a response."""
 
     began: float
     took: float
@@ -38,16 +38,16 @@
 
 
 class Client(threading.Thread):
-    """Makes one call after another, each connection for some of them."""
+    """A client that sends one request after another, several over each connection."""
 
     deadline_ms = DEADLINE_MS
 
     def __init__(self, address, kind, ends_at):
-        """`ends_at` may be set later: `inf` until then."""
+        """`ends_at`, when it stops, may be set later; it is `inf` until then."""
         super().__init__(daemon=True)
         self.address, self.kind, self.ends_at = address, kind, ends_at
         self.sock, self.left, self.answers = None, 0, []
-        self.shut = 0  # kept connections that were closed under it
+        self.closed_idle = 0  # idle connections that the program closed before their next request
 
     def run(self):
         while time.monotonic() < self.ends_at:
@@ -59,7 +59,7 @@
     def call(self):
         request, began, status = os.urandom(8).hex(), time.monotonic(), 0
         new = self.sock is None
-        for _ in range(1 if new else 2):  # one that crosses the close of a kept connection is sent once more
+        for _ in range(1 if new else 2):  # a request that races with the close of an idle connection is sent once more
             try:
                 if self.sock is None:
                     self.sock = self.connect()
@@ -74,12 +74,12 @@
             self.sock = None
             if status:
                 break
-            self.shut += not new
+            self.closed_idle += not new
         return Answered(began, time.monotonic() - began, status, request, self.kind)
 
     def connect(self):
         host, port = self.address.split(":")
-        self.left = CALLS_A_CONNECTION
+        self.left = REQUESTS_PER_CONNECTION
         return socket.create_connection((host, int(port)), timeout=5)
 
     def exchange(self, request):
@@ -106,14 +106,14 @@
         return int(head.split(b" ", 2)[1])
 
 
-def upstream():
-    """An upstream that closes a connection after some answers; `ran` has the ids of the requests it has run."""
+def provider():
+    """The answer of a provider that closes a connection after some responses; `ran` has the ids that it received."""
     ran, answers = [], threading.local()
 
     def answer(head, body):
         ran.append(head.partition("Req-Id: ")[2].split()[0])
         answers.number = getattr(answers, "number", 0) + 1
-        if answers.number == ANSWERS_A_CONNECTION:
+        if answers.number == RESPONSES_PER_CONNECTION:
             return http_response(200, b"x", "Connection: close")
         return http_response(200, b"x")
 
@@ -121,43 +121,43 @@
     return answer
 
 
-class Play:
-    """What the clients of one case saw, from its fault's beginning and end on."""
+class Observed:
+    """What the clients of one case saw, as a whole, during the fault and after it."""
 
     def __init__(self, clients, ran, fault_at, fault_over_at, injected, log):
         self.answers = answers = [answer for client in clients for answer in client.answers]
-        self.shut = sum(client.shut for client in clients)
+        self.closed_idle = sum(client.closed_idle for client in clients)
         self.ran, self.injected, self.log = Counter(ran), injected, log
         self.during = [a for a in answers if fault_at <= a.began < fault_over_at]
         self.after = [a for a in answers if a.began >= fault_over_at + SERVED_AGAIN_WITHIN]
 
-    def judge(self):
+    def check(self):
         assert self.injected, "no call failed"
-        assert len(self.after) > 50, "too few calls after the fault"
+        assert len(self.after) > 50, "too few requests after the fault"
         closed = [a for a in self.answers if not a.status]
-        assert not closed, f"{len(closed)} calls with no answer, {self}"
-        assert not self.shut, f"{self.shut} kept connections shut, {self}"
+        assert not closed, f"{len(closed)} requests without a response, {self}"
+        assert not self.closed_idle, f"{self.closed_idle} idle connections were closed, {self}"
         late = [a for a in self.answers if a.took > ANSWERED_WITHIN]
-        assert not late, f"{len(late)} calls answered late, {self}"
+        assert not late, f"{len(late)} requests answered late, {self}"
         once = [a for a in self.answers if a.kind == ONCE]
-        assert all(self.ran[a.request] <= 1 for a in once), f"a call that must not run twice ran twice, {self}"
+        assert all(self.ran[a.request] <= 1 for a in once), f"a request that must not run twice ran twice, {self}"
         ran = [a for a in once if a.status in (429, 503) and self.ran[a.request]]
-        assert not ran, f"{len(ran)} calls refused that ran, {self}"
+        assert not ran, f"{len(ran)} rejected requests had run, {self}"
         unserved = [a for a in self.during if a.status != 200]
-        assert len(unserved) <= self.injected, f"{len(unserved)} calls not served, {self}"
+        assert len(unserved) <= self.injected, f"{len(unserved)} requests not served, {self}"
         lost = [a for a in self.after if a.status != 200]
-        assert not lost, f"{len(lost)} of {len(self.after)} calls not served after the fault, {self}"
+        assert not lost, f"{len(lost)} of {len(self.after)} requests not served after the fault, {self}"
 
     def __str__(self):
         during = Counter(a.status for a in self.during)
-        return f"{self.injected} faults, meanwhile {dict(during)}: {self.log}"
+        return f"{self.injected} faults, statuses meanwhile {dict(during)}: {self.log}"
 
 
-class Faulty(SidecarTest):
-    """The real program before four upstreams, with the shim in it."""
+class FaultsTest(SidecarTest):
+    """The real program with four providers, and with the fault injection in it."""
 
-    def play(self, row):
-        answers = [upstream() for _ in range(4)]
+    def run_case(self, row):
+        answers = [provider() for _ in range(4)]
         folder = Path(__file__).parent
         shim = f"import sys\nsys.path.append({str(folder)!r})\nimport fault_shim\nfault_shim.install('.')\n"
         profiles = [p | {"hardLimit": DEADLINE_MS * MS, "target": 300 * MS} for p in SETTINGS["profiles"]]
@@ -180,7 +180,7 @@
         self.assertTrue(eventually(count.exists, 5))
         ran = [request for answer in answers for request in answer.ran]
         log = "\n".join(self.log().splitlines()[:6])
-        return Play(clients, ran, fault_at, fault_at + row.seconds, int(count.read_text()), log)
+        return Observed(clients, ran, fault_at, fault_at + row.seconds, int(count.read_text()), log)
 
 
 TABLE = checked(
@@ -210,11 +210,11 @@
 
 @pytest.mark.parametrize("row", TABLE, ids=lambda row: f"{row.call} {row.error} {row.rate:g} for {row.seconds:g} s")
 def test_callers_are_served_again_after_system_calls_failed(row):
-    scene = Faulty()
+    case = FaultsTest()
     try:
-        scene.play(row).judge()
+        case.run_case(row).check()
     finally:
-        scene.doCleanups()
+        case.doCleanups()
 
 
 @pytest.mark.parametrize(
@@ -226,6 +226,6 @@
         (Row("accept", "ENFILE", 1, 0), r"row 2, .*: a fault lasts"),
     ],
 )
-def test_a_row_that_cannot_be_played_is_named(row, message):
+def test_a_row_that_cannot_be_injected_is_named(row, message):
     with pytest.raises(ValueError, match=message):
         checked([TABLE[0], row])
--- a/tests/test_usable.py
+++ b/tests/test_usable.py
@@ -1,4 +1,4 @@
-"""Which providers count as usable, from what passes on the sockets: the own zone first, then the others."""
+"""Which providers the balancer considers usable, with the real program: those of its own zone first."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 
 class UsableTest(SidecarTest):
     def two_zones(self, near, far=ok):
-        """Provider 0 in the own zone, provider 1 in another."""
+        """Start with provider 0 in the sidecar's zone and provider 1 in another one."""
         self.start(near, far)
         address = self.providers[1].address
         self.catalog.change(entry("s1", address, status="left"), entry("far", address, "b"))
@@ -18,19 +18,20 @@
         self.before = len(self.providers[1].seen)
 
     def far(self):
+        """How many requests the other zone's provider has received since the start."""
         return len(self.providers[1].seen) - self.before
 
-    def test_one_that_holds_a_call_past_its_aim_is_passed_over_though_it_is_the_zones_only_one(self):
+    def test_the_only_provider_of_the_zone_is_not_used_while_an_attempt_is_in_flight_past_its_aim(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
         self.two_zones(answer_after(gate))
         self.client().request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
-        time.sleep(0.7)  # the aim is 0.6 s
+        time.sleep(0.7)  # the aim (latency target) is 0.6 s
         self.assertEqual([self.invoke(ONCE)[0] for _ in range(4)], [200] * 4)
         self.assertEqual((len(self.providers[0].seen), self.far()), (1, 4))
 
-    def test_a_call_that_hangs_while_later_ones_are_answered_does_not_speak_for_its_provider(self):
+    def test_an_attempt_that_hangs_while_later_ones_are_answered_does_not_count_against_its_provider(self):
         gate = threading.Event()
         self.addCleanup(gate.set)
         self.two_zones(lambda head, body: ok(head, body) if body != b"slow" else answer_after(gate)(head, body))
@@ -41,14 +42,14 @@
         self.assertEqual([self.invoke(ONCE)[0] for _ in range(4)], [200] * 4)
         self.assertEqual((len(self.providers[0].seen), self.far()), (6, 0))
 
-    def test_one_that_holds_as_many_as_it_answers_in_time_is_passed_over(self):
+    def test_a_provider_with_as_many_in_flight_as_it_answers_in_time_is_not_used(self):
         self.two_zones(lambda head, body: time.sleep(0.3) or ok(head, body))
         self.assertEqual(self.invoke(ONCE)[0], 200)
         with ThreadPoolExecutor() as pool:
             statuses = list(pool.map(lambda _: self.invoke(ONCE)[0], range(4)))
         self.assertEqual((statuses, len(self.providers[0].seen), self.far()), ([200] * 4, 2, 3))
 
-    def test_one_failure_of_a_good_provider_does_not_set_it_aside(self):
+    def test_one_failure_of_a_good_provider_does_not_eject_it(self):
         self.start(ok, ok)
         self.assertEqual([self.invoke(ONCE)[0] for _ in range(20)], [200] * 20)
         self.providers[0].answer = lambda head, body: http_response(500)
@@ -58,7 +59,7 @@
         self.assertEqual([self.invoke(ONCE)[0] for _ in range(8)], [200] * 8)
         self.assertGreater(len(self.providers[0].seen) - before, 2)
 
-    def test_one_that_fails_a_single_class_is_passed_over_for_that_class_alone(self):
+    def test_a_provider_that_fails_one_class_is_not_used_for_that_class_only(self):
         faulty = lambda head, body: http_response(500) if "apply" in head else ok(head, body)  # noqa: E731
         self.start(faulty, ok)
         self.assertEqual([self.invoke()[0] for _ in range(40)], [200] * 40)
@@ -69,7 +70,7 @@
         self.assertEqual([self.invoke()[0] for _ in range(8)], [200] * 8)
         self.assertGreater(len(self.providers[0].seen) - before, 2)
 
-    def test_a_crowd_of_which_nothing_is_heard_any_more_is_forgotten(self):
+    def test_an_overload_ends_once_nothing_more_is_known_of_it(self):
         profiles = [p | {"target": 60 * MS} for p in SETTINGS["profiles"]]
         full = http_response(503, b"", "Srv-Declined: 1")
         self.start(lambda head, body: full, settings=SETTINGS | {"profiles": profiles})
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -1,4 +1,4 @@
-"""The watches of a whole fleet fall silent at one moment: what they miss is read before it counts as told."""
+"""The watches of a whole fleet fall silent at one moment: the change that they miss is still read in time."""
 
 import json
 import random
@@ -31,22 +31,22 @@
 from loftweir.interface import MembershipUpdate, UpdateKind
 from loftweir.net.loop import Wait
 
-PLAYS = 25
-SEEDS = 0x8C1F30D27A5BE960  # of the processes, one after another
-ANSWERED_AT = 12 * SECOND  # a change that answers all watches; the next call of each is silent
-REFUSED_LATE_AFTER = 300 * MS  # a call is given up
+RUNS = 25  # simulations of each case
+SEEDS = 0x8C1F30D27A5BE960  # the first process's seed; the others count on from it
+ANSWERED_AT = 12 * SECOND  # when a change answers all watches; the next call of each is silent
+REFUSED_LATE_AFTER = 300 * MS  # from when a call is given up to its late refusal
 SILENT, REFUSED = "silent", "refused"
-PATIENCES = [500 * MS, SECOND, 3 * SECOND]  # for which discovery lets a call wait its turn
+MAX_WAITS = [500 * MS, SECOND, 3 * SECOND]  # how long discovery lets a call wait in its queue
 
 
-def lags_of_missed_change(sidecars, new_watch, patience):
-    """Of a change made while all watches are silent, how late each sidecar of each play reads it."""
+def lags_of_missed_change(sidecars, new_watch, max_wait):
+    """How late each sidecar of each run reads a change that is made while all watches are silent."""
     lags = []
-    for play in range(PLAYS):
-        missed_at = ANSWERED_AT + random.Random(play).randrange(50, 1500) * MS
+    for run in range(RUNS):
+        missed_at = ANSWERED_AT + random.Random(run).randrange(50, 1500) * MS
         clock = Clock()
-        busy = Counted(new_watch, 12 * MS, patience, [ANSWERED_AT, missed_at])
-        fleet = [Unanswered(clock, busy, 1000 * play + me, sidecars) for me in range(sidecars)]
+        busy = Counted(new_watch, 12 * MS, max_wait, [ANSWERED_AT, missed_at])
+        fleet = [Unanswered(clock, busy, 1000 * run + me, sidecars) for me in range(sidecars)]
         for sidecar in fleet:
             sidecar.silent_from, sidecar.silent_to = ANSWERED_AT, ANSWERED_AT + SECOND
         clock.run(30 * SECOND)
@@ -55,16 +55,19 @@
 
 
 @pytest.mark.parametrize("sidecars, new_watch_ms", [(1, 600), (2, 600), (4, 600), (6, 400), (10, 250), (16, 100)])
-def test_watches_that_fall_silent_together_are_set_up_anew_before_the_missed_drain_counts(sidecars, new_watch_ms):
-    for patience in PATIENCES:
-        lags = lags_of_missed_change(sidecars, new_watch_ms * MS, patience)
+def test_watches_that_fall_silent_together_are_reestablished_before_the_missed_drain_counts(sidecars, new_watch_ms):
+    for max_wait in MAX_WAITS:
+        lags = lags_of_missed_change(sidecars, new_watch_ms * MS, max_wait)
         late = [lag // MS for lag in lags if lag > listclock.NOTIFIED_AFTER]
-        assert not late, (patience // MS, len(late), len(lags), late)
+        assert not late, (max_wait // MS, len(late), len(lags), late)
 
 
-class Ends(Calls):
-    """A sidecar whose watch stands at 10 s and falls silent as its next call begins. Of the calls after that, one after
-    another ends as `ends` says: silent, refused at once, or answered; `failures` has what the balancer is told."""
+class ScriptedWatch(Calls):
+    """A sidecar whose watch is established at 10 s and falls silent as its next call begins.
+
+    The calls from then on end as `ends` lists: silent or refused at once; those after the end of the list are answered.
+    `failures` has the failures that the balancer is notified of.
+    """
 
     def __init__(self, *ends, callers=4):
         super().__init__(Options(), None, ask_within=10 * SECOND, callers=callers)
@@ -101,8 +104,8 @@
         raise Refused("answered 503", reusable=True)
 
 
-def test_a_watch_that_fell_silent_does_not_keep_the_next_call_back():
-    sidecar = Ends(SILENT, *[REFUSED] * 30)
+def test_a_watch_that_fell_silent_does_not_delay_the_next_call():
+    sidecar = ScriptedWatch(SILENT, *[REFUSED] * 30)
     assert sidecar.failures and not any(update.response_pending for update in sidecar.failures)
 
 
@@ -114,34 +117,36 @@
     clock.run(ANSWERED_AT + 2 * SECOND)
     calls = {sidecar: len(sidecar.called_at) for sidecar in fleet}
     clock.run(ANSWERED_AT + 6 * SECOND)
-    anew_at = sorted(sidecar.called_at[calls[sidecar]] for sidecar in fleet)
-    assert anew_at[-1] - anew_at[0] > SECOND
+    repeated_at = sorted(sidecar.called_at[calls[sidecar]] for sidecar in fleet)
+    assert repeated_at[-1] - repeated_at[0] > SECOND
 
 
-def test_a_refused_call_is_made_again_until_what_was_missed_counts():
-    sidecar = Ends(SILENT, *[REFUSED] * 40)
+def test_a_refused_call_is_repeated_until_the_missed_change_counts():
+    sidecar = ScriptedWatch(SILENT, *[REFUSED] * 40)
     watched_at, *refused_at = sidecar.made_at
     due = watched_at - sidecar.options.discovery.calls_apart + listclock.READ_WITHIN
     within = [at for at in refused_at if at <= due]
     assert len(within) >= 4 and due - within[-1] <= 500 * MS, (watched_at, refused_at)
 
 
-def test_a_late_refusal_ends_the_wait_for_a_late_answer():
-    sidecar = Ends(SILENT, SILENT, SILENT)
+def test_a_late_refusal_ends_the_wait_for_a_late_response():
+    sidecar = ScriptedWatch(SILENT, SILENT, SILENT)
     (failure,) = sidecar.failures
     assert failure.response_pending
     next_call_at = next(at for at in sidecar.called_at if at > sidecar.made_at[-1])
     assert next_call_at - sidecar.made_at[-1] <= listclock.LONGEST_FRESH_TIMEOUT + REFUSED_LATE_AFTER + MS
 
 
-class CrowdedCatalog(StubDiscovery):
-    """Discovery that sets up one watch after another, refuses a call that would wait too long, and answers no call that
-    waits while it is `silent`."""
+class BusyDiscovery(StubDiscovery):
+    """A discovery that establishes one watch after another, and refuses a call that would wait too long.
+
+    While `silent` is set, it answers no call that has a wait.
+    """
 
-    def __init__(self, new_watch, patience):
-        self.new_watch, self.patience = new_watch, patience  # seconds
+    def __init__(self, new_watch, max_wait):
+        self.new_watch, self.max_wait = new_watch, max_wait  # seconds
         self.free_at, self.turns, self.silent = 0.0, threading.Lock(), False
-        self.watches = threading.local()  # of the connection that this thread serves
+        self.watches = threading.local()  # the state of the connection that this thread serves
         self.never = threading.Event()
         super().__init__()
 
@@ -152,7 +157,7 @@
         now = time.monotonic()
         if now - getattr(self.watches, "answered_at", 0.0) > 0.2:
             with self.turns:
-                if self.free_at > now + self.patience:
+                if self.free_at > now + self.max_wait:
                     return http_response(503)
                 self.free_at = max(now, self.free_at) + self.new_watch
                 due = self.free_at
@@ -163,29 +168,30 @@
 
 
 class SilentWatchesTest(SidecarTest):
-    """Four processes of the program before one crowded discovery."""
+    """Four processes of the program with one busy discovery."""
 
     SIDECARS = 4
 
     def begin(self):
-        self.catalog = CrowdedCatalog(new_watch=0.6, patience=0.5)
+        """Start everything, and wait until all sidecars watch the list."""
+        self.catalog = BusyDiscovery(new_watch=0.6, max_wait=0.5)
         self.addCleanup(self.catalog.never.set)
-        self.start_parties()
+        self.start_servers()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.errors = Path(folder.name, "log")
         self.listens = [self.start_sidecar(Path(folder.name, f"n{me}.json"), me) for me in range(self.SIDECARS)]
         self.assertTrue(eventually(self.all_watch, 20), self.log())
 
-    def start_parties(self):
+    def start_servers(self):
         self.providers = [StubServer(ok), StubServer(ok)]
-        self.entries = [entry(f"s{n}", party.address) for n, party in enumerate(self.providers)]
+        self.entries = [entry(f"s{n}", server.address) for n, server in enumerate(self.providers)]
         self.catalog.entries = self.entries
-        for party in (self.catalog, *self.providers):
-            self.addCleanup(party.close)
+        for server in (self.catalog, *self.providers):
+            self.addCleanup(server.close)
 
     def start_sidecar(self, path, me):
-        """One process; the address at which it takes requests."""
+        """Start a process; return the address at which it accepts requests."""
         with listener() as free:
             listen = address_of(free)
         config = {
@@ -206,7 +212,7 @@
         held = {number for head, _, number in self.catalog.seen if "wait_ms=" in head and "wait_ms=0" not in head}
         return len(held) == self.SIDECARS
 
-    def test_no_request_goes_to_a_draining_server_after_all_watches_fell_silent(self):
+    def test_no_request_goes_to_a_draining_provider_after_all_watches_fell_silent(self):
         self.begin()
         self.catalog.silent = True
         self.catalog.change()
