--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -358,27 +358,27 @@
                 sock.sendall(data)
             time.sleep(after)
             end(sock)
-            said.set()
+            sent.set()
             gate.wait(10)
 
-        said, gate = threading.Event(), threading.Event()
+        sent, gate = threading.Event(), threading.Event()
         self.addCleanup(gate.set)
         self.start(answer)
         with ThreadPoolExecutor() as pool:
-            asked = pool.submit(self.raw_ask)
+            pending = pool.submit(self.send_and_read)
             self.assertTrue(begun.wait(5))
             if still:
                 with self.paused():
                     go.set()
-                    self.assertTrue(said.wait(5))
+                    self.assertTrue(sent.wait(5))
             else:
                 go.set()
-            found = asked.result()
+            found = pending.result()
         gate.set()
         return found
 
-    def raw_ask(self):
-        """Status and body, None where the client can tell that it is not whole; the time it took; the outcome."""
+    def send_and_read(self):
+        """Send a request; return the status, the body (None if it is visibly incomplete), the time and the outcome."""
         began = time.monotonic()
         client = self.client()
         client.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE, "Req-Deadline-Ms": "400"})
@@ -392,7 +392,7 @@
         (call,) = self.logged("access")[0]["calls"]
         return response.status, body, took, call["outcome"]
 
-    def test_one_that_breaks_off_is_never_served_as_whole_and_may_have_run(self):
+    def test_a_response_that_breaks_off_is_not_used_and_its_request_may_have_run(self):
         for (name, (data, at_fin)), end in itertools.product(BROKEN.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(what=name, end=end.__name__):
                 status, body, took, outcome = self.one(data, end, still=end is not stays_silent)
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -45,7 +45,7 @@
 # seed the random numbers.
 SILENT, LATE, PAST, AT_ONCE = "silent", "late", "past its wait", "at once"
 # How the calls that end after a change end, until one is answered. What went before does not matter: the change may be
-# made as a backoff begin.
+# made as a backoff begins.
 AFTER = [[], [SILENT], [SILENT, SILENT], [SILENT, LATE], [SILENT, AT_ONCE], [LATE], [PAST], [AT_ONCE]]
 # The same for a watch that is established when the change is made: its failure is the first of the row.
 ESTABLISHED = [
