--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -187,6 +187,7 @@
         self.back.begin(attempt)
 
     def _timer(self, action: api.Timer) -> None:
+        """Start a timer."""
         if action.request_id:
             self.loop.after(action.delay, self._request_timer_fired, action.request_id, action.tag)
         else:
@@ -204,16 +205,19 @@
         self._close(action.request_id, FinalAnswer(AnswerKind.REJECTED, after=after))
 
     def _fail(self, action: api.Fail) -> None:
+        """Close with a failure; after the deadline it counts as late."""
         invocation = self.invocations.get(action.request_id)
         late = invocation is not None and self.loop.time >= invocation.deadline
         self._close(action.request_id, LATE if late else FAILED)
 
     def _close(self, request_id: str, final: FinalAnswer) -> None:
+        """Give an invocation its final answer, unless it has one."""
         invocation = self.invocations.get(request_id)
         if invocation is not None and invocation.open:
             invocation.close(final)
 
     def _cancel(self, action: api.Cancel) -> None:
+        """Cancel an attempt, unless it has ended."""
         invocation = self.invocations.get(action.request_id)
         if invocation is None:
             return  # all its attempts have ended
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -126,6 +126,7 @@
         self.task.step()
 
     def _end(self) -> Coroutine[None]:
+        """Let the connection linger, then remove it."""
         try:
             yield from self._linger(self.front.options.limits.linger_bytes)
         except OSError:
@@ -285,6 +286,7 @@
         return send(self.front.loop, self.sock, parts, self.front.loop.time + within)
 
     def _forward(self, head: bytes, body: BodyStream) -> Coroutine[None]:
+        """Write a response whose body is forwarded as it arrives."""
         within = self.front.options.limits.write_within
         return stream(self.front.loop, self.sock, head, body, not self.http_1_0, within)
 
@@ -312,6 +314,7 @@
         return hung_up(self.sock)
 
     def _health_response(self) -> HttpResponse:
+        """Return the response to a health check."""
         return text_response(200, "ready") if self.front.ready() else text_response(503, "not ready")
 
     def _decide(self, invocation: Invocation, began: int, upload: Upload | None = None) -> Coroutine[HttpResponse]:
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -86,6 +86,7 @@
     """A call that was given up, and whose response is still accepted."""
 
     sock: socket
+    source: int  # the current source when the call was given up
     address: str
     call: ListCall
     keep_waiting: Callable[[int], Coroutine[ListResponse]]  # waits for the response until a given time
@@ -202,6 +203,7 @@
         self.loop.spawn(self._fetch(), self._crashed, urgent=True)
 
     def _crashed(self, _: Exception) -> None:
+        """Handle an exception of one of the coroutines."""
         self._fail()
 
     def _fail(self) -> None:
@@ -217,6 +219,7 @@
         return any(not late.call.wait for late in self.late_calls)
 
     def _timeouts(self) -> listclock.WatchTimeouts:
+        """Return the timeouts for the current options."""
         options = self.options.discovery
         if self.pushed:
             return listclock.watch_timeouts(
@@ -296,7 +299,7 @@
                 try:
                     response = yield from self._call(sock, PATH, until)
                 except Silent as error:
-                    kept = self._accept_late(sock, address, call, error)
+                    kept = self._accept_late(sock, self.source, address, call, error)
                     raise
                 finally:
                     if not kept:
@@ -371,14 +374,17 @@
         return self.loop.now() - self.current_as_of
 
     def _log_answered(self, call: ListCall, ended: str) -> None:
+        """Log a call that was answered; `ended` tells whether it was late."""
         after, took = -1 if call.version is None else call.version, self.loop.now() - call.at
         emit(DISCOVERY_CALL, after=after, wait_ms=call.wait // MS, ended=ended, ms=took // MS)
 
     def _log_failed(self, call: ListCall, ended: str) -> None:
+        """Log a call that failed; `ended` tells why."""
         after, took = -1 if call.version is None else call.version, self.loop.now() - call.at
         emit(DISCOVERY_CALL_FAILED, after=after, wait_ms=call.wait // MS, ended=ended, ms=took // MS)
 
     def _log_new_watch(self, cause: str) -> None:
+        """Log the start of a watch."""
         emit(DISCOVERY_NEW_WATCH, cause=cause, age_ms=self._list_age() // MS, late_calls=len(self.late_calls))
 
     def _watch(
@@ -440,7 +446,7 @@
                     due = self.loop.now() + call.wait if call.wait else until
                     response = None
             except Silent as error:
-                kept = self._accept_late(sock, address, call, error)
+                kept = self._accept_late(sock, source, address, call, error)
                 raise
             finally:
                 if established and self.established == source:
@@ -457,7 +463,7 @@
             silent = isinstance(error, Silent) or (self.loop.now() >= due and not refused)
             return WatchEnd(established, silent, refused)
 
-    def _accept_late(self, sock: socket, address: str, call: ListCall, silent: Silent) -> bool:
+    def _accept_late(self, sock: socket, source: int, address: str, call: ListCall, silent: Silent) -> bool:
         """Keep waiting for the response to a call that is given up, besides the next call.
 
         Returns whether it does so; if it does, it closes the socket in the end.
@@ -468,7 +474,7 @@
         """
         if silent.keep_waiting is None or len(self.late_calls) >= listclock.MAX_LATE_CALLS:
             return False
-        late = LateCall(sock, address, call, silent.keep_waiting)
+        late = LateCall(sock, source, address, call, silent.keep_waiting)
         self.late_calls.append(late)
         late.task = self.loop.spawn(self._await_late(late), self._crashed, urgent=True)
         return True
@@ -487,24 +493,24 @@
             finally:
                 self.late_calls.remove(late)
             self._log_answered(late.call, "answered late")
-            if self._lacks_watch(late.call.source):
+            if self._lacks_watch(late.source):
                 self._replace_watch(late.task)
                 kept = True  # the watch closes the socket
                 watched = LateResponse(late.sock, late.call, response)
-                yield from self._run_watch(late.call.source, late.address, late.call.version, watched)
+                yield from self._run_watch(late.source, late.address, late.call.version, watched)
             else:
                 self._apply(late.call, response, False)
         except CallFailed as error:
             self._log_failed(late.call, f"late: {error}")
-            self._resume_after_late_failure(late.call)
+            self._resume_after_late_failure(late)
         finally:
             if not kept:
                 self.loop.close(late.sock)
 
-    def _resume_after_late_failure(self, call: ListCall) -> None:
+    def _resume_after_late_failure(self, late: LateCall) -> None:
         """Watch again at once if the balancer delays its next call for late responses, of which none will come."""
-        delayed = not call.wait and not self._response_pending()
-        if delayed and self._lacks_watch(call.source) and self.watching is not None and self.watching.over:
+        delayed = not late.call.wait and not self._response_pending()
+        if delayed and self._lacks_watch(late.source) and self.watching is not None and self.watching.over:
             self.watch(True)
 
     def _lacks_watch(self, source: int) -> bool:
--- a/loftweir/http1/front.py
+++ b/loftweir/http1/front.py
@@ -93,6 +93,7 @@
         self._listen(sock)
 
     def _listen(self, sock: socket.socket) -> None:
+        """Start accepting from a listening socket."""
         self.listener = sock
         self.accepting = self.loop.spawn(self._accept(sock), new_work=True)
         self.loop.spawn(self.expire_idle())
--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -53,7 +53,8 @@
 class Pollable(Protocol):
     """A socket or any other object whose descriptor epoll takes."""
 
-    def fileno(self) -> int: ...
+    def fileno(self) -> int:
+        """Return the descriptor."""
 
 
 class Watcher(Protocol):
@@ -65,7 +66,8 @@
 
     mask: int
 
-    def ready(self, events: int) -> None: ...
+    def ready(self, events: int) -> None:
+        """Handle the events of the descriptor."""
 
 
 class Wait(NamedTuple):
@@ -287,6 +289,7 @@
         self.unregistered.add(fd)
 
     def _register_again(self) -> None:
+        """Register the descriptors that epoll could not take before."""
         unregistered, self.unregistered = self.unregistered, set()
         for fd in unregistered:
             watcher = self.watchers.get(fd)
--- a/tests/discovery_scene.py
+++ b/tests/discovery_scene.py
@@ -76,6 +76,7 @@
         self.version = 1
 
     def _updated(self, update, _):
+        """Record an update, and pass it to the balancer."""
         now = self.loop.now()
         if update.kind is UpdateKind.FAILED:
             self.failed_at.append(now)
@@ -84,6 +85,7 @@
         self._carry_out(self.balancer.handle(now, [update]))
 
     def _carry_out(self, actions):
+        """Carry out the balancer's timers."""
         for timer in of_type(Timer, actions):
             self.loop.spawn(self._later(timer))
 
@@ -161,6 +163,7 @@
         return (yield from self._wait_in_queue(*self.busy.turn(self.loop.now()), after, held, until))
 
     def _wait_in_queue(self, turn, good, after, held, until):
+        """Wait until the call is answered, or until it is given up."""
         change_at = next((change for change in self.busy.changes[max(0, after - 1) :]), 1 << 62)
         answered = turn if after < 1 or not good else max(turn, min(turn + held, change_at))
         yield Wait(None, 0, min(answered, until))
@@ -239,6 +242,7 @@
         return (yield from self._wait_for(sock, turn, until))
 
     def _wait_for(self, sock, turn, until):
+        """Wait until a call is answered, or until it is given up."""
         while not turn.written:
             yield Wait(None, 0, min(turn.due, until))
             if turn.due > until:
