--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -113,10 +113,8 @@
 
             self.catalog = self.partners.catalog = hosts.Hosts(loop, services, self.host, self.back, platform.seed)
             self.catalog.leased_tasks = self.partners.leased_tasks
-            self.front.client_class, self.front.has_other_providers = (
-                named.client_class(self.catalog),
-                self.catalog.serves,
-            )
+            self.front.client_class = named.client_class(self.catalog)
+            self.front.has_other_providers = self.catalog.serves
         self.disk: Disk | None = None  # where the snapshot is stored, with `state.keep`
         self.list_tracker: ListTracker | None = None
         self.written_at = 0  # when the last snapshot was written, by the loop's clock
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -412,9 +412,8 @@
         }
         for (name, data), end in itertools.product(framings.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(framing=name, end=end.__name__):
-                status, body, took, outcome = self.one(
-                    data, end, after=0.3
-                )  # a response without a length is held for 0.2 s
+                # A response without a length is held for 0.2 s.
+                status, body, took, outcome = self.one(data, end, after=0.3)
                 whole = name == "no length" and end is closes_its_side
                 self.assertEqual((status, outcome), (200, "ok"))
                 self.assertTrue(body == (long if whole else None if status == 200 else b"failed\n"))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -410,9 +410,7 @@
                     socks = [self.connect() for _ in range(40)]
                     for number, sock in enumerate(socks):
                         sock.sendall(REQUEST % b"r%d" % number)
-                    time.sleep(
-                        0.8
-                    )  # longer than `accept_after_term`: the end of that time and the connections come together
+                    time.sleep(0.8)  # longer than `accept_after_term`: its end and the connections come together
                 gate.set()
                 got = [self.read(sock) for sock in busy + socks]
                 self.assertEqual([g for g in got if g.count(b"HTTP/1.1 ") != 1 or b"RESET" in g], [])
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -192,9 +192,8 @@
     def test_a_change_that_waits_to_be_written_is_written_at_sigterm(self):
         config = self.config(0)
         self.launch(0, config, write_apart="60s")
-        self.assertEqual(
-            self.serves(config, b"old"), True
-        )  # the first list is written at once, the next change waits a minute
+        # The first list is written at once, the next change waits a minute.
+        self.assertEqual(self.serves(config, b"old"), True)
         self.catalog.entries = [entry("s-new", self.new.address)]
         self.catalog.change(entry("s-old", self.old.address, status="left"), *self.catalog.entries)
         self.assertEqual(self.serves(config, b"new"), True)
