--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -33,38 +33,39 @@
 from loftweir.catalog.providers import NO_PROVIDERS, ProviderFeed, build_provider_set
 from loftweir.catalog.shares import SharedLimit
 from loftweir.emulator import meshes
-from loftweir.emulator.meshes import HERE, World, used
+from loftweir.emulator.meshes import LOCAL_SITE, Simulation, make_used_route
 from loftweir.interface import Effect, Endpoint, Lifecycle, RequestClass, Scope, UpdateKind
 from loftweir.partners.merge import Reason, UnusedRoute
 
-FEW = settings(derandomize=True, max_examples=60, deadline=None)
+FEW_EXAMPLES = settings(derandomize=True, max_examples=60, deadline=None)
 CLAUSES = st.builds(clause, st.sampled_from(Effect), st.sampled_from(Scope), st.integers(0, 3), st.integers(1, 3))
 CONTRACTS = st.dictionaries(st.sampled_from(["read", "write", "pay"]), CLAUSES, max_size=3)
 SHARES = st.sampled_from([None, 0.1, 0.5, 1.0])
-ONCE, FREE = {"read": clause(Effect.ONCE)}, {"read": clause(Effect.REPEATABLE)}
+ONCE = {"read": clause(Effect.ONCE)}
+FREE = {"read": clause(Effect.REPEATABLE)}
 KEYED = {"read": clause(Effect.BY_KEY, Scope.ALL, 9)}
 
 
 def own(number=1, declared=FREE, **more):
-    return meshes.own(number, Declaration(declared), **more)
+    return meshes.make_own_service(number, Declaration(declared), **more)
 
 
 def claim(index, declared=FREE, same=()):
     return Claim(index, Declaration(declared, same))
 
 
-def why(catalog, host):
+def reason_of(catalog, host):
     return getattr(catalog.find(host), "reason", None)
 
 
 # ---- names and lookup ----------------------------------------------------------------------------
 
 
-def test_a_host_names_the_service_in_every_form_and_what_is_not_there_says_why():
+def test_a_host_selects_its_service_in_every_form_and_an_unknown_one_has_a_reason():
     left = {"in@bb": {"bb": UnusedRoute(Reason.EXCLUDED)}, "old@bb": {"bb": UnusedRoute(Reason.STALE)}}
     left["odd@bb"] = {"bb": UnusedRoute(Reason.LEAKED, "cc")}
-    routes = {name: used(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
-    routes["shop@bb.example"] = used("shop@bb.example", "site-b")
+    routes = {name: make_used_route(name) for name in ("shop@bb.example", "new@bb", "a.b@bb")}
+    routes["shop@bb.example"] = make_used_route("shop@bb.example", "site-b")
     table = dict.fromkeys(("shop@bb.example", "old@bb", "in@bb", "odd@bb"), claim(1))
     catalog = Catalog(
         LocalSite("aa", "z1", {"site-b": "bb.example"}), CatalogState({"web@aa": own()}, routes, left, table)
@@ -83,7 +84,7 @@
         **reasons,
         **dict.fromkeys(("", "[::1]:80", "\u212aing", "b.a@bb"), UnknownReason.NAME),
     }.items():
-        assert why(catalog, host) is reason and build.REMEDIES[reason] in catalog.find(host).text, host
+        assert reason_of(catalog, host) is reason and build.REMEDIES[reason] in catalog.find(host).text, host
     assert catalog.find("new@bb").key == "new@bb" and set(catalog.rejected_names) == {"a.b@bb"}
     wrong = ["", "-a@bb", "a@", "a@b@c", "a_b@bb", "a" * 64 + "@bb", "a@bb\n", "\u212a@bb", 7, None]
     for text in [*wrong, "a@" + "b." * 130]:
@@ -103,20 +104,20 @@
 # ---- contracts -----------------------------------------------------------------------------------
 
 
-@FEW
+@FEW_EXAMPLES
 @given(CLAUSES, CLAUSES, CLAUSES, st.permutations([0, 1, 2]), CONTRACTS, CONTRACTS)
-def test_contracts_meet_to_the_strictest_whatever_the_order(a, b, c, order, one, other):
+def test_contracts_meet_to_the_strictest_in_any_order(a, b, c, order, one, other):
     three = (a, b, c)
     assert a.meet(b) == b.meet(a) and a.meet(a) == a and a.meet(b.meet(c)) == a.meet(b).meet(c)
     met = three[order[0]].meet(three[order[1]]).meet(three[order[2]])
     assert met == a.meet(b).meet(c) == clause(met.effect, met.scope, met.window, met.deadline)  # in canonical form
-    assert (met.effect is Effect.ONCE) == any(word.effect is Effect.ONCE for word in three)
-    assert (met.effect is Effect.REPEATABLE) == all(word.effect is Effect.REPEATABLE for word in three)
-    keyed = [word for word in three if word.effect is Effect.BY_KEY]
+    assert (met.effect is Effect.ONCE) == any(one.effect is Effect.ONCE for one in three)
+    assert (met.effect is Effect.REPEATABLE) == all(one.effect is Effect.REPEATABLE for one in three)
+    keyed = [one for one in three if one.effect is Effect.BY_KEY]
     if met.effect is Effect.BY_KEY:
-        assert met.window == min(word.window for word in keyed)
-        assert (met.scope is Scope.ALL) == all(word.scope is Scope.ALL for word in keyed)
-    assert met.deadline == min(word.deadline for word in three)
+        assert met.window == min(one.window for one in keyed)
+        assert (met.scope is Scope.ALL) == all(one.scope is Scope.ALL for one in keyed)
+    assert met.deadline == min(one.deadline for one in three)
     both = strictest([one, other])
     assert set(both) == set(one) & set(other) and list(both) == list(strictest([other, one]))
     cls = RequestClass("read", Effect.BY_KEY, 1, 2, Scope.ALL, 5)
@@ -125,12 +126,14 @@
 
 # ---- collisions ----------------------------------------------------------------------------------
 
-THREE = (("bb", 5), ("cc", 3), ("aa", 9))
+CLAIM_AGES = (("bb", 5), ("cc", 3), ("aa", 9))
 
 
 def contenders(*declared):
-    others = tuple(f"shop@{mesh}" for mesh, _ in THREE)
-    return [Contender(f"shop@{m}", age, Declaration(d, others)) for (m, age), d in zip(THREE, declared, strict=True)]
+    others = tuple(f"shop@{mesh}" for mesh, _ in CLAIM_AGES)
+    return [
+        Contender(f"shop@{m}", age, Declaration(d, others)) for (m, age), d in zip(CLAIM_AGES, declared, strict=True)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -144,7 +147,7 @@
         ((ONCE, FREE, KEYED), SiteView("zz", ""), "cc", "", {"aa": 2, "bb": 2}),
     ],
 )
-def test_a_collision_is_decided_by_the_first_rule_that_tells_them_apart(declared, view, leader, joined, lost):
+def test_the_first_rule_that_differs_decides_a_collision(declared, view, leader, joined, lost):
     for number in range(6):
         some = contenders(*declared)
         random.Random(number).shuffle(some)
@@ -156,7 +159,7 @@
     assert tie.leader == "shop@aa" and {rule for _, rule in tie.lost} == {"the mesh's name"}
 
 
-def hostile():
+def check_hostile_mesh():
     """A mesh claims every short name, and offers other meshes' services as its own."""
     table, answers = Claims(Limits(per_mesh=100, total=250)), []
     for n in range(10):
@@ -166,25 +169,27 @@
     assert [type(one) for one in answers] == [ClaimAccepted] * 100 + [ClaimRejected] * 200 and "let some" in answers[
         -1
     ].text
-    routes = {f"s{n}@evil": used(f"s{n}@evil") for n in range(300)} | {f"s{n}@bb": used(f"s{n}@bb") for n in range(10)}
-    routes |= {"pay@aa": used("pay@aa", "evil"), "pay@bb": used("pay@bb", "evil")}
+    routes = {f"s{n}@evil": make_used_route(f"s{n}@evil") for n in range(300)} | {
+        f"s{n}@bb": make_used_route(f"s{n}@bb") for n in range(10)
+    }
+    routes |= {"pay@aa": make_used_route("pay@aa", "evil"), "pay@bb": make_used_route("pay@bb", "evil")}
     state = CatalogState({"s20@aa": own(), "pay@aa": own()}, routes, {}, table.table, {"s21": "s21@cc"})
-    catalog = Catalog(HERE, state)
+    catalog = Catalog(LOCAL_SITE, state)
     assert all(catalog.find(f"s{n}").key == f"s{n}@bb" for n in range(10)) and catalog.find("s50").key == "s50@evil"
-    assert catalog.find("s20").key == "s20@aa" and why(catalog, "s21") is UnknownReason.STALE
-    assert catalog.find("s20.evil").key == "s20@evil" and why(catalog, "s200") is UnknownReason.UNHELD
+    assert catalog.find("s20").key == "s20@aa" and reason_of(catalog, "s21") is UnknownReason.STALE
+    assert catalog.find("s20.evil").key == "s20@evil" and reason_of(catalog, "s200") is UnknownReason.UNHELD
     assert not any("evil" in name for name in catalog.providers(catalog.find("pay")).endpoints)
-    assert why(catalog, "pay@bb") is UnknownReason.UNFIT
-    # another mesh can still claim names
+    assert reason_of(catalog, "pay@bb") is UnknownReason.UNFIT
+    # Another mesh can still claim names.
     assert table.apply(999, PutClaim("x@cc", Declaration(FREE))) == ClaimAccepted(999)
 
 
-def contracts():
+def check_changing_contracts():
     """Three meshes have three contracts for one service; then two of them agree, and one of these changes its contract
     again."""
     same = ("shop@bb", "shop@cc", "shop@dd")
     table = {f"shop@{m}": claim(n, d, same) for n, (m, d) in enumerate([("bb", KEYED), ("cc", ONCE), ("dd", FREE)])}
-    catalog = Catalog(HERE, CatalogState({}, {name: used(name) for name in table}, {}, table))
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {name: make_used_route(name) for name in table}, {}, table))
     assert catalog.find("shop").members == ("shop@bb",) and len(catalog.collisions["shop"].lost) == 2
     changed = catalog.update(CatalogState(claims={"shop@cc": claim(1, KEYED, same)}))
     shop = catalog.find("shop")
@@ -197,20 +202,22 @@
     assert changed.moved["shop"] == (shop.key, "shop@bb")
 
 
-def flap():
+def check_flapping():
     """A service appears and disappears every second: the log gets one entry, the name stays, and the loser stays
     reachable."""
     damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
     table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
     table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
-    catalog = Catalog(HERE, CatalogState({}, {"shop@cc": used("shop@cc")}, {}, table.table))
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {"shop@cc": make_used_route("shop@cc")}, {}, table.table))
     for now in range(100):
         there = now % 2 == 0
         seen = {"shop@bb": ObservedService(Declaration(FREE) if there else None, now, withdrawn=True)}
         writes += pending_commands(table.table, seen, now, damping)
         for act in writes[:]:
             table.apply(10 + now, act)
-        catalog.update(CatalogState(used={"shop@bb": used("shop@bb") if there else None}, claims=table.table))
+        catalog.update(
+            CatalogState(used={"shop@bb": make_used_route("shop@bb") if there else None}, claims=table.table)
+        )
         found = catalog.find("shop")
         assert found.key == "shop@bb" if there else found.reason is UnknownReason.STALE
         assert catalog.find("shop.cc").key == "shop@cc"
@@ -222,7 +229,7 @@
     assert len(pending_commands(table.table, other, 105, damping)) == 2
 
 
-def test_a_late_release_touches_no_later_claim_and_the_table_comes_back_from_its_dump():
+def test_a_late_release_does_not_affect_a_later_claim_and_the_table_survives_its_dump():
     table = Claims(Limits(2, 3))
     assert (
         table.apply(1, PutClaim("a@bb", Declaration(ONCE)))
@@ -244,9 +251,11 @@
     assert (again.table, again.counts) == (table.table, table.counts) == (dict(kept), {"bb": 1})
 
 
-def test_a_rename_keeps_both_names_until_the_old_claim_goes():
-    catalog = Catalog(HERE, CatalogState({}, {"old@bb": used("old@bb")}, {}, {"old@bb": claim(1)}))
-    changed = catalog.update(CatalogState(used={"old@bb": None, "new@bb": used("new@bb")}, claims={"new@bb": claim(2)}))
+def test_a_renamed_service_keeps_both_names_until_the_old_claim_is_released():
+    catalog = Catalog(LOCAL_SITE, CatalogState({}, {"old@bb": make_used_route("old@bb")}, {}, {"old@bb": claim(1)}))
+    changed = catalog.update(
+        CatalogState(used={"old@bb": None, "new@bb": make_used_route("new@bb")}, claims={"new@bb": claim(2)})
+    )
     assert catalog.find("new").key == "new@bb" and catalog.find("old").reason is UnknownReason.STALE
     assert changed.ended == {"old@bb"} and changed.keys == {"new@bb"} and not changed.events
     catalog.update(CatalogState(claims={"old@bb": None}))
@@ -256,14 +265,14 @@
 # ---- provider sets -------------------------------------------------------------------------------
 
 
-def test_partners_come_in_only_where_the_own_site_has_none_ready_or_the_service_lives_there():
-    catalog = Catalog(HERE, CatalogState({"web@aa": own(2)}, {"web@aa": used("web@aa", "s2")}, {}, {}))
-    catalog.site = HERE._replace(meshes={"s2": "aa"})
+def test_partners_are_used_only_without_ready_own_providers_or_for_remote_services():
+    catalog = Catalog(LOCAL_SITE, CatalogState({"web@aa": own(2)}, {"web@aa": make_used_route("web@aa", "s2")}, {}, {}))
+    catalog.site = LOCAL_SITE._replace(meshes={"s2": "aa"})
     web = catalog.find("web")
     assert list(catalog.providers(web).endpoints) == ["p0", "p1"]
     catalog.update(CatalogState({"web@aa": own(2, life=Lifecycle.DRAINING)}))
     assert list(catalog.providers(catalog.find("web")).endpoints) == ["p0", "p1", "p0@s2", "p1@s2"]
-    routes = {"far@bb": used("far@bb", share=0.1)}
+    routes = {"far@bb": make_used_route("far@bb", share=0.1)}
     there = catalog.update(CatalogState({"far@bb": own(1, zone="z2")}, routes, {}, {"far@bb": claim(1)}))
     found = catalog.providers(catalog.find("far"))
     assert there.keys == {"far@bb"} and list(found.endpoints) == ["p0", "p0@bb", "p1@bb"] and found.fraction == 1.0
@@ -272,11 +281,14 @@
     assert len({one.cell for one in found.endpoints.values()}) == 3 and found.endpoints["p0@bb"].zone == "z1@bb"
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.lists(st.tuples(st.sets(st.sampled_from("rwx"), min_size=1), SHARES), max_size=4), st.booleans())
-def test_whatever_is_sent_is_within_the_classes_and_shares_of_every_partner_in_the_set(partners, ready):
+def test_provider_sets_respect_the_classes_and_shares_of_every_partner(partners, ready):
     classes = frozenset("rw")
-    routes = [used(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1) for n, (c, s) in enumerate(partners)]
+    routes = [
+        make_used_route(f"shop@m{n}", classes=tuple(sorted(c)), share=s, number=n + 1)
+        for n, (c, s) in enumerate(partners)
+    ]
     ends = [({"p": Endpoint("p", "z1", "plain", 1, Lifecycle.READY)}, {"p": "h:1"})] if ready else []
     found = build_provider_set(ends, routes, True, "z1", classes)
     assert found == build_provider_set(ends, routes[::-1], True, "z1", classes) and set(found.addresses) >= set(
@@ -284,14 +296,17 @@
     )
     whole = sum(one.weight for one in found.endpoints.values())
     for one in routes:
-        mine = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
-        assert not mine or found.classes <= set(one.route.classes) & classes
-        assert found.fraction * sum(mine) <= (one.route.share or 1.0) * whole + 1e-9
+        weights = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
+        assert not weights or found.classes <= set(one.route.classes) & classes
+        assert found.fraction * sum(weights) <= (one.route.share or 1.0) * whole + 1e-9
     assert found.classes == classes if ready else found.classes or not any(c & classes for c, _ in partners)
 
 
-def test_changes_come_as_increments_and_who_leaves_drains_before_it_is_gone():
-    catalog = Catalog(HERE, CatalogState({"shop@aa": own(1)}, {"shop@bb": used("shop@bb")}, {}, {"shop@bb": claim(1)}))
+def test_updates_are_incremental_and_removed_providers_drain_first():
+    catalog = Catalog(
+        LOCAL_SITE,
+        CatalogState({"shop@aa": own(1)}, {"shop@bb": make_used_route("shop@bb")}, {}, {"shop@bb": claim(1)}),
+    )
     feed, shop = ProviderFeed(10), catalog.find("shop")
     first = feed.step(0, catalog.providers(shop))
     assert first.update.kind is UpdateKind.FULL and first.addresses == {"p0": "10.0.0.1:80"} and not first.draining
@@ -310,9 +325,9 @@
 # ---- shares --------------------------------------------------------------------------------------
 
 
-@FEW
+@FEW_EXAMPLES
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.integers(-9, 9)), max_size=60), st.integers(1, 40))
-def test_no_more_than_the_limit_is_held_and_idle_ones_cost_nothing(steps, total):
+def test_the_limit_is_never_exceeded_and_idle_services_cost_nothing(steps, total):
     shared = SharedLimit(total)
     for who, count in steps:
         if count > 0:
@@ -327,7 +342,7 @@
         shared.release("e")
 
 
-def test_services_that_want_all_leave_room_for_the_next():
+def test_services_that_want_everything_leave_room_for_the_next():
     shared = SharedLimit(1000)
     for _ in range(1000):
         for who in "abcd":
@@ -340,40 +355,42 @@
 # ---- simulated partitions and deliberate defects -------------------------------------------------
 
 
-def worlds():
+def check_simulations():
     repeats = 0
     for seed in range(12):
-        world = World(seed)
-        world.run(60)
-        assert not world.faults(), seed
-        repeats += world.oracle.retries
+        simulation = Simulation(seed)
+        simulation.run(60)
+        assert not simulation.violations(), seed
+        repeats += simulation.oracle.retries
     return repeats
 
 
-def test_a_random_world_has_one_winner_everywhere_and_repeats_nothing_that_is_called_once():
-    assert worlds() > 1000
+def test_random_simulations_have_one_winner_everywhere_and_retry_nothing_declared_once():
+    assert check_simulations() > 1000
 
 
 def test_hard_cases():
-    for scene in (hostile, contracts, flap):
-        scene()
+    for check in (check_hostile_mesh, check_changing_contracts, check_flapping):
+        check()
 
 
-RULES, ABROAD, PUT = collisions.RULES, providers.partner_endpoints, Claims._put
+RULES = collisions.RULES
+REAL_PARTNER_ENDPOINTS = providers.partner_endpoints
+REAL_PUT = Claims._put
 
 
-def loosest(some):
-    return {"read": max((one["read"] for one in some), key=lambda one: contract.STRICTNESS[one.effect])}
+def loosest(contracts):
+    return {"read": max((one["read"] for one in contracts), key=lambda one: contract.STRICTNESS[one.effect])}
 
 
-def younger(self, index, act):
-    PUT(self, index, act)
-    self.table[act.name] = Claim(index, act.declared)
+def put_without_age(self, index, command):
+    REAL_PUT(self, index, command)
+    self.table[command.name] = Claim(index, command.declared)
     return ClaimAccepted(index)
 
 
 def unqualified(one):
-    ends, at = ABROAD(one)
+    ends, at = REAL_PARTNER_ENDPOINTS(one)
     return {name: replace(end, zone=end.zone.partition("@")[0]) for name, end in ends.items()}, at
 
 
@@ -385,28 +402,37 @@
     return one.declared is not None and other.declared is not None
 
 
-MUTANTS = {
-    "the loosest contract": ([(build, "strictest", loosest)], worlds),
-    "a partner's cell not its own": ([(providers, "_cell", lambda partner, cell: cell)], worlds),
-    "a key's scope over several meshes": ([(build, "across_meshes", dict)], worlds),
-    "one key whatever the meshes": ([(build, "key_of", lambda members: members[0])], worlds),
-    "a new word makes a claim younger": ([(Claims, "_put", younger)], worlds),
-    "the same service with other contracts": ([(collisions, "is_same_service", agree)], contracts),
-    "a partner's zone not its own": ([(providers, "partner_endpoints", unqualified)], contracts),
-    "no limit of a mesh": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], hostile),
-    "any site takes work for any mesh": ([(Catalog, "_usable_route", lambda self, name: self.used.get(name))], hostile),
-    "no damping": ([(Damping, "withdrawn", 0)], flap),
-    "no rule of the own mesh": (by_rules(*RULES[:1], *RULES[2:]), hostile),
-    "no rule of pins": (by_rules(*RULES[1:]), hostile),
-    "no rule of age": (by_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)), hostile),
+DEFECTS = {
+    "contracts merge to the loosest": ([(build, "strictest", loosest)], check_simulations),
+    "a partner's cells are not qualified": ([(providers, "_cell", lambda partner, cell: cell)], check_simulations),
+    "a key's scope spans several meshes": ([(build, "across_meshes", dict)], check_simulations),
+    "the service key does not depend on the meshes": (
+        [(build, "key_of", lambda members: members[0])],
+        check_simulations,
+    ),
+    "a new declaration resets the age of a claim": ([(Claims, "_put", put_without_age)], check_simulations),
+    "services with different contracts join": ([(collisions, "is_same_service", agree)], check_changing_contracts),
+    "a partner's zones are not qualified": ([(providers, "partner_endpoints", unqualified)], check_changing_contracts),
+    "claims of one mesh are not limited": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], check_hostile_mesh),
+    "any site gets requests for any mesh": (
+        [(Catalog, "_usable_route", lambda self, name: self.used.get(name))],
+        check_hostile_mesh,
+    ),
+    "claims are not damped": ([(Damping, "withdrawn", 0)], check_flapping),
+    "the rule of the own mesh is missing": (by_rules(*RULES[:1], *RULES[2:]), check_hostile_mesh),
+    "the rule of pins is missing": (by_rules(*RULES[1:]), check_hostile_mesh),
+    "the rule of age is reversed": (
+        by_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)),
+        check_hostile_mesh,
+    ),
 }
 
 
-@pytest.mark.parametrize("name", MUTANTS)
-def test_a_broken_rule_is_found(name):
-    how, scene = MUTANTS[name]
+@pytest.mark.parametrize("name", DEFECTS)
+def test_a_deliberate_defect_is_detected(name):
+    patches, check = DEFECTS[name]
     with ExitStack() as stack:
-        for patch in [how] if not isinstance(how, list) else [mock.patch.object(*one) for one in how]:
+        for patch in [patches] if not isinstance(patches, list) else [mock.patch.object(*one) for one in patches]:
             stack.enter_context(patch)
         with pytest.raises(AssertionError):
-            scene()
+            check()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from loftweir.emulator.histories import Act, two_holders
+from loftweir.emulator.histories import AcceptedOperation, fencing_violations
 from loftweir.lease import holder as holder_module
 from loftweir.lease.holder import (
     TRAITS,
@@ -161,7 +161,7 @@
             assert lease.holder == self.holders[n].name and operation.token == max(self.grants), (
                 "an old write was accepted"
             )
-            self.accepted.append(Act("duty", operation.token, sent, self.now))
+            self.accepted.append(AcceptedOperation("duty", operation.token, sent, self.now))
         if isinstance(operation, AcquireLease) and isinstance(result, Ok) and result.index == index:
             assert result.value > max(self.grants, default=0), "a token that is not higher"
             self.grants.append(result.value)
@@ -209,7 +209,7 @@
 def run_and_check(seed, seconds=8, **parts):
     simulation = Simulation(seed, **parts)
     simulation.run(seconds)
-    assert two_holders(simulation.accepted) == []
+    assert fencing_violations(simulation.accepted) == []
     simulation.fault_free = True
     simulation.run(5)
     assert any(
