--- a/loftweir/http1/back.py
+++ b/loftweir/http1/back.py
@@ -281,9 +281,9 @@
         try:
             if not self._may_send(attempt, connection):
                 reusable = True
-                outcome, answer = Outcome.NOT_SENT, None
+                outcome, response = Outcome.NOT_SENT, None
             else:
-                outcome, answer, reusable = yield from self._exchange(attempt, connection)
+                outcome, response, reusable = yield from self._exchange(attempt, connection)
         finally:
             # After a timeout, an error or a cancellation the connection is closed before the balancer is notified, so
             # that whatever it sends next is the only copy in flight.
@@ -291,11 +291,11 @@
                 pool.release(connection)
             elif reusable is not None:
                 pool.close(connection)
-        self.on_attempt_ended(attempt, outcome, answer)
-        if answer is not None and not isinstance(answer.body, list):
+        self.on_attempt_ended(attempt, outcome, response)
+        if response is not None and not isinstance(response.body, list):
             final = attempt.invocation.final
-            if final is None or final.payload is not answer:
-                answer.body.close()  # it arrived too late to be the final answer
+            if final is None or final.payload is not response:
+                response.body.close()  # it arrived too late to be the final answer
 
     def _may_send(self, attempt: ProviderAttempt, connection: ProviderConnection) -> bool:
         """Whether the request may still be sent.
@@ -465,8 +465,8 @@
         reader: H11Reader | None,
     ) -> tuple[Outcome, HttpResponse | None, bool | None]:
         """Return the result for a long response: its outcome is known, and the response owns the connection."""
-        outcome, answer, _ = self._outcome(status, head.second, head.pairs, head.fields, body, False)
-        if answer is None:
+        outcome, response, _ = self._outcome(status, head.second, head.pairs, head.fields, body, False)
+        if response is None:
             return outcome, None, False
         pool, limits = self.pool, self.pool.options.limits
 
@@ -478,7 +478,7 @@
             else:
                 pool.close(connection)
 
-        flow = ResponseStream(
+        stream = ResponseStream(
             self.loop,
             connection.sock,
             body,
@@ -490,7 +490,7 @@
             attempt.invocation.deadline,
             release,
         )
-        return outcome, answer._replace(body=flow), None
+        return outcome, response._replace(body=stream), None
 
     @staticmethod
     def _outcome(
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -42,7 +42,7 @@
 class Exchange(NamedTuple):
     """The response to a request, and what is known of the connection behind that request."""
 
-    answer: HttpResponse
+    response: HttpResponse
     rest: bytes | None  # data read behind the request; None: the request's end is not known
     unread: int  # the most bytes of the client to discard after its last response
     ended: bool = False  # the client sends nothing more behind `rest`
@@ -212,9 +212,9 @@
                 return False
             last = self._is_last(exchange)
             self.stage = Stage.BUSY
-            yield from self._write(exchange.answer, last)
+            yield from self._write(exchange.response, last)
             self.free_at = self.front.loop.time
-            self._log_access(exchange.answer.status)
+            self._log_access(exchange.response.status)
             if last:
                 yield from self._linger(exchange.unread)
                 return False
@@ -241,9 +241,9 @@
             if not (yield from request.read()):
                 return None
             if request.invocation is None:
-                answer = self._health_response()
+                response = self._health_response()
             else:
-                answer = yield from self._decide(request.invocation, began, request.upload)
+                response = yield from self._decide(request.invocation, began, request.upload)
         except OSError:
             raise
         except Exception as error:
@@ -251,7 +251,7 @@
         unread = self.front.options.limits.linger_bytes
         if request.upload is not None and request.upload.length is not None:
             unread = request.upload.length  # it may not have arrived yet
-        return Exchange(answer, request.rest, unread, request.ended)
+        return Exchange(response, request.rest, unread, request.ended)
 
     def _error_exchange(self, error: Exception) -> Exchange:
         """Return the response to a request that could not be read or decided."""
@@ -260,12 +260,12 @@
             after = min(BODY_RETRY_AFTER, self.front.host.settings.max_retry_after)
             # Most clients read the response only once they have written the whole request.
             return Exchange(rejection(max(1, after // MS)), None, limits.body)
-        answer = client_error(error, limits.body)
-        if answer is None:
+        response = client_error(error, limits.body)
+        if response is None:
             # A fault of this program: this request fails, and the process goes on.
             emit(INVOCATION_BROKEN, error=repr(error), at=traceback_location(error))
-            answer = text_response(500, "failed")
-        return Exchange(answer, None, limits.linger_bytes)
+            response = text_response(500, "failed")
+        return Exchange(response, None, limits.linger_bytes)
 
     def _is_last(self, exchange: Exchange) -> bool:
         """Whether the connection is closed after this response.
@@ -273,11 +273,11 @@
         It is after a client error: such a client may have sent more invalid requests, or go on at full speed, and each
         one then costs it a new connection.
         """
-        return exchange.rest is None or self.front.life.traits.last or 400 <= exchange.answer.status < 500
+        return exchange.rest is None or self.front.life.traits.last or 400 <= exchange.response.status < 500
 
-    def _write(self, answer: HttpResponse, last: bool) -> Coroutine[None]:
+    def _write(self, response: HttpResponse, last: bool) -> Coroutine[None]:
         """Write a response; `last`: the connection is closed after it."""
-        status, reason, lines, body = answer
+        status, reason, lines, body = response
         head = begin_head(status, reason, lines, last)
         if not isinstance(body, list):
             return self._forward(head, body)
