--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -96,7 +96,7 @@
     def test_a_write_whose_answer_is_lost_with_the_leader_is_applied_once(self):
         leader, token = self.up(followers=0), self.pen()
         first = encode(Command("one", 1, FencedWrite(PEN, token, "k", b"first")))
-        link = self.links.link(self.seats[leader.name])
+        link = self.links.add(self.seats[leader.name])
         lost = Line(link.address)
         self.addCleanup(lost.close)
         link.block(forward=False, backward=True)
@@ -319,7 +319,7 @@
             self.wait(lambda leader=leader: leader.stands()["role"] == "follows")
             (ended,) = leader.logged("replication.ended")
             self.assertRegex(ended["why"], "File too large|Input/output error")
-            self.assertIn("Make room on the volume, or replace the disk", ended["remedy"])
+            self.assertIn("Free space on the volume or replace the disk", ended["remedy"])
             with self.assertRaises((Nothing, Unknown)):
                 self.caller(leader.name).write(FencedWrite(PEN, token, "k", b"x"), 1)
             self.say("f0", f"FLEET-DISABLE s{2 * n}")
