--- a/loftweir/standins/__init__.py
+++ b/loftweir/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems outside, written from the published protocol. Loopback only."""
+"""Stand-ins for the systems around the sidecar, written from the published protocol. Loopback only."""
--- a/loftweir/standins/faults.py
+++ b/loftweir/standins/faults.py
@@ -1,8 +1,9 @@
-"""Links that fail on command: TCP proxies on loopback, each to one address, all on one thread. Standard library only.
+"""Network links that fail on command: TCP proxies on loopback, each to one address, all on one thread.
 
-A link stands between those who connect and one who listens. `forth` is from the first to the second. What fails, fails
-for open connections and new ones alike, until `heal`. A silent way holds what it has, ends and resets included, as a
-network that loses packets does while both sides send them again: after `heal` all of it goes on, late and in order.
+Standard library only. A link is between clients that connect and one server that listens; `forward` is from the clients
+to the server. A fault affects open and new connections alike until `heal`. A blocked direction holds back everything,
+including ends and resets of connections, as a network does that loses packets while both sides retransmit them: after
+`heal` all of it arrives, late and in order.
 """
 
 from __future__ import annotations
@@ -16,60 +17,65 @@
 from collections import deque
 from contextlib import suppress
 
-ROOM = 256 * 1024  # bytes held of each way of a connection; more stay in the kernel
-MOST = 1024  # connections at a time over all links; more wait to be accepted
-READ_SIZE = 64 * 1024
+MAX_BUFFERED = 256 * 1024  # bytes for each direction of a connection; more stay in the kernel
+MAX_CONNECTIONS = 1024  # at a time over all links; more wait to be accepted
+READ_SIZE = 64 * 1024  # bytes
 BACKLOG = 128
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets
-SECOND = 1_000_000_000
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on with 0 s: closing sends a reset
+CORRUPTED_BIT = 0x10
+SECOND = 1_000_000_000  # ns
 
 
-class _Way:
-    """One direction of a connection. Invariant: `held` is the length of all in `queue`, which is in order of times."""
+class _Direction:
+    """One direction of a connection. Invariant: `buffered` is the length of everything in `queue`, which is in order of
+    time."""
 
     def __init__(self, source: socket.socket, sink: socket.socket) -> None:
         self.source, self.sink = source, sink
-        self.queue: deque[tuple[int, memoryview]] = deque()  # what is on its way, and from when on it may arrive
-        self.held = 0
-        self.ended = False  # the source said that nothing more comes
-        self.done = False  # ... and the sink was told
+        self.queue: deque[tuple[int, memoryview]] = deque()  # data, and the earliest time at which it may arrive
+        self.buffered = 0
+        self.ended = False  # the source has sent everything
+        self.done = False  # the end was passed on to the sink
 
 
 class _Connection:
-    def __init__(self, link: Link, near: socket.socket, far: socket.socket) -> None:
-        self.link, self.near, self.far = link, near, far
-        self.up = False  # the far side is connected
-        self.ways = (_Way(near, far), _Way(far, near))
+    """A client's connection and the proxy's own one to the server."""
+
+    def __init__(self, link: Link, client: socket.socket, server: socket.socket) -> None:
+        self.link, self.client, self.server = link, client, server
+        self.connected = False  # the connection to the server is established
+        self.directions = (_Direction(client, server), _Direction(server, client))
 
     def due(self) -> list[int]:
-        """When what is first on each way may arrive."""
-        silent = self.link._blocked
-        return [way.queue[0][0] for number, way in enumerate(self.ways) if way.queue and not silent[number]]
+        """When the first data of each direction that is not blocked may arrive."""
+        blocked = self.link._blocked
+        return [d.queue[0][0] for number, d in enumerate(self.directions) if d.queue and not blocked[number]]
 
 
 class Link:
-    """One way to an address. All calls may be made by any thread, and hold when they return."""
+    """A proxy to one address. All methods may be called from any thread and have taken effect when they return."""
 
-    def __init__(self, links: Links, to: str, host: str) -> None:
-        self.to = to
+    def __init__(self, links: Links, target: str, host: str) -> None:
+        self.target = target
         self._links = links
-        self._blocked = [False, False]  # forth, back
-        self._delay = 0
+        self._blocked = [False, False]  # forward, backward
+        self._delay = 0  # ns
         self._refuses = False
         self._reset_after: list[int | None] = [None, None]  # bytes that pass until all connections are reset
         self._corrupt_after: list[int | None] = [None, None]  # bytes that pass until one is changed
         with socket.create_server((host, 0)) as free:
             port = free.getsockname()[1]
-        # By its number, so that the port stays this one's also while it does not listen.
+        # Bound by number, so that the port stays reserved while the link does not listen.
         self._listener = socket.socket()
         self._listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._listener.bind((host, port))
         self._listener.setblocking(False)
         self._listener.listen(BACKLOG)
         self.address = f"{host}:{port}"
-        self.passed = [0, 0]  # bytes, forth and back
+        self.passed = [0, 0]  # bytes forward and backward
 
     def heal(self) -> None:
+        """Ends all faults of the link."""
         with self._links.changes(self):
             if self._refuses:
                 self._listener.listen(BACKLOG)
@@ -77,63 +83,65 @@
             self._reset_after, self._corrupt_after = [None, None], [None, None]
 
     def block(self, forward: bool = True, backward: bool = True) -> None:
-        """Nothing passes on these ways, and nobody is told; one way alone is open if the other is not named."""
+        """Holds back everything in these directions, without notice to either side. A direction that is False is
+        open."""
         with self._links.changes(self):
             self._blocked = [forward, backward]
 
     def refuse(self) -> None:
-        """Open connections are reset, and new ones refused."""
+        """Resets open connections and refuses new ones."""
         with self._links.changes(self):
             if not self._refuses:
                 self._refuses = True
-                self._listener.shutdown(socket.SHUT_RD)  # no longer listens, and keeps the port
+                self._listener.shutdown(socket.SHUT_RD)  # stops listening and keeps the port
             self._links.reset(self)
 
     def delay(self, seconds: float) -> None:
-        """All that comes from now on arrives so much later, both ways."""
+        """Delays everything that is sent from now on by this time in each direction."""
         with self._links.changes(self):
             self._delay = int(seconds * SECOND)
 
     def reset_after(self, after: int = 0, backward: bool = False) -> None:
-        """Once so many bytes more have passed one way, in the middle of a frame or not, all connections are reset."""
+        """Resets all connections once this many more bytes have passed in one direction, even within a frame."""
         with self._links.changes(self):
             self._reset_after[backward] = after
 
     def corrupt(self, after: int = 0, backward: bool = False) -> None:
-        """Of what passes one way, one bit of the byte behind so many more is changed."""
+        """Changes one bit of the byte that follows this many more bytes in one direction."""
         with self._links.changes(self):
             self._corrupt_after[backward] = after
 
 
 class Links:
-    """The thread that runs them. Everything is under `_lock`, but for waiting."""
+    """All links and the thread that runs them. Everything happens under `_lock`, except waiting."""
 
     def __init__(self, host: str = "127.0.0.1") -> None:
         self._host = host
         self._lock = threading.RLock()
         self._poll = select.epoll()
-        self._masks: dict[int, int] = {}  # as registered
+        self._masks: dict[int, int] = {}  # registered events by descriptor
         self._wake = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         self._poll.register(self._wake, select.EPOLLIN)
-        self._links: dict[int, Link] = {}  # by their listeners' descriptors
+        self._links: dict[int, Link] = {}  # by descriptor of the listener
         self._connections: dict[int, _Connection] = {}  # by both descriptors
-        self._touched: set[_Connection] = set()
-        self._late: set[_Connection] = set()  # with something that may not arrive yet
-        self._over = False
+        self._ready: set[_Connection] = set()  # connections that may be able to pass data
+        self._delayed: set[_Connection] = set()  # connections with data that may not arrive yet
+        self._closing = False
         self._thread = threading.Thread(target=self._run, name="links", daemon=True)
         self._thread.start()
 
-    def add(self, to: str) -> Link:
-        """A new link to an address, whole."""
+    def add(self, target: str) -> Link:
+        """Adds a link without faults to an address."""
         with self._lock:
-            link = Link(self, to, self._host)
+            link = Link(self, target, self._host)
             self._links[link._listener.fileno()] = link
-        self._tell()
+        self._wake_thread()
         return link
 
     def close(self) -> None:
-        self._over = True
-        self._tell()
+        """Stops the thread and resets all connections."""
+        self._closing = True
+        self._wake_thread()
         self._thread.join()
         for connection in set(self._connections.values()):
             self._drop(connection)
@@ -144,41 +152,44 @@
 
     # ---- for the links ----
 
-    def changes(self, link: Link) -> _Changes:
-        return _Changes(self, link)
+    def changes(self, link: Link) -> _LinkChange:
+        """A context in which a link's faults may be changed."""
+        return _LinkChange(self, link)
 
     def reset(self, link: Link) -> None:
+        """Resets all connections of a link."""
         for connection in [c for c in set(self._connections.values()) if c.link is link]:
             self._drop(connection)
 
-    def _tell(self) -> None:
+    def _wake_thread(self) -> None:
         os.eventfd_write(self._wake, 1)
 
     # ---- the thread ----
 
     def _run(self) -> None:
-        while not self._over:
+        while not self._closing:
             with self._lock:
-                wait = self._settle()
-            events = self._poll.poll(wait)
+                timeout = self._pass_ready_data()
+            events = self._poll.poll(timeout)
             with self._lock:
                 for descriptor, _ in events:
-                    self._happened(descriptor)
+                    self._handle_event(descriptor)
 
-    def _settle(self) -> float:
-        """Moves what can be moved, and says for how many seconds nothing is to be done but by events."""
+    def _pass_ready_data(self) -> float:
+        """Passes all data that can be passed; returns the seconds until delayed data is due, or -1 if there is none."""
         now = time.monotonic_ns()
-        self._touched |= {c for c in self._late if any(due <= now for due in c.due())}
-        while self._touched:
-            self._move(self._touched.pop())
-        full = len(self._connections) >= 2 * MOST
+        self._ready |= {c for c in self._delayed if any(due <= now for due in c.due())}
+        while self._ready:
+            self._pass_data(self._ready.pop())
+        full = len(self._connections) >= 2 * MAX_CONNECTIONS
         for descriptor, link in self._links.items():
             self._watch(descriptor, 0 if full or link._refuses or any(link._blocked) else select.EPOLLIN)
-        due = [at for connection in self._late for at in connection.due()]
+        due = [at for connection in self._delayed for at in connection.due()]
         return max(0.0, (min(due) - time.monotonic_ns()) / SECOND) if due else -1
 
     def _watch(self, descriptor: int, mask: int) -> None:
-        """A descriptor with nothing to wait for is taken out: its end would be told all the time."""
+        """Registers the events to wait for. A descriptor without any is unregistered, since epoll would report its end
+        all the time."""
         before = self._masks.get(descriptor, 0)
         if mask == before:
             return
@@ -189,7 +200,7 @@
         (self._poll.modify if before else self._poll.register)(descriptor, mask)
         self._masks[descriptor] = mask
 
-    def _happened(self, descriptor: int) -> None:
+    def _handle_event(self, descriptor: int) -> None:
         if descriptor == self._wake:
             with suppress(BlockingIOError):
                 os.eventfd_read(self._wake)
@@ -197,122 +208,123 @@
             self._accept(self._links[descriptor])
         elif descriptor in self._connections:
             connection = self._connections[descriptor]
-            self._touched.add(connection)
-            if not connection.up and descriptor == connection.far.fileno():
-                connection.up = connection.far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
-                if not connection.up:
+            self._ready.add(connection)
+            if not connection.connected and descriptor == connection.server.fileno():
+                connection.connected = connection.server.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
+                if not connection.connected:
                     self._drop(connection)
 
     def _accept(self, link: Link) -> None:
         try:
-            near, _ = link._listener.accept()
+            client, _ = link._listener.accept()
         except OSError:
             return
-        far = socket.socket()
-        connection = _Connection(link, near, far)
-        for sock in (near, far):
+        server = socket.socket()
+        connection = _Connection(link, client, server)
+        for sock in (client, server):
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._connections[sock.fileno()] = connection
-        host, port = link.to.rsplit(":", 1)
+        host, port = link.target.rsplit(":", 1)
         try:
-            far.connect((host, int(port)))
+            server.connect((host, int(port)))
         except BlockingIOError:
             pass
         except OSError:
             self._drop(connection)
             return
-        self._touched.add(connection)
+        self._ready.add(connection)
 
     def _drop(self, connection: _Connection, reset: bool = True) -> None:
-        for sock in (connection.near, connection.far):
+        for sock in (connection.client, connection.server):
             self._watch(sock.fileno(), 0)
             del self._connections[sock.fileno()]
             if reset:
                 with suppress(OSError):
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             sock.close()
-        self._touched.discard(connection)
-        self._late.discard(connection)
-
-    def _move(self, connection: _Connection) -> None:
-        """Reads and writes what can be, then sees to it that it is told of what can't yet."""
-        link, masks = connection.link, {connection.near: 0, connection.far: 0}
-        if not connection.up:
-            masks[connection.far] = select.EPOLLOUT
-        late = False
-        for number, way in enumerate(connection.ways):
-            if not connection.up or way.done or link._blocked[number]:
+        self._ready.discard(connection)
+        self._delayed.discard(connection)
+
+    def _pass_data(self, connection: _Connection) -> None:
+        """Reads and writes what is possible now, and registers the events for what is not."""
+        link, masks = connection.link, {connection.client: 0, connection.server: 0}
+        if not connection.connected:
+            masks[connection.server] = select.EPOLLOUT
+        has_delayed = False
+        for number, direction in enumerate(connection.directions):
+            if not connection.connected or direction.done or link._blocked[number]:
                 continue
             try:
-                self._read(link, number, way)
-                open_, first = self._write(link, number, way)
-                if way.ended and not way.queue:
-                    way.sink.shutdown(socket.SHUT_WR)
-                    way.done = True
-            except OSError:  # reset by one side, or by a cut
+                self._read(link, direction)
+                writable, delayed = self._write(link, number, direction)
+                if direction.ended and not direction.queue:
+                    direction.sink.shutdown(socket.SHUT_WR)
+                    direction.done = True
+            except OSError:  # reset by one side, or by `Link.reset_after`
                 self._drop(connection)
                 if link._reset_after[number] == 0:
                     link._reset_after[number] = None
                     self.reset(link)
                 return
-            late = late or first
-            if not open_:
-                masks[way.sink] |= select.EPOLLOUT
-            if not way.ended and way.held < ROOM:
-                masks[way.source] |= select.EPOLLIN
-        if all(way.done for way in connection.ways):
+            has_delayed = has_delayed or delayed
+            if not writable:
+                masks[direction.sink] |= select.EPOLLOUT
+            if not direction.ended and direction.buffered < MAX_BUFFERED:
+                masks[direction.source] |= select.EPOLLIN
+        if all(direction.done for direction in connection.directions):
             self._drop(connection, reset=False)
             return
-        (self._late.add if late else self._late.discard)(connection)
+        (self._delayed.add if has_delayed else self._delayed.discard)(connection)
         for sock, mask in masks.items():
             self._watch(sock.fileno(), mask)
 
-    def _read(self, link: Link, number: int, way: _Way) -> None:
-        while not way.ended and way.held < ROOM:
+    def _read(self, link: Link, direction: _Direction) -> None:
+        while not direction.ended and direction.buffered < MAX_BUFFERED:
             try:
-                data = way.source.recv(READ_SIZE)
+                data = direction.source.recv(READ_SIZE)
             except BlockingIOError:
                 return
-            way.ended = not data
+            direction.ended = not data
             if data:
-                way.queue.append((time.monotonic_ns() + link._delay, memoryview(data)))
-                way.held += len(data)
-
-    def _write(self, link: Link, number: int, way: _Way) -> tuple[bool, bool]:
-        """Whether the sink took all that it was given, and whether something may not arrive yet. ConnectionError where
-        the link is to be cut here."""
-        while way.queue:
-            due, data = way.queue[0]
+                direction.queue.append((time.monotonic_ns() + link._delay, memoryview(data)))
+                direction.buffered += len(data)
+
+    def _write(self, link: Link, number: int, direction: _Direction) -> tuple[bool, bool]:
+        """Writes the data that is due. Returns whether the sink took all of it, and whether there is delayed data.
+        Raises ConnectionError where the link's connections have to be reset."""
+        while direction.queue:
+            due, data = direction.queue[0]
             if due > time.monotonic_ns():
                 return True, True
-            cut, flip = link._reset_after[number], link._corrupt_after[number]
-            if cut is not None:
-                if cut == 0:
-                    raise ConnectionError("cut")
-                data = data[:cut]
-            if flip is not None and flip < len(data):
-                data = memoryview(bytes(data[:flip]) + bytes([data[flip] ^ 0x10]) + bytes(data[flip + 1 :]))
+            reset_after, corrupt_after = link._reset_after[number], link._corrupt_after[number]
+            if reset_after is not None:
+                if reset_after == 0:
+                    raise ConnectionError("reset by the link")
+                data = data[:reset_after]
+            if corrupt_after is not None and corrupt_after < len(data):
+                changed = bytes([data[corrupt_after] ^ CORRUPTED_BIT])
+                data = memoryview(bytes(data[:corrupt_after]) + changed + bytes(data[corrupt_after + 1 :]))
             try:
-                sent = way.sink.send(data)
+                sent = direction.sink.send(data)
             except BlockingIOError:
                 return False, False
-            if cut is not None:
-                link._reset_after[number] = cut - sent
-            if flip is not None:
-                link._corrupt_after[number] = flip - sent if sent <= flip else None
-            whole = way.queue.popleft()[1]
+            if reset_after is not None:
+                link._reset_after[number] = reset_after - sent
+            if corrupt_after is not None:
+                link._corrupt_after[number] = corrupt_after - sent if sent <= corrupt_after else None
+            whole = direction.queue.popleft()[1]
             if sent < len(whole):
-                way.queue.appendleft((due, whole[sent:]))
-            way.held -= sent
+                direction.queue.appendleft((due, whole[sent:]))
+            direction.buffered -= sent
             link.passed[number] += sent
         if link._reset_after[number] == 0:
-            raise ConnectionError("cut")
+            raise ConnectionError("reset by the link")
         return True, False
 
 
-class _Changes:
-    """A change of a link: its connections are looked at anew, and the thread is told."""
+class _LinkChange:
+    """Holds the lock while a link's faults are changed, then has the thread look at all of its connections."""
 
     def __init__(self, links: Links, link: Link) -> None:
         self.links, self.link = links, link
@@ -322,6 +334,6 @@
 
     def __exit__(self, *_: object) -> None:
         links = self.links
-        links._touched |= {c for c in links._connections.values() if c.link is self.link}
+        links._ready |= {c for c in links._connections.values() if c.link is self.link}
         links._lock.release()
-        links._tell()
+        links._wake_thread()
--- a/loftweir/standins/toy.py
+++ b/loftweir/standins/toy.py
@@ -1,7 +1,7 @@
-"""StubServer providers and a toy discovery on loopback, to try the sidecar with. Standard library only.
+"""Stub providers and a stub discovery service on loopback, to try the sidecar with. Standard library only.
 
-Run as ``python -m loftweir.standins.toy`` they take the addresses that examples/config.json, or the platform's file
-named behind it, has for providers and discovery.
+``python -m loftweir.standins.toy [FILE]`` starts them at the addresses of the providers and discovery in a platform
+file, examples/config.json by default.
 """
 
 from __future__ import annotations
@@ -15,9 +15,11 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-MS, SECOND = 1_000_000, 1_000_000_000
-MAX_WATCH_SECONDS = 60  # seconds of one watch
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
+MAX_WATCH_SECONDS = 60
 
+# The settings of the platform file.
 SETTINGS = {
     "zone": "alm-1",
     "dcs": ["alm-1", "alm-2"],
@@ -49,10 +51,12 @@
 
 
 class QuietHandler(BaseHTTPRequestHandler):
+    """Answers HTTP requests without a log."""
+
     protocol_version = "HTTP/1.1"
 
     def handle(self) -> None:
-        """A caller that ends while its answer is written, as a sidecar does at SIGTERM, is no fault of the stand-in."""
+        """Ignores a client that closes while its response is written, as a sidecar does at SIGTERM."""
         with suppress(BrokenPipeError, ConnectionResetError):
             super().handle()
 
@@ -60,7 +64,8 @@
         with suppress(BrokenPipeError, ConnectionResetError):
             super().finish()
 
-    def reply(self, body: bytes, kind: str = "text/plain", status: int = 200) -> None:
+    def respond(self, body: bytes, kind: str = "text/plain", status: int = 200) -> None:
+        """Sends a whole response."""
         self.send_response(status)
         self.send_header("Content-Type", kind)
         self.send_header("Content-Length", str(len(body)))
@@ -68,14 +73,15 @@
         self.wfile.write(body)
 
     def body(self) -> bytes:
+        """Reads the request's body."""
         return self.rfile.read(int(self.headers.get("Content-Length") or 0))
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Nothing: the sidecar's own log is what one came to see."""
+        """Logs nothing, so that only the sidecar's log is shown."""
 
 
 class StubServer:
-    """A server of its own thread on a loopback port, 0 for a free one."""
+    """An HTTP server with a thread of its own. Port 0: any free port."""
 
     def __init__(self, handler: type[QuietHandler], port: int = 0) -> None:
         self.server = ThreadingHTTPServer(("127.0.0.1", port), handler)
@@ -89,11 +95,11 @@
 
 
 def start_provider(name: str, port: int = 0) -> StubServer:
-    """Answers every request with its own name and what it was sent."""
+    """Starts a provider that answers each request with its own name, the request line and the body."""
 
     class Provider(QuietHandler):
         def do_GET(self) -> None:
-            self.reply(f"{name} served {self.command} {self.path} {self.body().decode(errors='replace')}\n".encode())
+            self.respond(f"{name} served {self.command} {self.path} {self.body().decode(errors='replace')}\n".encode())
 
         do_POST = do_GET
 
@@ -101,11 +107,11 @@
 
 
 class ProviderList:
-    """Discovery's list; watches wait for its next version."""
+    """The endpoint list of discovery. `changed` is notified of each new version."""
 
     def __init__(self, providers: Iterable[tuple[str, str]], zone: str = "alm-1") -> None:
         self.index = 1
-        self.news = threading.Condition()
+        self.changed = threading.Condition()
         self.entries = {
             name: {
                 "name": name,
@@ -121,62 +127,65 @@
         }
 
     def snapshot(self, known: int = -1) -> dict[str, Any]:
-        """The whole list, or an answer with no change where `known` is its version."""
+        """The response with the whole list, or one without entries if `known` is the current version."""
         entries = [] if known == self.index else list(self.entries.values())
         return {"index": self.index, "snapshot": known != self.index, "endpoints": entries}
 
     def set_status(self, name: str, status: str) -> bool:
-        with self.news:
+        """Sets a provider's status; returns False if the provider or the status is unknown."""
+        with self.changed:
             if name not in self.entries or status not in ("active", "leaving"):
                 return False
             self.entries[name]["status"] = status
             self.index += 1
-            self.news.notify_all()
+            self.changed.notify_all()
             return True
 
 
-def start_discovery(members: ProviderList, port: int = 0) -> StubServer:
-    """The list and the watch on it; POST /leaving/NAME and /active/NAME change it."""
+def start_discovery(providers: ProviderList, port: int = 0) -> StubServer:
+    """Starts a discovery service with watches. POST /leaving/NAME and /active/NAME change a provider's status."""
 
     class Discovery(QuietHandler):
         def do_GET(self) -> None:
             query = parse_qs(urlsplit(self.path).query)
             after = int(query.get("after", ["-1"])[0])
             wait = min(int(query.get("wait_ms", ["0"])[0]) / 1000, MAX_WATCH_SECONDS)
-            with members.news:
-                members.news.wait_for(lambda: members.index > after, wait)
-                answer = members.snapshot(after)
-            self.reply(json.dumps(answer).encode(), "application/json")
+            with providers.changed:
+                providers.changed.wait_for(lambda: providers.index > after, wait)
+                response = providers.snapshot(after)
+            self.respond(json.dumps(response).encode(), "application/json")
 
         def do_POST(self) -> None:
-            _, _, words = self.path.partition("/")
-            status, _, name = words.partition("/")
-            if members.set_status(name, status):
-                self.reply(b"told\n")
+            _, _, rest = self.path.partition("/")
+            status, _, name = rest.partition("/")
+            if providers.set_status(name, status):
+                self.respond(b"told\n")
             else:
-                self.reply(b"POST /leaving/NAME or /active/NAME\n", status=404)
+                self.respond(b"POST /leaving/NAME or /active/NAME\n", status=404)
 
     return StubServer(Discovery, port)
 
 
-def platform_config(listen: str, members: ProviderList, discovery_at: str) -> dict[str, Any]:
-    """The platform's file for a sidecar among these."""
+def platform_config(listen: str, providers: ProviderList, discovery_address: str) -> dict[str, Any]:
+    """The content of the platform file for a sidecar that uses these providers and this discovery service."""
     return {
         "name": "n0",
         "listen": listen,
-        "discovery": discovery_at,
+        "discovery": discovery_address,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": members.snapshot(),
+        "known": providers.snapshot(),
         "settings": SETTINGS,
     }
 
 
 def port_of(address: str) -> int:
+    """The port of HOST:PORT."""
     return int(address.rpartition(":")[2])
 
 
 def main() -> None:
+    """Starts the providers and discovery of a platform file and runs until the process is ended."""
     with open(sys.argv[1] if len(sys.argv) > 1 else "examples/config.json", encoding="utf-8") as opened:
         config = json.load(opened)
     listed = [(entry["name"], entry["address"]) for entry in config["known"]["endpoints"]]
--- a/tests/test_fault_links.py
+++ b/tests/test_fault_links.py
@@ -1,4 +1,4 @@
-"""Links that fail on command: what passes, what is held, what is reset."""
+"""Tests of the network links that fail on command: what they pass on, hold back and reset."""
 
 import socket
 import threading
@@ -20,119 +20,119 @@
 
     def connect(self):
         host, port = self.link.address.split(":")
-        near = socket.create_connection((host, int(port)), timeout=5)
-        self.addCleanup(near.close)
-        return near
+        client = socket.create_connection((host, int(port)), timeout=5)
+        self.addCleanup(client.close)
+        return client
 
-    def pair(self):
-        near = self.connect()
+    def connect_through(self):
+        client = self.connect()
         self.server.settimeout(5)
-        far, _ = self.server.accept()
-        far.settimeout(5)
-        self.addCleanup(far.close)
-        return near, far
+        server_side, _ = self.server.accept()
+        server_side.settimeout(5)
+        self.addCleanup(server_side.close)
+        return client, server_side
 
-    def nothing_comes(self, sock):
+    def assert_nothing_arrives(self, sock):
         sock.settimeout(0.1)
         with self.assertRaises(TimeoutError):
             sock.recv(1)
         sock.settimeout(5)
 
-    def take(self, sock, size):
+    def receive(self, sock, size):
         data = b""
         while len(data) < size and (read := sock.recv(size - len(data))):
             data += read
         return data
 
-    def test_all_passes_both_ways_and_ends_are_passed_on(self):
-        near, far = self.pair()
-        sent = bytes(range(256)) * 8192  # more than is held on the way
-        writer = threading.Thread(target=near.sendall, args=(sent,))
+    def test_data_passes_in_both_directions_and_ends_are_passed_on(self):
+        client, server_side = self.connect_through()
+        sent = bytes(range(256)) * 8192  # more than a link buffers
+        writer = threading.Thread(target=client.sendall, args=(sent,))
         writer.start()
-        self.assertEqual(self.take(far, len(sent)), sent)
+        self.assertEqual(self.receive(server_side, len(sent)), sent)
         writer.join(10)
-        far.sendall(b"back")
-        far.shutdown(socket.SHUT_WR)
-        self.assertEqual(self.take(near, 5), b"back")  # and its end
-        near.sendall(b"still")  # the other way goes on
-        self.assertEqual(self.take(far, 5), b"still")
-
-    def test_a_silent_link_holds_everything_until_it_is_healed(self):
-        near, far = self.pair()
+        server_side.sendall(b"back")
+        server_side.shutdown(socket.SHUT_WR)
+        self.assertEqual(self.receive(client, 5), b"back")  # and the end
+        client.sendall(b"still")  # the other direction stays open
+        self.assertEqual(self.receive(server_side, 5), b"still")
+
+    def test_a_blocked_link_holds_everything_back_until_it_is_healed(self):
+        client, server_side = self.connect_through()
         self.link.block()
-        near.sendall(b"forth")
-        far.sendall(b"back")
-        near.shutdown(socket.SHUT_WR)
-        self.nothing_comes(far)
-        self.nothing_comes(near)
-        late = self.connect()  # the kernel takes it, and nobody answers
+        client.sendall(b"forth")
+        server_side.sendall(b"back")
+        client.shutdown(socket.SHUT_WR)
+        self.assert_nothing_arrives(server_side)
+        self.assert_nothing_arrives(client)
+        late = self.connect()  # the kernel accepts it, the link does not
         self.link.heal()
-        self.assertEqual((self.take(far, 6), self.take(near, 4)), (b"forth", b"back"))
+        self.assertEqual((self.receive(server_side, 6), self.receive(client, 4)), (b"forth", b"back"))
         late.sendall(b"x")
         self.server.settimeout(5)
         self.assertEqual(self.server.accept()[0].recv(1), b"x")
 
-    def test_one_way_alone_can_be_silent(self):
-        near, far = self.pair()
+    def test_one_direction_alone_can_be_blocked(self):
+        client, server_side = self.connect_through()
         self.link.block(forward=True, backward=False)
-        near.sendall(b"forth")
-        far.sendall(b"back")
-        self.assertEqual(self.take(near, 4), b"back")
-        self.nothing_comes(far)
+        client.sendall(b"forth")
+        server_side.sendall(b"back")
+        self.assertEqual(self.receive(client, 4), b"back")
+        self.assert_nothing_arrives(server_side)
 
-    def test_a_refusing_link_resets_what_is_open_and_keeps_its_port(self):
-        near, far = self.pair()
+    def test_a_refusing_link_resets_open_connections_and_keeps_its_port(self):
+        client, server_side = self.connect_through()
         self.link.refuse()
-        for sock in (near, far):
+        for sock in (client, server_side):
             with self.assertRaises(ConnectionError):
                 sock.recv(1)
         with self.assertRaises(ConnectionError):
             self.connect()
         self.link.heal()
-        near, far = self.pair()
-        near.sendall(b"again")
-        self.assertEqual(self.take(far, 5), b"again")
+        client, server_side = self.connect_through()
+        client.sendall(b"again")
+        self.assertEqual(self.receive(server_side, 5), b"again")
 
-    def test_nobody_at_the_other_end_is_a_reset(self):
+    def test_a_connection_to_no_server_is_reset(self):
         self.server.close()
         with self.assertRaises(ConnectionError):
             self.connect().recv(1)
 
-    def test_a_delay_is_at_least_what_it_says_and_keeps_the_order(self):
-        near, far = self.pair()
+    def test_data_is_delayed_by_at_least_the_given_time_and_stays_in_order(self):
+        client, server_side = self.connect_through()
         self.link.delay(0.15)
         began = time.monotonic()
-        near.sendall(b"a")
+        client.sendall(b"a")
         time.sleep(0.02)
-        near.sendall(b"b")
-        near.shutdown(socket.SHUT_WR)
-        self.assertEqual(self.take(far, 3), b"ab")
+        client.sendall(b"b")
+        client.shutdown(socket.SHUT_WR)
+        self.assertEqual(self.receive(server_side, 3), b"ab")
         self.assertGreaterEqual(time.monotonic() - began, 0.17)
 
-    def test_a_cut_comes_after_so_many_bytes_and_resets_all(self):
-        (near, far), (other, _) = self.pair(), self.pair()
+    def test_reset_after_passes_the_given_bytes_and_then_resets_all_connections(self):
+        (client, server_side), (other, _) = self.connect_through(), self.connect_through()
         self.link.reset_after(after=3)
-        near.sendall(b"abcdef")
-        self.assertEqual(self.take(far, 3), b"abc")
-        for sock in (far, near, other):
+        client.sendall(b"abcdef")
+        self.assertEqual(self.receive(server_side, 3), b"abc")
+        for sock in (server_side, client, other):
             with self.assertRaises(ConnectionError):
                 sock.recv(1)
-        near, far = self.pair()  # and is over
-        near.sendall(b"abcdef")
-        self.assertEqual(self.take(far, 6), b"abcdef")
+        client, server_side = self.connect_through()  # the fault is over
+        client.sendall(b"abcdef")
+        self.assertEqual(self.receive(server_side, 6), b"abcdef")
 
-    def test_damage_is_of_one_byte(self):
-        near, far = self.pair()
+    def test_corrupt_changes_one_byte(self):
+        client, server_side = self.connect_through()
         self.link.corrupt(after=2, backward=True)
-        far.sendall(b"abc")
-        far.sendall(b"def")
-        self.assertEqual(self.take(near, 6), b"ab" + bytes([b"c"[0] ^ 0x10]) + b"def")
+        server_side.sendall(b"abc")
+        server_side.sendall(b"def")
+        self.assertEqual(self.receive(client, 6), b"ab" + bytes([b"c"[0] ^ 0x10]) + b"def")
 
-    def test_an_idle_thread_takes_no_time_whatever_has_ended_behind_a_silent_link(self):
-        near, far = self.pair()
+    def test_the_thread_is_idle_while_ended_connections_wait_behind_a_blocked_link(self):
+        client, server_side = self.connect_through()
         self.link.block()
-        near.close()
-        far.close()
+        client.close()
+        server_side.close()
         time.sleep(0.05)
         began = time.process_time()
         time.sleep(0.3)
