--- a/loftweir/emulator/replication_breach.py
+++ b/loftweir/emulator/replication_breach.py
@@ -1,7 +1,7 @@
-"""What the emulation of the replicated state raises where a promise did not hold."""
+"""The exception that simulations of the replicated state raise when a guarantee does not hold."""
 
 from __future__ import annotations
 
 
 class InvariantViolation(AssertionError):
-    """What was promised and didn't hold."""
+    """A guarantee of the replicated state did not hold."""
--- a/loftweir/emulator/replication_disk.py
+++ b/loftweir/emulator/replication_disk.py
@@ -1,4 +1,4 @@
-"""A disk of a member in virtual time: what is on it, and what a power failure leaves."""
+"""The disk of a member in virtual time: what is stored on it, and what a power failure leaves."""
 
 from __future__ import annotations
 
@@ -8,52 +8,57 @@
 from loftweir.replication.api import Entry, PersistBatch, PersistentState
 from loftweir.replication.core import NEVER
 
+MAX_PARTS_OF_TORN_BATCH = 4  # exclusive
+
 
 class Disk:
-    """What is on it, and what is asked for and not synced yet. Batches of one sync go together."""
+    """The stored state, and batches that are requested but not synced yet. One sync can cover several batches."""
 
-    def __init__(self, kept: PersistentState) -> None:
-        self.hard, self.snapshot = kept.hard, kept.snapshot
-        self.entries = list(kept.entries)
-        self.asked: deque[PersistBatch] = deque()
-        self.syncing = 0  # the last batch of the sync under way; 0: none
+    def __init__(self, stored: PersistentState) -> None:
+        self.hard, self.snapshot = stored.hard, stored.snapshot
+        self.entries = list(stored.entries)
+        self.unsynced: deque[PersistBatch] = deque()
+        self.syncing = 0  # the last batch of the current sync; 0: none
 
     @property
     def last_index(self) -> int:
         return self.entries[-1].index if self.entries else self.snapshot.index if self.snapshot else 0
 
-    def kept(self) -> PersistentState:
+    def stored(self) -> PersistentState:
+        """The state with which a process starts from this disk."""
         return PersistentState(self.hard, self.snapshot, tuple(self.entries))
 
-    def synced(self, batch: int) -> None:
-        while self.asked and self.asked[0].batch <= batch:
-            self._write(self.asked.popleft(), NEVER)
-
-    def cut_off(self, random: Random) -> None:
-        """Power fails: of what was not synced there is some beginning, the last batch of it in part."""
-        while self.asked and random.random() < 0.5:
-            self._write(self.asked.popleft(), NEVER)
-        if self.asked:
-            self._write(self.asked[0], random.randrange(4))
-        self.asked.clear()
+    def sync(self, batch: int) -> None:
+        """Stores all batches up to this one."""
+        while self.unsynced and self.unsynced[0].batch <= batch:
+            self._write(self.unsynced.popleft(), NEVER)
+
+    def fail_power(self, random: Random) -> None:
+        """Of the unsynced batches a random number of the first ones is stored, and the next one in part."""
+        while self.unsynced and random.random() < 0.5:
+            self._write(self.unsynced.popleft(), NEVER)
+        if self.unsynced:
+            self._write(self.unsynced[0], random.randrange(MAX_PARTS_OF_TORN_BATCH))
+        self.unsynced.clear()
         self.syncing = 0
 
-    def _write(self, keep: PersistBatch, parts: int) -> None:
-        """In order: term and vote, cut, each entry, snapshot; only the first `parts` of them."""
-        if keep.hard is not None:
+    def _write(self, batch: PersistBatch, parts: int) -> None:
+        """Writes the first `parts` of a batch: term and vote, truncation, each entry, snapshot, in this order."""
+        if batch.hard is not None:
             if parts <= 0:
                 return
-            self.hard, parts = keep.hard, parts - 1
-        if keep.cut is not None:
+            self.hard, parts = batch.hard, parts - 1
+        if batch.cut is not None:
             if parts <= 0:
                 return
-            self.entries, parts = [e for e in self.entries if e.index < keep.cut], parts - 1
-        self.entries += keep.entries[: max(0, parts)]
-        if keep.snapshot is not None and parts > len(keep.entries):
-            behind = [] if keep.all_gone else [e for e in self.entries if e.index > keep.snapshot.index]
-            self.snapshot, self.entries = keep.snapshot, behind
+            self.entries, parts = [e for e in self.entries if e.index < batch.cut], parts - 1
+        self.entries += batch.entries[: max(0, parts)]
+        if batch.snapshot is not None and parts > len(batch.entries):
+            remaining = [] if batch.all_gone else [e for e in self.entries if e.index > batch.snapshot.index]
+            self.snapshot, self.entries = batch.snapshot, remaining
 
-    def holds(self, entry: Entry) -> bool:
+    def contains(self, entry: Entry) -> bool:
+        """Whether an entry is stored, in the log or as part of the snapshot."""
         if self.snapshot is not None and entry.index <= self.snapshot.index:
             return True
         at = entry.index - (self.snapshot.index if self.snapshot else 0) - 1
--- a/loftweir/emulator/walk.py
+++ b/loftweir/emulator/walk.py
@@ -1,11 +1,14 @@
-"""Every order of what can happen to a few copies, in small sizes: breadth first, each state once.
+"""A model checker for the consensus core: explores every order of events in small clusters, breadth first, visiting
+each state once.
 
-Time is taken out: any voter may stand at any moment and no leader is stuck to, which allows more than clocks ever do,
-so what holds here holds at any speed. A message may come at any later moment or never, once. A disk syncs within the
-step or, as often as allowed, later; a crash loses what it had not synced. The walk judges only by what came of it:
-leaders in a term, what was applied, what a leader has, and on how many disks a promise lies.
+Time is abstracted away: any voter may campaign at any moment, and no follower prefers a live leader. This allows more
+than clocks ever do, so what holds here holds at any speed. A message may arrive at any later moment, once, or never. A
+disk syncs within the step or, as often as the budget allows, later; a crash loses what was not synced. The checker
+looks only at results: the leaders of a term, what was applied, what a leader's log contains, and on how many disks a
+completed write is stored.
 
-A message that would change nothing is not taken: all that can come with it gone can come with it there.
+The arrival of a message that would change nothing is not explored: everything that can happen after it can also happen
+while the message is still in the network.
 """
 
 from __future__ import annotations
@@ -41,12 +44,13 @@
 )
 from loftweir.replication.core import NEVER, Core, founding_state
 
-ALWAYS_SAME = Timing(1, 1)
-NO_RANDOM = Random(0)  # nothing comes of it without clocks
+UNUSED_TIMING = Timing(1, 1)
+UNUSED_RANDOM = Random(0)  # a core without clocks draws no random timeouts
+FIRST_CHANGE_TOKEN = 100  # tokens of membership changes are above it, those of writes below
 
 
 class UntimedCore(Core):
-    """A core without clocks: a `Tick` makes it stand, and a round is as good as another."""
+    """A core without clocks: a `Tick` starts an election, and all heartbeat rounds are equal."""
 
     next_at = NEVER
 
@@ -69,7 +73,8 @@
             self._peers[m.sender].restart_round = 0
         super()._on_append_response(m)
 
-    def copied(self) -> UntimedCore:
+    def copy(self) -> UntimedCore:
+        """A copy that shares no mutable state with this core."""
         new = object.__new__(type(self))
         new.__dict__.update(self.__dict__)
         new._log, new._configurations, new._votes = self._log[:], self._configurations[:], set(self._votes)
@@ -89,7 +94,7 @@
         return new
 
     def key(self) -> object:
-        """All that what comes later depends on; batches by their distance."""
+        """Everything that later steps depend on. Batches are given relative to the last synced one."""
         stable = self._stable_batch
         return (
             (self.me, self.term, self.vote, self.role, self.leader, self.commit, self.stable_index, tuple(self._log)),
@@ -104,159 +109,174 @@
         )
 
 
-class Place(NamedTuple):
-    """A seat: its process, what is on its disk, what is asked for, and what waits for that."""
+class SlotState(NamedTuple):
+    """A slot: its process, its disk, its unsynced batches, and the messages that wait for them."""
 
     core: UntimedCore
     hard: HardState
     entries: tuple[Entry, ...]
-    asked: tuple[PersistBatch, ...] = ()
-    held: tuple[tuple[int, int], ...] = ()  # batch, number of a message
-    mark: int = 0  # equal ones go on alike
+    unsynced: tuple[PersistBatch, ...] = ()
+    waiting: tuple[tuple[int, int], ...] = ()  # batch, number of the message
+    fingerprint: int = 0  # slot states with equal fingerprints behave alike
 
-    def holds(self, entry: Entry) -> bool:
+    def contains(self, entry: Entry) -> bool:
+        """Whether an entry is on the disk."""
         return entry in self.entries
 
-    def marked(self) -> Place:
+    def with_fingerprint(self) -> SlotState:
         stable = self.core._stable_batch
-        waits = tuple((after - stable, number) for after, number in self.held)
-        return self._replace(mark=hash((self.core.key(), self.hard, self.entries, waits)))
+        waiting = tuple((after - stable, number) for after, number in self.waiting)
+        return self._replace(fingerprint=hash((self.core.key(), self.hard, self.entries, waiting)))
 
 
-class Promise(NamedTuple):
-    at: int  # index
+class Completion(NamedTuple):
+    """A request that a leader has completed."""
+
+    log_index: int
     voters: frozenset[str]
-    own: bool  # on the leader's own disk then
+    on_own_disk: bool  # whether the entry was on the leader's own disk at that time
 
 
-class Went(NamedTuple):
-    """What a step did at one seat; the same from equal places, wherever the others are."""
+class StepResult(NamedTuple):
+    """What a step did in one slot. Equal slot states have equal results, whatever the state of the other slots."""
 
-    place: Place
-    slow: bool  # what it asked for is not synced yet
-    sent: frozenset[int] = frozenset()
+    slot: SlotState
+    unsynced: bool  # some of its batches are not synced yet
+    sent: frozenset[int] = frozenset()  # numbers of messages
     applied: tuple[Entry, ...] = ()
-    promises: tuple[Promise, ...] = ()
-    leads: int = 0  # the term in which it begins to
+    completions: tuple[Completion, ...] = ()
+    elected_in: int = 0  # the term in which it became leader
 
 
 class EventBudget(NamedTuple):
-    """What may still happen."""
+    """How many events of each kind may still happen."""
 
-    stands: int = 1
+    campaigns: int = 1
     writes: int = 2
     crashes: int = 1
     wipes: int = 1
-    slow: int = 1  # steps whose sync comes later
-    changes: int = 0
+    late_syncs: int = 1  # steps whose sync happens later
+    membership_changes: int = 0
 
 
 DEFAULT_BUDGET = EventBudget()
 
 
 class State(NamedTuple):
-    places: tuple[Place, ...]
-    net: frozenset[int]  # numbers of messages
-    left: EventBudget
-    committed: tuple[Entry, ...] = ()  # from index 1 on, as any has applied it
-    terms: tuple[int, ...] = ()  # of who committed each
+    """A state of the whole cluster."""
+
+    slots: tuple[SlotState, ...]
+    network: frozenset[int]  # numbers of messages
+    budget: EventBudget
+    committed: tuple[Entry, ...] = ()  # from index 1 on, as first applied by any member
+    terms: tuple[int, ...] = ()  # by committed entry: the term of the member that applied it first
     leaders: frozenset[tuple[int, str]] = frozenset()
-    lost: tuple[Place, ...] = ()  # wiped disks, as they were
+    lost: tuple[SlotState, ...] = ()  # slots before their disks were wiped
 
     def key(self) -> int:
-        marks = tuple([place.mark for place in self.places])
-        return hash((marks, self.net, self.left, len(self.committed), self.leaders))
+        fingerprints = tuple([slot.fingerprint for slot in self.slots])
+        return hash((fingerprints, self.network, self.budget, len(self.committed), self.leaders))
 
 
 class ModelChecker:
-    """`make` is `Timeless`, or one broken on purpose; `same_id`: a wiped disk comes back under its old id."""
+    """Explores the states of a cluster. `make` is `UntimedCore` or a subclass with a deliberate defect. With `same_id`
+    a member whose disk was wiped returns under its old id."""
 
     def __init__(
         self,
         make: type[UntimedCore] = UntimedCore,
-        left: EventBudget = DEFAULT_BUDGET,
-        seats: int = 3,
+        budget: EventBudget = DEFAULT_BUDGET,
+        slots: int = 3,
         same_id: bool = False,
     ):
         self.make, self.same_id = make, same_id
         self.states = self.depth = self.completions = 0
-        self.members = tuple(Member(id, id, id) for id in "abcde"[:seats])
+        self.members = tuple(Member(id, id, id) for id in "abcde"[:slots])
         self._messages: list[AnyMessage] = []
-        self._numbers: dict[AnyMessage, int] = {}
-        self._begun: dict[tuple[str, PersistentState], Place] = {}
-        self._went: dict[tuple[int, object, bool], Went] = {}
-        kept = founding_state(self.members)
-        places = tuple(self._made(m.id, kept) for m in self.members)
-        # The first leads in term 2, by the votes of as few as can be; the others have heard nothing.
-        state = self._step(State(places, frozenset(), left), 0, Tick())
-        for _ in range(seats // 2):
-            state = self._heard(state, min(n for n in state.net if isinstance(self._messages[n], RequestVote)))
-            state = self._heard(state, next(n for n in state.net if isinstance(self._messages[n], RequestVoteResponse)))
-        assert state.places[0].core.role is Role.LEADER
-        self.first = state._replace(
-            net=frozenset(n for n in state.net if not isinstance(self._messages[n], RequestVote))
+        self._message_numbers: dict[AnyMessage, int] = {}
+        self._started: dict[tuple[str, PersistentState], SlotState] = {}
+        self._results: dict[tuple[int, object, bool], StepResult] = {}
+        stored = founding_state(self.members)
+        slot_states = tuple(self._start_process(m.id, stored) for m in self.members)
+        self.first = self._elect_first(State(slot_states, frozenset(), budget))
+
+    def _elect_first(self, state: State) -> State:
+        """The first member leads in term 2, elected by the smallest majority; the others have received nothing."""
+        state = self._step(state, 0, Tick())
+        for _ in range(len(self.members) // 2):
+            state = self._receive(state, min(n for n in state.network if isinstance(self._messages[n], RequestVote)))
+            state = self._receive(
+                state, next(n for n in state.network if isinstance(self._messages[n], RequestVoteResponse))
+            )
+        assert state.slots[0].core.role is Role.LEADER
+        return state._replace(
+            network=frozenset(n for n in state.network if not isinstance(self._messages[n], RequestVote))
         )
 
-    def _made(self, id: str, kept: PersistentState) -> Place:
-        """A process begins with that disk."""
-        made = self._begun.get((id, kept))
-        if made is None:
-            made = Place(self.make(id, kept, ALWAYS_SAME, NO_RANDOM, 0), kept.hard, kept.entries).marked()
-            self._begun[id, kept] = made
-        return made
+    def _start_process(self, id: str, stored: PersistentState) -> SlotState:
+        """A slot whose process has just started from a disk."""
+        slot = self._started.get((id, stored))
+        if slot is None:
+            core = self.make(id, stored, UNUSED_TIMING, UNUSED_RANDOM, 0)
+            slot = SlotState(core, stored.hard, stored.entries).with_fingerprint()
+            self._started[id, stored] = slot
+        return slot
 
     def run(self, depth: int, states: int = 1 << 40) -> ModelChecker:
-        """All that can come in so many steps, or until so many states were seen. `Breach`: what was broken."""
+        """Explores everything within `depth` steps, or until `states` states are found. Raises `InvariantViolation` for
+        a guarantee that does not hold."""
         seen = {self.first.key()}
-        now = [self.first]
-        while now and self.depth < depth and len(seen) < states:
+        level = [self.first]
+        while level and self.depth < depth and len(seen) < states:
             self.depth += 1
-            then = []
-            for state in now:
-                for next in self._next(state):
-                    key = next.key()
+            next_level = []
+            for state in level:
+                for successor in self._successors(state):
+                    key = successor.key()
                     if key not in seen:
                         seen.add(key)
-                        then.append(next)
+                        next_level.append(successor)
                 if len(seen) >= states:
                     break
-            now = then
+            level = next_level
         self.states = len(seen)
         return self
 
-    # ---- what may come next ---------------------------------------------------------------------
-
-    def _next(self, state: State) -> Iterator[State]:
-        left = state.left
-        slows = (False, True) if left.slow else (False,)
-        for number in state.net:
-            for slow in slows:
-                then = self._heard(state, number, slow)
-                if then is not state:
-                    yield then
-        for at, place in enumerate(state.places):
-            core = place.core
+    # ---- possible events ------------------------------------------------------------------------
+
+    def _successors(self, state: State) -> Iterator[State]:
+        budget = state.budget
+        sync_choices = (False, True) if budget.late_syncs else (False,)
+        for number in state.network:
+            for late_sync in sync_choices:
+                successor = self._receive(state, number, late_sync)
+                if successor is not state:
+                    yield successor
+        for at, slot in enumerate(state.slots):
+            core = slot.core
             if core.role is Role.LEADER:
-                if left.writes:
-                    spent = state._replace(left=left._replace(writes=left.writes - 1))
-                    write = WriteRequest(left.writes, b"%d by %s" % (left.writes, core.me.encode()))
-                    for slow in slows:
-                        yield self._step(spent, at, write, slow)
-                if left.changes:
-                    spent = state._replace(left=left._replace(changes=left.changes - 1))
-                    for members in self._changes(core.members):
-                        yield self._step(spent, at, MembershipChange(100 + left.changes, members))
-            elif left.stands and core._may_campaign:
-                yield self._step(state._replace(left=left._replace(stands=left.stands - 1)), at, Tick())
-            if place.asked:
+                if budget.writes:
+                    spent = state._replace(budget=budget._replace(writes=budget.writes - 1))
+                    write = WriteRequest(budget.writes, b"%d by %s" % (budget.writes, core.me.encode()))
+                    for late_sync in sync_choices:
+                        yield self._step(spent, at, write, late_sync)
+                if budget.membership_changes:
+                    left = budget.membership_changes
+                    spent = state._replace(budget=budget._replace(membership_changes=left - 1))
+                    for members in self._possible_changes(core.members):
+                        yield self._step(spent, at, MembershipChange(FIRST_CHANGE_TOKEN + left, members))
+            elif budget.campaigns and core._may_campaign:
+                spent = state._replace(budget=budget._replace(campaigns=budget.campaigns - 1))
+                yield self._step(spent, at, Tick())
+            if slot.unsynced:
                 yield self._step(state, at, None)
-            if left.crashes:
-                yield self._again(state, at)
-            if left.wipes:
-                yield self._wiped(state, at)
+            if budget.crashes:
+                yield self._restart(state, at)
+            if budget.wipes:
+                yield self._wipe(state, at)
 
-    def _changes(self, members: tuple[Member, ...]) -> Iterator[tuple[Member, ...]]:
-        """One less, or one of the first members back."""
+    def _possible_changes(self, members: tuple[Member, ...]) -> Iterator[tuple[Member, ...]]:
+        """The members without one of them, or with one of the first members that is missing."""
         for member in members:
             if len(members) > 1:
                 yield tuple(m for m in members if m != member)
@@ -264,115 +284,123 @@
             if member not in members:
                 yield (*members, member)
 
-    def _again(self, state: State, at: int) -> State:
-        """A crash, and the start from what was synced."""
-        place = state.places[at]
-        made = self._made(place.core.me, PersistentState(place.hard, None, place.entries))
-        return self._put(state, at, made)._replace(left=state.left._replace(crashes=state.left.crashes - 1))
-
-    def _wiped(self, state: State, at: int) -> State:
-        """The disk is lost; what was said to its id is heard by nobody."""
-        place = state.places[at]
-        id = place.core.me if self.same_id else place.core.me + "'"
-        gone = frozenset(n for n in state.net if self._messages[n].to == place.core.me != id)
-        state = state._replace(lost=(*state.lost, place), net=state.net - gone)
-        return self._put(state, at, self._made(id, PersistentState()))._replace(left=state.left._replace(wipes=0))
-
-    def _put(self, state: State, at: int, place: Place) -> State:
-        return state._replace(places=(*state.places[:at], place, *state.places[at + 1 :]))
-
-    def _heard(self, state: State, number: int, slow: bool = False) -> State:
-        """By whoever sits at the seat that it is sent to, who drops it if it isn't meant."""
+    def _restart(self, state: State, at: int) -> State:
+        """A crash, and a start from what was synced."""
+        slot = state.slots[at]
+        restarted = self._start_process(slot.core.me, PersistentState(slot.hard, None, slot.entries))
+        budget = state.budget._replace(crashes=state.budget.crashes - 1)
+        return self._replace_slot(state, at, restarted)._replace(budget=budget)
+
+    def _wipe(self, state: State, at: int) -> State:
+        """The disk is lost; messages to the slot's former id are dropped, if the id is not kept."""
+        slot = state.slots[at]
+        id = slot.core.me if self.same_id else slot.core.me + "'"
+        dropped = frozenset(n for n in state.network if self._messages[n].to == slot.core.me != id)
+        state = state._replace(lost=(*state.lost, slot), network=state.network - dropped)
+        wiped = self._replace_slot(state, at, self._start_process(id, PersistentState()))
+        return wiped._replace(budget=state.budget._replace(wipes=0))
+
+    def _replace_slot(self, state: State, at: int, slot: SlotState) -> State:
+        return state._replace(slots=(*state.slots[:at], slot, *state.slots[at + 1 :]))
+
+    def _receive(self, state: State, number: int, late_sync: bool = False) -> State:
+        """A message arrives at its slot. The member there drops it if it is for another id. Returns the same state if
+        nothing changes."""
         at = ord(self._messages[number].to[0]) - ord("a")
-        went = self._at(state.places[at], number, slow)
-        if went.place.mark == state.places[at].mark and went.sent <= state.net:
+        result = self._result(state.slots[at], number, late_sync)
+        if result.slot.fingerprint == state.slots[at].fingerprint and result.sent <= state.network:
             return state
-        return self._judged(state._replace(net=state.net - {number}), at, went)
+        return self._check_and_apply(state._replace(network=state.network - {number}), at, result)
 
-    def _step(self, state: State, at: int, event: Event | None, slow: bool = False) -> State:
-        return self._judged(state, at, self._at(state.places[at], event, slow))
+    def _step(self, state: State, at: int, event: Event | None, late_sync: bool = False) -> State:
+        return self._check_and_apply(state, at, self._result(state.slots[at], event, late_sync))
 
-    # ---- one seat -------------------------------------------------------------------------------
+    # ---- steps of one slot ----------------------------------------------------------------------
 
-    def _at(self, place: Place, event: Event | int | None, slow: bool) -> Went:
-        """An event there, or the message of that number, or only a sync."""
-        key = (place.mark, event, slow)
-        went = self._went.get(key)
-        if went is None:
+    def _result(self, slot: SlotState, event: Event | int | None, late_sync: bool) -> StepResult:
+        """The result of an event, of the arrival of a message (its number), or of a sync only (None)."""
+        key = (slot.fingerprint, event, late_sync)
+        result = self._results.get(key)
+        if result is None:
             if event is None:
-                went = self._synced(Went(place, True))
+                result = self._after_sync(StepResult(slot, True))
             else:
-                went = self._stepped(place, MessageReceived(self._messages[event]) if isinstance(event, int) else event)
-                if went.slow and not (slow or place.asked):
-                    went = self._synced(went)
-            self._went[key] = went = went._replace(place=went.place.marked())
-        return went
-
-    def _stepped(self, place: Place, event: Event) -> Went:
-        core = place.core.copied()
+                received = MessageReceived(self._messages[event]) if isinstance(event, int) else event
+                result = self._after_event(slot, received)
+                if result.unsynced and not (late_sync or slot.unsynced):
+                    result = self._after_sync(result)
+            self._results[key] = result = result._replace(slot=result.slot.with_fingerprint())
+        return result
+
+    def _after_event(self, slot: SlotState, event: Event) -> StepResult:
+        core = slot.core.copy()
         led = core.role is Role.LEADER
         actions = core.step(0, event)
-        asked = tuple(a for a in actions if isinstance(a, PersistBatch))
-        said = [(a.after, self._number(a.message)) for a in actions if isinstance(a, SendMessage)]
+        batches = tuple(a for a in actions if isinstance(a, PersistBatch))
+        messages = [(a.after, self._message_number(a.message)) for a in actions if isinstance(a, SendMessage)]
         applied = tuple(e for a in actions if isinstance(a, ApplyEntries) for e in a.entries)
-        promises = tuple(
-            Promise(a.index, core.voters, place.holds(core.entries(a.index, a.index)[0]))
+        completions = tuple(
+            Completion(a.index, core.voters, slot.contains(core.entries(a.index, a.index)[0]))
             for a in actions
             if isinstance(a, RequestCompleted)
         )
-        held = place.held + tuple(h for h in said if h[0])
-        now = Place(core, place.hard, place.entries, place.asked + asked, held)
-        leads = core.term if core.role is Role.LEADER and not led else 0
-        return Went(now, bool(asked), frozenset(n for after, n in said if not after), applied, promises, leads)
-
-    def _synced(self, went: Went) -> Went:
-        place = went.place
-        disk, batch = Disk(PersistentState(place.hard, None, place.entries)), place.asked[-1].batch
-        disk.asked.extend(place.asked)
-        disk.synced(batch)
-        leave = went.sent | {number for _, number in place.held}
-        then = self._stepped(Place(place.core, disk.hard, tuple(disk.entries)), BatchSynced(batch))
-        return Went(
-            then.place,
-            then.slow,
-            leave | then.sent,
-            went.applied + then.applied,
-            went.promises + then.promises,
-            went.leads or then.leads,
+        waiting = slot.waiting + tuple(m for m in messages if m[0])
+        after = SlotState(core, slot.hard, slot.entries, slot.unsynced + batches, waiting)
+        elected_in = core.term if core.role is Role.LEADER and not led else 0
+        sent = frozenset(number for batch, number in messages if not batch)
+        return StepResult(after, bool(batches), sent, applied, completions, elected_in)
+
+    def _after_sync(self, result: StepResult) -> StepResult:
+        """The result with all batches synced and the waiting messages sent."""
+        slot = result.slot
+        disk = Disk(PersistentState(slot.hard, None, slot.entries))
+        last_batch = slot.unsynced[-1].batch
+        disk.unsynced.extend(slot.unsynced)
+        disk.sync(last_batch)
+        sent = result.sent | {number for _, number in slot.waiting}
+        synced = self._after_event(SlotState(slot.core, disk.hard, tuple(disk.entries)), BatchSynced(last_batch))
+        return StepResult(
+            synced.slot,
+            synced.unsynced,
+            sent | synced.sent,
+            result.applied + synced.applied,
+            result.completions + synced.completions,
+            result.elected_in or synced.elected_in,
         )
 
-    def _number(self, message: AnyMessage) -> int:
-        number = self._numbers.setdefault(message, len(self._messages))
+    def _message_number(self, message: AnyMessage) -> int:
+        number = self._message_numbers.setdefault(message, len(self._messages))
         if number == len(self._messages):
             self._messages.append(message)
         return number
 
-    # ---- all of them ----------------------------------------------------------------------------
+    # ---- the whole cluster ----------------------------------------------------------------------
 
-    def _judged(self, state: State, at: int, went: Went) -> State:
-        left, committed, terms, leaders = state.left, state.committed, state.terms, state.leaders
-        core = went.place.core
-        for entry in went.applied:
+    def _check_and_apply(self, state: State, at: int, result: StepResult) -> State:
+        """Checks the result of a step in one slot, and returns the state of the cluster after it."""
+        budget, committed, terms, leaders = state.budget, state.committed, state.terms, state.leaders
+        core = result.slot.core
+        for entry in result.applied:
             if entry.index > len(committed):
                 committed, terms = (*committed, entry), (*terms, core.term)
             elif committed[entry.index - 1] != entry:
-                raise InvariantViolation(f"committed twice: {committed[entry.index - 1]} and {entry}")
-        for promise in went.promises:
-            entry = committed[promise.at - 1]
-            others = (*state.lost, *state.places[:at], *state.places[at + 1 :])
-            holders = {p.core.me for p in others if p.holds(entry)} | ({core.me} if promise.own else set())
-            if len(holders & promise.voters) <= len(promise.voters) // 2:
-                raise InvariantViolation(f"answered with {holders} that hold {entry}")
+                raise InvariantViolation(f"two committed entries: {committed[entry.index - 1]} and {entry}")
+        for completion in result.completions:
+            entry = committed[completion.log_index - 1]
+            others = (*state.lost, *state.slots[:at], *state.slots[at + 1 :])
+            copies = {s.core.me for s in others if s.contains(entry)} | ({core.me} if completion.on_own_disk else set())
+            if len(copies & completion.voters) <= len(completion.voters) // 2:
+                raise InvariantViolation(f"completed when only {copies} have stored {entry}")
             self.completions += 1
-        if went.leads:
-            if any(term == went.leads and id != core.me for term, id in leaders):
-                raise InvariantViolation(f"two leaders in term {went.leads}")
-            leaders |= {(went.leads, core.me)}
-            # Who wins an older term late need not have what a later one committed.
-            must = [entry for entry, term in zip(committed, terms, strict=True) if term < went.leads]
-            if any(core.entries(entry.index, entry.index) != [entry] for entry in must):
-                raise InvariantViolation(f"the leader of term {went.leads} lacks what was committed")
-        if went.slow and not state.places[at].asked:
-            left = left._replace(slow=left.slow - 1)
-        places = (*state.places[:at], went.place, *state.places[at + 1 :])
-        return State(places, state.net | went.sent, left, committed, terms, leaders, state.lost)
+        if result.elected_in:
+            if any(term == result.elected_in and id != core.me for term, id in leaders):
+                raise InvariantViolation(f"two leaders in term {result.elected_in}")
+            leaders |= {(result.elected_in, core.me)}
+            # A leader that is elected late in an older term may lack entries that were committed in a later one.
+            required = [entry for entry, term in zip(committed, terms, strict=True) if term < result.elected_in]
+            if any(core.entries(entry.index, entry.index) != [entry] for entry in required):
+                raise InvariantViolation(f"the leader of term {result.elected_in} lacks a committed entry")
+        if result.unsynced and not state.slots[at].unsynced:
+            budget = budget._replace(late_syncs=budget.late_syncs - 1)
+        slots = (*state.slots[:at], result.slot, *state.slots[at + 1 :])
+        return State(slots, state.network | result.sent, budget, committed, terms, leaders, state.lost)
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -146,7 +146,7 @@
     """A snapshot is sent in chunks while writes continue, and memory stays bounded; a window that was full before does
     not prevent it.
     """
-    world, (a, b, _) = cluster_with_leader(make, sync=200_000)
+    world, (a, b, _) = cluster_with_leader(make, max_sync_time=200_000)
     world.crash(b)
     write_and_wait(world, a, 100)
     world.start(b)
@@ -310,7 +310,7 @@
 
 def test_a_member_far_behind_catches_up_on_10_000_entries_quickly():
     timing = Timing(10 * MS, 50 * MS, snapshot_after_entries=1 << 30)
-    world, (a, b, _) = cluster_with_leader(timing=timing, check=1 << 30)
+    world, (a, b, _) = cluster_with_leader(timing=timing, check_interval=1 << 30)
     world.crash(b)
     for _ in range(10):
         tokens = [world.write(a) for _ in range(1000)]
@@ -334,7 +334,7 @@
 
 
 def test_a_step_takes_little_cpu_time():
-    world, (a, b, c) = cluster_with_leader(check=1 << 30)
+    world, (a, b, c) = cluster_with_leader(check_interval=1 << 30)
     for _ in range(5):
         began, steps = time.process_time(), world.steps
         tokens = [world.write(a) for _ in range(30)]
