--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -541,7 +541,7 @@
     simulation.run(SECOND)
     simulation.restart(["aa", "bb"], True, SECOND)
     simulation.run(1500 * MS)
-    held = simulation.sites["bb"].disk["aa"]
+    held = simulation.sites["bb"].stored["aa"]
     assert used_path(simulation, "bb") == ("aa",) and ramp_factor(held, simulation.clock.now, TIMING) < 0.3
     simulation.faults = LinkFaults(cut=1.0)
     simulation.heal_and_check()
