--- a/loftweir/emulator/instance.py
+++ b/loftweir/emulator/instance.py
@@ -324,7 +324,7 @@
         self._ended(api.Outcome.CONNECT_FAILED)
 
     def _timed_out(self) -> None:
-        """Ends the attempt at its deadline, and its execution if the scenario says so."""
+        """Ends the attempt at its deadline, and its execution if the scenario's `overdue` is "stops"."""
         if self._is_in_flight() and self.context.scenario.world.overdue == "stops":
             self.node.stop(self.job)
         self._ended(api.Outcome.TIMED_OUT)
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -118,7 +118,7 @@
         return Declaration({"read": self.declared_clauses[mesh]}, SHOP_SERVICES)
 
     def _propose_claims(self, number: int, mesh: str, now: int) -> None:
-        """A sidecar that believes to have a mesh's session proposes commands. If it is cut off, they are mostly lost,
+        """A sidecar that assumes it has a mesh's session proposes commands. If it is cut off, they are mostly lost,
         and the others are based on an old state."""
         observed = {f"shop@{mesh}": ObservedService(self._declaration(mesh) if mesh in self.up else None, now - 9)}
         damping = Damping(away=0 if self.random.random() < 0.1 else 10**6, settle=0)
--- a/loftweir/emulator/node.py
+++ b/loftweir/emulator/node.py
@@ -111,6 +111,7 @@
     # ---- arriving requests ----------------------------------------------------------------------
 
     def reachable(self) -> bool:
+        """Whether its process runs and the network passes its messages."""
         return self.up and not self.isolated
 
     def accept(self, job: Job) -> None:
--- a/loftweir/emulator/oracle.py
+++ b/loftweir/emulator/oracle.py
@@ -126,11 +126,11 @@
     # ---- drains and cold nodes ------------------------------------------------------------------
 
     def drain_notified(self, instance: int, node: str, now: int) -> None:
-        """An instance has been told to send nothing more to a node."""
+        """An instance was notified that it must not use a node any more."""
         self.drain_notified_at.setdefault((instance, node), now)
 
     def ready_notified(self, instance: int, node: str) -> None:
-        """An instance has been told that a node is ready."""
+        """An instance was notified that a node is ready."""
         self.drain_notified_at.pop((instance, node), None)
 
     def cold_node_failed(self, node: str, now: int) -> None:
--- a/loftweir/emulator/overdrive.py
+++ b/loftweir/emulator/overdrive.py
@@ -38,6 +38,7 @@
 
     @property
     def overdriven(self) -> bool:
+        """Whether it is overdriven now."""
         return self.overdriven_since is not None
 
     @property
--- a/loftweir/emulator/replication_clients.py
+++ b/loftweir/emulator/replication_clients.py
@@ -35,13 +35,15 @@
         return self._last_token
 
     def write(self, slot: Slot) -> int:
+        """Submits a write of new data at a slot, and returns its token."""
         return self.submit(slot, lambda token: WriteRequest(token, b"w%d" % token))
 
     def read(self, slot: Slot) -> int:
+        """Submits a read at a slot, and returns its token."""
         return self.submit(slot, ReadRequest)
 
     def _submit_requests(self) -> None:
-        """Submits a write or a read at each member that believes to lead, and sometimes a read at any member."""
+        """Submits a write or a read at each member that considers itself the leader, and sometimes a read at any."""
         up = [slot for slot in self.slots.values() if slot.core is not None]
         leaders = [slot for slot in up if slot.core is not None and slot.core.role is Role.LEADER]
         for slot in leaders or up[:1]:
@@ -52,8 +54,9 @@
         self.call_later(self.random.randrange(longest), self._submit_requests)
 
     def administer(self) -> None:
-        """Takes one step towards the wanted members, at a member that believes to lead. A member that has lost its disk
-        is removed first; a new one is added as a learner, and gets a vote once it has nearly the whole log."""
+        """Takes one step towards the wanted members, at a member that considers itself the leader. A member that has
+        lost its disk is removed first. A new one is added as a learner, and gets a vote once it has nearly the whole
+        log."""
         self.call_later(ADMINISTRATION_INTERVAL, self.administer)
         leaders = [s for s in self.slots.values() if s.core is not None and s.core.role is Role.LEADER]
         if not leaders:
--- a/loftweir/emulator/replication_disk.py
+++ b/loftweir/emulator/replication_disk.py
@@ -22,6 +22,7 @@
 
     @property
     def last_index(self) -> int:
+        """The index of the last stored entry; 0: none."""
         return self.entries[-1].index if self.entries else self.snapshot.index if self.snapshot else 0
 
     def stored(self) -> PersistentState:
--- a/loftweir/emulator/result.py
+++ b/loftweir/emulator/result.py
@@ -23,6 +23,7 @@
     overdriven: float = 0.0
 
     def span(self) -> Span:
+        """The counts as plain values."""
         return Span(*astuple(self))
 
 
--- a/loftweir/emulator/walk.py
+++ b/loftweir/emulator/walk.py
@@ -124,6 +124,7 @@
         return entry in self.entries
 
     def with_fingerprint(self) -> SlotState:
+        """This state with its fingerprint computed."""
         stable = self.core._stable_batch
         waiting = tuple((after - stable, number) for after, number in self.waiting)
         return self._replace(fingerprint=hash((self.core.key(), self.hard, self.entries, waiting)))
@@ -174,6 +175,7 @@
     lost: tuple[SlotState, ...] = ()  # slots before their disks were wiped
 
     def key(self) -> int:
+        """States with equal keys are explored once."""
         fingerprints = tuple([slot.fingerprint for slot in self.slots])
         return hash((fingerprints, self.network, self.budget, len(self.committed), self.leaders))
 
--- a/loftweir/standins/toy.py
+++ b/loftweir/standins/toy.py
@@ -61,6 +61,7 @@
             super().handle()
 
     def finish(self) -> None:
+        """Ignores a closed connection, as `handle` does."""
         with suppress(BrokenPipeError, ConnectionResetError):
             super().finish()
 
@@ -90,6 +91,7 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def close(self) -> None:
+        """Stops the server and releases its port."""
         self.server.shutdown()
         self.server.server_close()
 
