--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -1,8 +1,7 @@
-"""The stand-in discovery of the scale runs: the list of `loftweir.standins.toy`, served to a thousand watches.
+"""The stub discovery of the scale runs: it serves the list of `loftweir.standins.toy` to a thousand watches.
 
-The stand-in of `make try` spends a thread on each watch; here all are coroutines of one loop. It answers a watch that
-has something new with the whole list (as that stand-in does) or with the entries that changed: the protocol leaves both
-to discovery.
+The stub of `make try` spends a thread on each watch; here all watches are coroutines of one loop. After a change it
+answers a watch with the whole list (as that stub does) or with the changed entry alone: the protocol allows both.
 """
 
 from __future__ import annotations
@@ -19,31 +18,34 @@
 from loftweir.standins.toy import MAX_WATCH_SECONDS, ProviderList
 
 HEAD_END = b"\r\n\r\n"
-BACKLOG = 4096
-ANSWERED_WITHIN = 30 * SECOND
+BACKLOG = 4096  # connections that may wait to be accepted
+WRITE_TIMEOUT = 30 * SECOND
 ZONES = [f"zone-{n}" for n in range(6)]
 
 
-class Change(NamedTuple):
-    """A command: an entry leaves, or is active again."""
+class EntryChange(NamedTuple):
+    """A command to the stub: sets the status of one entry."""
 
     name: str
     status: str
-    whole: bool  # how watches are told: by the whole list, or by this entry alone
+    whole: bool  # watches get the whole list; otherwise this entry alone
 
 
-class Changed(NamedTuple):
+class ListVersion(NamedTuple):
+    """The answer to a command: the version of the list that has the change."""
+
     version: int
     at: int  # Unix time, ns
-    size: int  # bytes of the answer to a watch
+    size: int  # bytes of the response to a watch
 
 
 def entry_names(count: int) -> list[str]:
+    """The names of the entries of a list of this size."""
     return [f"s-{n:08x}" for n in range(count)]
 
 
 def members(count: int) -> ProviderList:
-    """As many providers, over six zones; nobody listens there."""
+    """A list of providers in six zones; nothing listens at their addresses."""
     listed = ProviderList((name, f"10.{n >> 8}.{n & 255}.18:8081") for n, name in enumerate(entry_names(count)))
     for number, entry in enumerate(listed.entries.values()):
         entry["zone"] = ZONES[number % len(ZONES)]
@@ -51,16 +53,18 @@
 
 
 class Discovery:
+    """Serves the list on a listener, and takes commands from a pipe."""
+
     def __init__(self, loop: Loop, listed: ProviderList, listener: socket.socket, pipe: Pipe) -> None:
         self.loop = loop
         self.listed = listed
         self.listener = listener
         self.pipe = pipe
-        self.waiting: dict[Task, None] = {}  # watches that nothing is new for
-        self.last: Change | None = None
-        self.answers: dict[int, bytes] = {}  # to the present list, by the version that was asked from
+        self.waiting: dict[Task, None] = {}  # watches that have the present version
+        self.last: EntryChange | None = None
+        self.answers: dict[int, bytes] = {}  # responses with the present list, by the version that the watch has
         loop.spawn(self._accept())
-        loop.spawn(self._obey())
+        loop.spawn(self._apply_changes())
 
     def _accept(self) -> Coroutine[None]:
         while True:
@@ -72,43 +76,43 @@
                     break
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                own: list[Task] = []
-                own.append(self.loop.spawn(self._serve(sock, own)))
+                own_task: list[Task] = []
+                own_task.append(self.loop.spawn(self._serve(sock, own_task)))
 
-    def _obey(self) -> Coroutine[None]:
+    def _apply_changes(self) -> Coroutine[None]:
         while True:
             yield Wait(self.pipe, READABLE, None)
-            change: Change = self.pipe.recv()
-            self.listed.set(change.name, change.status)
+            change: EntryChange = self.pipe.recv()
+            self.listed.set_status(change.name, change.status)
             self.last, self.answers = change, {}
             answer = self._answer(self.listed.index - 1)
             at = time.time_ns()
             for task in list(self.waiting):
                 task.wake()
-            self.pipe.send(Changed(self.listed.index, at, len(answer)))
+            self.pipe.send(ListVersion(self.listed.index, at, len(answer)))
 
-    def _serve(self, sock: socket.socket, own: list[Task]) -> Coroutine[None]:
+    def _serve(self, sock: socket.socket, own_task: list[Task]) -> Coroutine[None]:
         data = bytearray()
         try:
             while True:
                 while HEAD_END not in data:
                     yield Wait(sock, READABLE, None)
-                    got = sock.recv(65536)
-                    if not got:
+                    received = sock.recv(65536)
+                    if not received:
                         return
-                    data += got
+                    data += received
                 head, _, rest = bytes(data).partition(HEAD_END)
                 data = bytearray(rest)
                 query = parse_qs(urlsplit(head.split(b" ", 2)[1].decode()).query)
                 after = int(query.get("after", ["-1"])[0])
                 until = self.loop.now() + min(int(query.get("wait_ms", ["0"])[0]) * MS, MAX_WATCH_SECONDS * SECOND)
                 if after == self.listed.index and self.loop.now() < until:
-                    self.waiting[own[0]] = None
+                    self.waiting[own_task[0]] = None
                     ended = yield Wait(sock, HUNG_UP, until)
-                    del self.waiting[own[0]]
+                    del self.waiting[own_task[0]]
                     if ended not in (0, WOKEN):
                         return
-                yield from send(self.loop, sock, [self._answer(after)], self.loop.now() + ANSWERED_WITHIN)
+                yield from send(self.loop, sock, [self._answer(after)], self.loop.now() + WRITE_TIMEOUT)
         except OSError:
             return
         finally:
@@ -129,7 +133,7 @@
 
 
 def serve(listener: socket.socket, entries: int, pipe: Pipe) -> None:
-    """A process of its own: runs until it is killed."""
+    """The body of a process of its own; it runs until it is killed."""
     listener.listen(BACKLOG)
     listener.setblocking(False)
     loop = Loop()
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow sidecars: the program's own follower and discovery client, and where it is wanted its decision core.
+"""Stub sidecars: the program's own observer and discovery client, and on request its balancer.
 
-One process holds many on one loop. When all of them have a change it says so over its pipe, with the time of the last;
-who has not got one can be asked by name.
+One process runs many on one loop. When all of them have a change, it reports this over its pipe, with the times of the
+first and the last. On request it also reports the state of each stub sidecar by name.
 """
 
 from __future__ import annotations
@@ -28,95 +28,110 @@
 from loftweir.settings import JsonValues, settings_and_faults
 from loftweir.telemetry import log
 
-WORD, LIST = "word", "list"  # kinds of changes
+# Kinds of changes.
+OVERRIDE = "word"
+LIST = "list"
 
 
-class Plan(NamedTuple):
-    """What one process of hollow sidecars is to be."""
+class StubPlan(NamedTuple):
+    """What one process of stub sidecars runs."""
 
     names: list[str]
     options: Options
     discovery: str
     settings: dict[str, Any]  # the platform's
-    known: dict[str, Any] | None  # the list that each starts with, and a decision core for each; None: neither
-    far: bool = False  # in the other region
+    known: dict[str, Any] | None  # the list that each starts with, and a balancer for each; None: neither
+    far: bool = False  # they reach the voters by the links of the far region
 
 
-class Reached(NamedTuple):
-    """All hollow sidecars of a process have a change."""
+class ChangeReached(NamedTuple):
+    """All stub sidecars of a process have a change."""
 
     kind: str
-    number: int  # a word's index, a list's version
+    number: int  # an override's index, a list's version
     first_at: int  # Unix time, ns
     last_at: int
 
 
-class Stand(NamedTuple):
-    """How far one of them is."""
+class StubState(NamedTuple):
+    """What one stub sidecar has received."""
 
-    word: int  # the index of the last one that it has
-    version: int  # of the list that it has
-    out: frozenset[str]  # providers that are out by the fleet's word
+    override: int  # the index of its last log entry
+    version: int  # of its endpoint list
+    out: frozenset[str]  # providers that an override disables
 
 
-class Arrivals:
-    """Counts who has which change. Invariant: `count[k]` is the number of those that have `k` or a later one."""
+class ArrivalCounter:
+    """Counts the stub sidecars that have each change.
+
+    Invariant: `count[k]` is the number of those that have change `k` or a later one.
+    """
 
     def __init__(self, kind: str, total: int, pipe: Pipe) -> None:
         self.kind, self.total, self.pipe = kind, total, pipe
         self.count: dict[int, int] = defaultdict(int)
         self.first: dict[int, int] = {}
 
-    def moved(self, before: int, index: int) -> None:
+    def advance(self, before: int, index: int) -> None:
         now = time.time_ns()
         for passed in range(before + 1, index + 1):
             self.count[passed] += 1
             first_at = self.first.setdefault(passed, now)
             if self.count[passed] == self.total:
-                self.pipe.send(Reached(self.kind, passed, first_at, now))
+                self.pipe.send(ChangeReached(self.kind, passed, first_at, now))
 
 
 class NoProviders:
-    """The providers' side of a decision core that is asked for nothing."""
+    """The providers' side of a balancer that gets no requests."""
 
     def begin(self, call: ProviderAttempt) -> None:
-        raise AssertionError("a hollow sidecar serves no calls")
+        raise AssertionError("a stub sidecar serves no requests")
 
     def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
-        """Nobody is connected to."""
+        """Does nothing: there are no connections."""
 
     def close_idle(self, provider: str) -> None:
-        """Nothing rests."""
+        """Does nothing: there are no connections."""
+
 
+class StubSidecar:
+    """One stub sidecar: an observer, a watch on discovery, and perhaps a balancer."""
 
-class Hollow:
-    def __init__(self, loop: Loop, name: str, plan: Plan, settings: Settings, words: Arrivals, lists: Arrivals) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        name: str,
+        plan: StubPlan,
+        settings: Settings,
+        overrides: ArrivalCounter,
+        lists: ArrivalCounter,
+    ) -> None:
         self.loop = loop
-        self.words, self.lists = words, lists
+        self.overrides, self.lists = overrides, lists
         self.index, self.version, self.failures = 0, 0, 0
         self.ask_within = settings.safety.ask_within
         replication = plan.options.replication
         self.follower = Observer(
-            loop, name, secrets.token_hex(8), replication, parse_members(replication.members), self._applied
+            loop, name, secrets.token_hex(8), replication, parse_members(replication.members), self._on_entries
         )
-        self.discovery = Discovery(loop, plan.discovery, plan.options, self._listed)
+        self.discovery = Discovery(loop, plan.discovery, plan.options, self._on_list)
         self.host: Host | None = None
         if plan.known is not None:
             self.host = Host(loop, settings, secrets.randbits(64), NoProviders(), self.discovery)
             update, addresses = read_list(plan.known, UpdateKind.REMEMBERED)
             self.discovery.version = update.version
             self.host.update_list(update, addresses)
-        else:  # the first call as the decision core spreads it
+        else:  # the first fetch is spread as the balancer spreads it
             self._watch_in(random.randrange(self.ask_within // 2))
 
     def _watch_in(self, delay: int) -> None:
         self.loop.after(delay, self.discovery.watch, True)
 
-    def _applied(self) -> None:
+    def _on_entries(self) -> None:
         before, self.index = self.index, self.follower.machine.index
-        self.words.moved(before, self.index)
+        self.overrides.advance(before, self.index)
 
-    def _listed(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
+    def _on_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         if self.host is not None:
             self.host.update_list(update, addresses)
         if update.kind is UpdateKind.FAILED:
@@ -127,27 +142,30 @@
             return
         self.failures = 0
         before, self.version = self.version, update.version
-        self.lists.moved(before, self.version)
+        self.lists.advance(before, self.version)
+
+    def state(self) -> StubState:
+        out = frozenset(name for name, override in self.follower.machine.overrides.items() if override.out)
+        return StubState(self.index, self.version, out)
 
-    def stand(self) -> Stand:
-        out = frozenset(name for name, word in self.follower.machine.overrides.items() if word.out)
-        return Stand(self.index, self.version, out)
 
+def run(plan: StubPlan, pipe: Pipe) -> None:
+    """The body of a process of its own; it runs until it is killed.
 
-def run(plan: Plan, pipe: Pipe) -> None:
-    """A process of its own: runs until it is killed. Any message over the pipe is answered by how all stand."""
+    Any message over the pipe is answered with the states of all stub sidecars.
+    """
     log.LOGGER.setLevel(logging.CRITICAL)
     loop = Loop()
     settings, faults = settings_and_faults(JsonValues(plan.settings))
     assert settings is not None, faults
-    words, lists = (Arrivals(kind, len(plan.names), pipe) for kind in (WORD, LIST))
-    hollows = {name: Hollow(loop, name, plan, settings, words, lists) for name in plan.names}
-    loop.spawn(_answer(pipe, lambda: {name: hollow.stand() for name, hollow in hollows.items()}))
+    overrides, lists = (ArrivalCounter(kind, len(plan.names), pipe) for kind in (OVERRIDE, LIST))
+    stubs = {name: StubSidecar(loop, name, plan, settings, overrides, lists) for name in plan.names}
+    loop.spawn(_answer(pipe, lambda: {name: stub.state() for name, stub in stubs.items()}))
     loop.run()
 
 
-def _answer(pipe: Pipe, stands: Callable[[], dict[str, Stand]]) -> Coroutine[None]:
+def _answer(pipe: Pipe, states: Callable[[], dict[str, StubState]]) -> Coroutine[None]:
     while True:
         yield Wait(pipe, READABLE, None)
         pipe.recv()
-        pipe.send(stands())
+        pipe.send(states())
--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -1,4 +1,4 @@
-"""The raw points of the scale runs: what each process used in a phase of a run, and how long each change took.
+"""The raw points of the scale runs: what each process used in a phase, and how long each change took.
 
 Rows are appended to CSV files, so that several runs make one set of points.
 """
@@ -14,21 +14,22 @@
 from benchmarks.rig import ROOT
 from benchmarks.scale.fleet import Fleet
 from benchmarks.scale.sockets import Counters
-from benchmarks.scale.usage import Between, Sample, between
+from benchmarks.scale.usage import Sample, UsageDifference, usage_difference
 
 FIGURES = ROOT / "docs" / "figures"
-USAGE, TIMES = "scale-usage.csv", "scale-times.csv"
-FOLLOWING = ("hollow", "real")
+USAGE = "scale-usage.csv"
+TIMES = "scale-times.csv"
+OBSERVER_ROLES = ("hollow", "real")
 
 
 @dataclass(frozen=True)
 class UsageRow:
-    """What one process used in one phase."""
+    """What one process used in one phase. The names of the fields are the headings of the CSV file."""
 
-    run: int  # Unix time of its beginning
+    run: int  # Unix time of the run's start, s
     process: str
     phase: str
-    hollow: int
+    hollow: int  # stub sidecars of the fleet
     real: int
     voters: int
     entries: int  # of discovery's list
@@ -38,11 +39,11 @@
     seconds: float
     changes: int
     cpu: float  # seconds
-    follower_bytes_out: int  # of a voter or discovery, to sidecars that do not vote
+    follower_bytes_out: int  # of a voter or discovery, to and from sidecars without a vote
     follower_bytes_in: int
     follower_messages_out: int
     follower_messages_in: int
-    voter_bytes_out: int  # of any, to and from voters
+    voter_bytes_out: int  # of any process, to and from voters
     voter_bytes_in: int
     voter_messages_out: int
     voter_messages_in: int
@@ -53,23 +54,23 @@
     resident: int  # bytes, at the end
     descriptors: int
     load: float  # load average of the machine, one minute
-    available: int  # MB of memory that nobody used
+    available: int  # MB of free memory
 
 
 @dataclass(frozen=True)
 class TimeRow:
-    """How long one change, or one recovery, took; seconds."""
+    """How long one change, or one recovery, took, in s. The names of the fields are the headings of the CSV file."""
 
     run: int
     phase: str
-    hollow: int
+    hollow: int  # stub sidecars of the fleet
     real: int
     voters: int
     number: int
-    size: int  # bytes of discovery's answer; of a recovery: the sidecars that came back, or the words promised
-    accepted: float  # OK to the operator, or discovery has it; of the leader's end: the longest without an OK
+    size: int  # bytes of discovery's response; of a recovery: the restored sidecars, or the acknowledged overrides
+    accepted: float  # until OK, or until discovery has it; of a killed leader: the longest time without an OK
     first: float
-    last: float  # of the hollow sidecars
+    last: float  # of the stub sidecars
     last_real: float
     load: float
     available: int
@@ -79,30 +80,39 @@
 
 
 class Machine(NamedTuple):
-    """How busy the whole machine is: it is shared."""
+    """How busy the whole machine is, which other processes share."""
 
-    load: float
-    available: int  # MB of memory
+    load: float  # load average of one minute
+    available: int  # MB of free memory
 
 
 def machine() -> Machine:
+    """The state of the machine now."""
     text = Path("/proc/meminfo").read_text()
     available = next(int(line.split()[1]) for line in text.splitlines() if line.startswith("MemAvailable:"))
     return Machine(os.getloadavg()[0], available // 1024)
 
 
 def usage_rows(fleet: Fleet, phase: str, first: Sample, last: Sample, changes: int = 0) -> list[UsageRow]:
-    roles, used = fleet.roles(), between(first, last)
-    hollows = {process.pid: len(process.plan.names) for process in fleet.hollows if process.process is not None}
+    """A row for each process that ran through the whole phase."""
+    roles, used = fleet.roles(), usage_difference(first, last)
+    stubs = {process.pid: len(process.plan.names) for process in fleet.stubs if process.process is not None}
     return [
-        _row(fleet, phase, pid, roles, used, last, changes, hollows.get(pid, 1))
+        _row(fleet, phase, pid, roles, used, last, changes, stubs.get(pid, 1))
         for pid in roles
         if pid in last.processes and pid in used.cpu
     ]
 
 
 def _row(
-    fleet: Fleet, phase: str, pid: int, roles: dict[int, str], used: Between, last: Sample, changes: int, sidecars: int
+    fleet: Fleet,
+    phase: str,
+    pid: int,
+    roles: dict[int, str],
+    used: UsageDifference,
+    last: Sample,
+    changes: int,
+    sidecars: int,
 ) -> UsageRow:
     def with_peers(*peers: str) -> Counters:
         total = Counters()
@@ -111,9 +121,9 @@
                 total = total.plus(counters)
         return total
 
-    followers = sum(owner == pid and roles.get(peer) in FOLLOWING for owner, peer, _ in last.connections.values())
+    followers = sum(owner == pid and roles.get(peer) in OBSERVER_ROLES for owner, peer, _ in last.connections.values())
     to_followers, to_voters, to_discovery = (
-        with_peers(*FOLLOWING),
+        with_peers(*OBSERVER_ROLES),
         with_peers("leader", "voter"),
         with_peers("discovery"),
     )
@@ -126,12 +136,13 @@
     )  # fmt: skip
 
 
-def of_run(row: Row, run: str) -> Row:
-    """The same row under a phase that names the run, so that it is no point of the slopes."""
+def under_scenario(row: Row, run: str) -> Row:
+    """The same row with the scenario in the name of its phase, so that the fits leave it out."""
     return replace(row, phase=f"{run}-{row.phase}")
 
 
 def append(rows: list[UsageRow] | list[TimeRow], folder: Path = FIGURES) -> None:
+    """Appends the rows to their CSV file, and writes its heading first if the file is new."""
     if not rows:
         return
     path = folder / (USAGE if isinstance(rows[0], UsageRow) else TIMES)
@@ -144,5 +155,6 @@
 
 
 def read(name: str, folder: Path = FIGURES) -> list[dict[str, str]]:
+    """All rows of a CSV file."""
     with (folder / name).open(encoding="utf-8") as file:
         return list(csv.DictReader(file))
--- a/benchmarks/scale/scenarios.py
+++ b/benchmarks/scale/scenarios.py
@@ -1,4 +1,4 @@
-"""What is played: idle, changes, a mass restart, the leader's end, hollow sidecars beside real ones."""
+"""The scenarios: idle, changes, restarts, partitions, stalls, a killed leader, stub sidecars beside real ones."""
 
 from __future__ import annotations
 
@@ -7,18 +7,27 @@
 import time
 from collections.abc import Callable
 
-from benchmarks.scale.fleet import Failed, Fleet, HollowProcess, Size, Spread
-from benchmarks.scale.hollow import LIST, WORD
+from benchmarks.scale.fleet import ChangeTimes, Fleet, RunFailed, Size, StubProcess
+from benchmarks.scale.hollow import LIST, OVERRIDE
 from benchmarks.scale.points import TimeRow, UsageRow, machine, usage_rows
-from benchmarks.scale.usage import Sample, between, sample
-
-SETTLE = 2.0  # seconds
-IDLE, WORDS, LISTS_WHOLE, LISTS_CHANGES = "idle", "words", "lists-whole", "lists-changes"
-RESTART, LEADER, BESIDE, STALLED, ZONE, REGION = "restart", "leader", "beside", "stalled", "zone", "region"
-KINDS = (WORDS, LISTS_CHANGES, LISTS_WHOLE)
-CHANGES_APART = 0.2
-PEAK_WINDOW = 0.25  # seconds over which a peak of traffic is taken
-WORD_EVERY = 0.05
+from benchmarks.scale.usage import Sample, sample, usage_difference
+
+SETTLE_TIME = 2.0  # s
+# Phases, as the CSV files name them.
+IDLE = "idle"
+OVERRIDES = "words"
+LISTS_WHOLE = "lists-whole"
+LISTS_CHANGES = "lists-changes"
+RESTART = "restart"
+LEADER = "leader"
+BESIDE = "beside"
+STALLED = "stalled"
+ZONE = "zone"
+REGION = "region"
+CHANGE_PHASES = (OVERRIDES, LISTS_CHANGES, LISTS_WHOLE)
+CHANGE_INTERVAL = 0.2  # s between two changes
+PEAK_WINDOW = 0.25  # s over which a peak of traffic is averaged
+OVERRIDE_INTERVAL = 0.05  # s between two overrides of an `OverrideWriter`
 
 Rows = tuple[list[UsageRow], list[TimeRow]]
 
@@ -28,260 +37,270 @@
 
 
 def idle(fleet: Fleet, seconds: float) -> Rows:
-    time.sleep(SETTLE)
+    """Measures a fleet without changes."""
+    time.sleep(SETTLE_TIME)
     first = _sample(fleet)
     time.sleep(seconds)
     return usage_rows(fleet, IDLE, first, _sample(fleet)), []
 
 
 def changes(fleet: Fleet, phase: str, count: int, seconds: float) -> Rows:
-    """So many changes, one after another, or as many as go into the time."""
-    once: dict[str, Callable[[int], Spread]] = {
-        WORDS: lambda number: fleet.word(),
-        LISTS_WHOLE: lambda number: fleet.list_change(number, whole=True),
-        LISTS_CHANGES: lambda number: fleet.list_change(number, whole=False),
+    """Makes changes one after another, up to `count` or until the time is over."""
+    once: dict[str, Callable[[int], ChangeTimes]] = {
+        OVERRIDES: lambda number: fleet.timed_override(),
+        LISTS_WHOLE: lambda number: fleet.timed_list_change(number, whole=True),
+        LISTS_CHANGES: lambda number: fleet.timed_list_change(number, whole=False),
     }
-    kind = WORD if phase == WORDS else LIST
+    kind = OVERRIDE if phase == OVERRIDES else LIST
     until = time.monotonic() + seconds
     first = _sample(fleet)
-    spreads: list[tuple[float, Spread]] = []
-    while len(spreads) < count and time.monotonic() < until:
-        asked_at = time.time()
-        spreads.append((asked_at, once[phase](len(spreads))))
-        time.sleep(CHANGES_APART)
-    usage = usage_rows(fleet, phase, first, _sample(fleet), len(spreads))
-    return usage, [_time_row(fleet, phase, kind, n, at, s) for n, (at, s) in enumerate(spreads)]
+    measured: list[tuple[float, ChangeTimes]] = []
+    while len(measured) < count and time.monotonic() < until:
+        called_at = time.time()
+        measured.append((called_at, once[phase](len(measured))))
+        time.sleep(CHANGE_INTERVAL)
+    usage = usage_rows(fleet, phase, first, _sample(fleet), len(measured))
+    return usage, [_time_row(fleet, phase, kind, n, at, s) for n, (at, s) in enumerate(measured)]
 
 
-def _time_row(fleet: Fleet, phase: str, kind: str, number: int, asked_at: float, spread: Spread) -> TimeRow:
-    at_real = fleet.in_force_at_real(kind, spread.number)
+def _time_row(fleet: Fleet, phase: str, kind: str, number: int, called_at: float, times: ChangeTimes) -> TimeRow:
+    at_real = fleet.received_at_real(kind, times.number)
     lacking = [name for name, at in at_real.items() if at is None]
     if lacking:
-        raise Failed(f"{kind} {spread.number} has not reached {lacking}")
-    last_real = max((at - asked_at for at in at_real.values() if at is not None), default=0.0)
+        raise RunFailed(f"{kind} {times.number} has not reached {lacking}")
+    last_real = max((at - called_at for at in at_real.values() if at is not None), default=0.0)
     size = fleet.size
     return TimeRow(
         fleet.run,
-        phase, size.hollow, size.real, size.voters, number, spread.size, round(spread.accepted, 4),
-        round(spread.first, 4), round(spread.last, 4), round(last_real, 4), *machine(),
+        phase, size.hollow, size.real, size.voters, number, times.size, round(times.accepted, 4),
+        round(times.first, 4), round(times.last, 4), round(last_real, 4), *machine(),
     )  # fmt: skip
 
 
 def _recovery_row(
-    fleet: Fleet, phase: str, size: int, accepted: float, asked_at: float, reached: tuple[float, float]
+    fleet: Fleet, phase: str, size: int, accepted: float, called_at: float, reached: tuple[float, float]
 ) -> TimeRow:
-    """Of hollow sidecars alone: `reached` is when the first and the last of them had all."""
+    """A row of stub sidecars alone: `reached` is when the first and the last of them had every change."""
     fleet_size, (first_at, last_at) = fleet.size, reached
     return TimeRow(
         fleet.run, phase, fleet_size.hollow, fleet_size.real, fleet_size.voters, 0, size, accepted,
-        round(first_at - asked_at, 4), round(last_at - asked_at, 4), 0.0, *machine(),
+        round(first_at - called_at, 4), round(last_at - called_at, 4), 0.0, *machine(),
     )  # fmt: skip
 
 
-class Peaks:
-    """The most bytes that each process sent in `PEAK_WINDOW`, from the beginning to `end`."""
+class PeakRates:
+    """The highest rate at which each process sent, over `PEAK_WINDOW`, until `end`."""
 
     def __init__(self, pids: list[int]) -> None:
         self.pids = pids
-        self.most: dict[int, float] = dict.fromkeys(pids, 0.0)  # bytes a second
-        self.over = threading.Event()
-        self.before = sample(pids)  # here: what follows at once is in the first window
+        self.peaks_by_pid: dict[int, float] = dict.fromkeys(pids, 0.0)  # bytes a second
+        self.stopping = threading.Event()
+        self.before = sample(pids)  # sampled before the thread runs, so that the first window starts now
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def _run(self) -> None:
         before = self.before
-        while not self.over.wait(PEAK_WINDOW):
+        while not self.stopping.wait(PEAK_WINDOW):
             now = sample(self.pids)
-            used = between(before, now)
+            used = usage_difference(before, now)
             for pid in self.pids:
                 sent = sum(c.bytes_out for (owner, _), c in used.traffic.items() if owner == pid)
-                self.most[pid] = max(self.most[pid], sent / used.seconds)
+                self.peaks_by_pid[pid] = max(self.peaks_by_pid[pid], sent / used.seconds)
             before = now
 
     def end(self) -> dict[int, float]:
-        self.over.set()
+        """Stops sampling and returns the peaks by pid, in bytes a second."""
+        self.stopping.set()
         self.thread.join()
-        return self.most
+        return self.peaks_by_pid
 
 
-def restart(fleet: Fleet, restarted: HollowProcess, words: int) -> Rows:
-    """All hollow sidecars of one process end together and come back together, with nothing remembered."""
-    while fleet.words_said < words:
-        fleet.say_word()
-    index = fleet.say_word().number
-    fleet.wait_reached(WORD, index)
+def restart(fleet: Fleet, restarted: StubProcess, overrides: int) -> Rows:
+    """Ends all stub sidecars of one process at once and restarts them at once, without any state."""
+    while fleet.override_count < overrides:
+        fleet.submit_override()
+    index = fleet.submit_override().number
+    fleet.wait_reached(OVERRIDE, index)
     restarted.kill()
-    time.sleep(SETTLE)
+    time.sleep(SETTLE_TIME)
     roles = fleet.roles()
     serving = [pid for pid, role in roles.items() if role in ("leader", "voter", "discovery")]
-    first, peaks = _sample(fleet), Peaks(serving)
-    asked_at = time.time()
+    first, peaks = _sample(fleet), PeakRates(serving)
+    called_at = time.time()
     restarted.start()
-    followed = fleet.wait_reached(WORD, index, among=[restarted])
+    followed = fleet.wait_reached(OVERRIDE, index, among=[restarted])
     listed = fleet.wait_reached(LIST, fleet.members.index, among=[restarted])
-    most = peaks.end()
+    peaks_by_pid = peaks.end()
     usage = usage_rows(fleet, RESTART, first, _sample(fleet))
-    for pid, rate in most.items():
+    for pid, rate in peaks_by_pid.items():
         print(f"restart: {roles[pid]} sent {rate / 1000:.0f} kB/s at the most, over {PEAK_WINDOW} s")
     size = len(restarted.plan.names)
     rows = [
-        _recovery_row(fleet, f"{RESTART}-{WORD}", size, 0.0, asked_at, followed),
-        _recovery_row(fleet, f"{RESTART}-{LIST}", size, 0.0, asked_at, listed),
+        _recovery_row(fleet, f"{RESTART}-{OVERRIDE}", size, 0.0, called_at, followed),
+        _recovery_row(fleet, f"{RESTART}-{LIST}", size, 0.0, called_at, listed),
     ]
     return usage, rows
 
 
-def zone(fleet: Fleet, lost: HollowProcess, words: int) -> Rows:
-    """The hollow sidecars of one process and a voter that does not lead end together; a word is said; all come back,
-    the voter with its files."""
-    while fleet.words_said < words:
-        fleet.say_word()
+def zone(fleet: Fleet, lost: StubProcess, overrides: int) -> Rows:
+    """Loses a zone: the stub sidecars of one process and a voter that does not lead end at once.
+
+    An override is set; then all of them restart, the voter with its files.
+    """
+    while fleet.override_count < overrides:
+        fleet.submit_override()
     voter = next(voter for voter in fleet.voters.values() if voter is not fleet.leader())
-    others = [process for process in fleet.hollows if process is not lost]
-    asked_at = time.time()
+    others = [process for process in fleet.stubs if process is not lost]
+    called_at = time.time()
     voter.kill()
     lost.kill()
-    without = fleet.say_word().number
-    reached = fleet.wait_reached(WORD, without, among=others)
-    rows = [_recovery_row(fleet, f"{ZONE}-others", fleet.size.hollow - len(lost.plan.names), 0.0, asked_at, reached)]
-    time.sleep(SETTLE)
+    without = fleet.submit_override().number
+    reached = fleet.wait_reached(OVERRIDE, without, among=others)
+    rows = [_recovery_row(fleet, f"{ZONE}-others", fleet.size.hollow - len(lost.plan.names), 0.0, called_at, reached)]
+    time.sleep(SETTLE_TIME)
     roles = fleet.roles()
     serving = [pid for pid, role in roles.items() if role in ("leader", "voter", "discovery")]
-    first, peaks = _sample(fleet), Peaks(serving)
-    asked_at = time.time()
+    first, peaks = _sample(fleet), PeakRates(serving)
+    called_at = time.time()
     voter.start()
     lost.start()
-    followed = fleet.wait_reached(WORD, without, among=[lost])
+    followed = fleet.wait_reached(OVERRIDE, without, among=[lost])
     listed = fleet.wait_reached(LIST, fleet.members.index, among=[lost])
-    fleet.wait(lambda: int(voter.stands().get("index", 0)) >= without, f"{voter.name} is behind")
+    fleet.wait(lambda: int(voter.status().get("index", 0)) >= without, f"{voter.name} is behind")
     voted_at = time.time()
     for pid, rate in peaks.end().items():
         print(f"zone: {roles[pid]} sent {rate / 1000:.0f} kB/s at the most, over {PEAK_WINDOW} s")
     size = len(lost.plan.names)
-    for what, times in ((WORD, followed), (LIST, listed), ("voter", (voted_at, voted_at))):
-        rows.append(_recovery_row(fleet, f"{ZONE}-{what}", size, 0.0, asked_at, times))
+    for what, times in ((OVERRIDE, followed), (LIST, listed), ("voter", (voted_at, voted_at))):
+        rows.append(_recovery_row(fleet, f"{ZONE}-{what}", size, 0.0, called_at, times))
     return usage_rows(fleet, ZONE, first, _sample(fleet)), rows
 
 
-def region(fleet: Fleet, words: int, seconds: float) -> Rows:
-    """Two regions are cut off from each other while words are said in the near one, which has a majority; a word in the
-    far one has to be refused. Then they are joined."""
-    near = [process for process in fleet.hollows if not process.plan.far]
-    far = [process for process in fleet.hollows if process.plan.far]
+def region(fleet: Fleet, overrides: int, seconds: float) -> Rows:
+    """Partitions two regions, sets overrides in the near one, which has a majority, and heals the partition.
+
+    The far region has to reject an override.
+    """
+    near = [process for process in fleet.stubs if not process.plan.far]
+    far = [process for process in fleet.stubs if process.plan.far]
     far_voter = fleet.voters[fleet.far_voter]
-    fleet.part_regions()
+    fleet.partition_regions()
     refused_at = time.time()
     answer = far_voter.call("FLEET-DISABLE refused")
     refused_within = time.time() - refused_at
     if "NoMajority" not in answer:
-        raise Failed(f"the far region answered: {answer}")
+        raise RunFailed(f"the far region answered: {answer}")
     rows: list[TimeRow] = []
-    for number in range(words):
-        asked_at = time.time()
-        spread = fleet.word(among=near)
-        rows.append(_time_row(fleet, REGION, WORD, number, asked_at, spread))
-        time.sleep(max(0.0, asked_at + seconds / words - time.time()))
-    age = far_voter.stands().get("age_ms", "-")
+    for number in range(overrides):
+        called_at = time.time()
+        times = fleet.timed_override(among=near)
+        rows.append(_time_row(fleet, REGION, OVERRIDE, number, called_at, times))
+        time.sleep(max(0.0, called_at + seconds / overrides - time.time()))
+    age = far_voter.status().get("age_ms", "-")
     roles = fleet.roles()
     voting = [pid for pid, role in roles.items() if role in ("leader", "voter")]
-    first, peaks = _sample(fleet), Peaks(voting)
-    asked_at = time.time()
-    fleet.join_regions()
-    back = fleet.wait_reached(WORD, spread.number, among=far)
+    first, peaks = _sample(fleet), PeakRates(voting)
+    called_at = time.time()
+    fleet.heal_regions()
+    back = fleet.wait_reached(OVERRIDE, times.number, among=far)
     time.sleep(2 * PEAK_WINDOW)
     for pid, rate in peaks.end().items():
         print(f"joined: {roles[pid]} sent {rate / 1000:.0f} kB/s at the most, over {PEAK_WINDOW} s")
-    outs = [stand.out for process in fleet.hollows for stand in process.stands().values()]
-    lacking = sum(not {f"x{n + 1}" for n in range(fleet.words_said)} <= out for out in outs)
-    if lacking or any("refused" in out for out in outs):
-        raise Failed(f"{lacking} hollow sidecars lack a promised word, or one has the refused one")
+    disabled = [state.out for process in fleet.stubs for state in process.states().values()]
+    lacking = sum(not {f"x{n + 1}" for n in range(fleet.override_count)} <= out for out in disabled)
+    if lacking or any("refused" in out for out in disabled):
+        raise RunFailed(f"{lacking} stub sidecars lack an acknowledged override, or one has the rejected one")
     print(f"the far region refused a word in {refused_within:.2f} s; it knew of {age} ms ago when the regions joined")
     sidecars = sum(len(process.plan.names) for process in far)
-    rows.append(_recovery_row(fleet, f"{REGION}-back", sidecars, round(refused_within, 4), asked_at, back))
+    rows.append(_recovery_row(fleet, f"{REGION}-back", sidecars, round(refused_within, 4), called_at, back))
     return usage_rows(fleet, f"{REGION}-back", first, _sample(fleet)), rows
 
 
-def stalled(fleet: Fleet, stopped: HollowProcess, count: int) -> Rows:
-    """All hollow sidecars of one process stand still, with their connections open, while words are said; then they go
-    on. The times of the words are of all the others."""
-    others = [process for process in fleet.hollows if process is not stopped]
+def stalled(fleet: Fleet, stopped: StubProcess, count: int) -> Rows:
+    """Stops all stub sidecars of one process, with open connections, while overrides are set, and resumes them.
+
+    The times of the overrides are those of all other stub sidecars.
+    """
+    others = [process for process in fleet.stubs if process is not stopped]
     fleet.stop(stopped)
     rows = []
     for number in range(count):
-        asked_at = time.time()
-        spread = fleet.word(among=others)
-        time.sleep(CHANGES_APART)
-        rows.append(_time_row(fleet, STALLED, WORD, number, asked_at, spread))
+        called_at = time.time()
+        times = fleet.timed_override(among=others)
+        time.sleep(CHANGE_INTERVAL)
+        rows.append(_time_row(fleet, STALLED, OVERRIDE, number, called_at, times))
     roles = fleet.roles()
-    first, peaks = _sample(fleet), Peaks([pid for pid, role in roles.items() if role in ("leader", "voter")])
-    asked_at = time.time()
-    fleet.go_on(stopped)
-    back = fleet.wait_reached(WORD, spread.number, among=[stopped])
+    first, peaks = _sample(fleet), PeakRates([pid for pid, role in roles.items() if role in ("leader", "voter")])
+    called_at = time.time()
+    fleet.resume(stopped)
+    back = fleet.wait_reached(OVERRIDE, times.number, among=[stopped])
     time.sleep(2 * PEAK_WINDOW)
-    most = peaks.end()
-    for pid, rate in most.items():
+    peaks_by_pid = peaks.end()
+    for pid, rate in peaks_by_pid.items():
         print(f"back: {roles[pid]} sent {rate / 1000:.0f} kB/s at the most, over {PEAK_WINDOW} s")
-    rows.append(_recovery_row(fleet, f"{STALLED}-back", len(stopped.plan.names), 0.0, asked_at, back))
+    rows.append(_recovery_row(fleet, f"{STALLED}-back", len(stopped.plan.names), 0.0, called_at, back))
     return usage_rows(fleet, f"{STALLED}-back", first, _sample(fleet)), rows
 
 
-class Writer:
-    """Words to the fleet, one after another, by way of a real sidecar that follows; keeps what was promised."""
+class OverrideWriter:
+    """Sets overrides one after another by way of a real sidecar without a vote, and keeps those acknowledged."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.sidecar = next(iter(fleet.followers.values()))
-        self.promised: dict[str, float] = {}  # when each OK came, monotonic
-        self.refused: list[str] = []
-        self.over = threading.Event()
+        self.acknowledged: dict[str, float] = {}  # when each OK arrived, monotonic time in s
+        self.rejected: list[str] = []
+        self.stopping = threading.Event()
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def _run(self) -> None:
         number = 0
-        while not self.over.wait(WORD_EVERY):
+        while not self.stopping.wait(OVERRIDE_INTERVAL):
             number += 1
             name = f"y{number}"
             answer = self.sidecar.call(f"FLEET-DISABLE {name}")
             if answer.startswith("OK "):
-                self.promised[name] = time.monotonic()
+                self.acknowledged[name] = time.monotonic()
             else:
-                self.refused.append(answer)
+                self.rejected.append(answer)
 
     def end(self) -> None:
-        self.over.set()
+        """Stops, after the override that is in flight."""
+        self.stopping.set()
         self.thread.join()
 
     def longest_gap(self) -> float:
-        times = list(self.promised.values())
+        """The longest time between two OKs, in s."""
+        times = list(self.acknowledged.values())
         return max((later - earlier for earlier, later in zip(times, times[1:], strict=False)), default=0.0)
 
 
 def leader_killed(fleet: Fleet, seconds: float) -> Rows:
-    """SIGKILL to the leader while words are said; nothing that was promised may be missing at any sidecar."""
-    writer = Writer(fleet)
+    """Kills the leader while overrides are set; no sidecar may lack an acknowledged override."""
+    writer = OverrideWriter(fleet)
     time.sleep(seconds / 2)
     killed = fleet.kill_leader()
     time.sleep(seconds / 2)
     writer.end()
-    asked_at = time.time()
-    said = fleet.say_word()
-    first, last = fleet.wait_reached(WORD, said.number)
-    stands = {name: stand for process in fleet.hollows for name, stand in process.stands().items()}
-    lost = {name for name, stand in stands.items() if writer.promised.keys() - stand.out}
+    called_at = time.time()
+    last_override = fleet.submit_override()
+    first, last = fleet.wait_reached(OVERRIDE, last_override.number)
+    states = {name: state for process in fleet.stubs for name, state in process.states().items()}
+    lost = {name for name, state in states.items() if writer.acknowledged.keys() - state.out}
     if lost:
-        raise Failed(f"promised words are missing at {len(lost)} hollow sidecars")
+        raise RunFailed(f"acknowledged overrides are missing at {len(lost)} stub sidecars")
     print(
-        f"leader {killed.name} killed: {len(writer.promised)} words promised, {len(writer.refused)} refused, none "
-        f"of the promised missing at {len(stands)} hollow sidecars; longest without an OK {writer.longest_gap():.2f} s"
+        f"leader {killed.name} killed: {len(writer.acknowledged)} words promised, {len(writer.rejected)} refused, none "
+        f"of the promised missing at {len(states)} hollow sidecars; longest without an OK {writer.longest_gap():.2f} s"
     )
     gap = round(writer.longest_gap(), 4)
-    row = _recovery_row(fleet, LEADER, len(writer.promised), gap, asked_at, (first, last))
+    row = _recovery_row(fleet, LEADER, len(writer.acknowledged), gap, called_at, (first, last))
     return [], [row]
 
 
-def shown(rows: list[TimeRow]) -> str:
-    """Median and worst of a phase's changes."""
+def summary(rows: list[TimeRow]) -> str:
+    """Median and worst time of a phase's changes, as a line of text."""
     if not rows:
         return ""
     lasts, reals = sorted(r.last for r in rows), sorted(r.last_real for r in rows)
@@ -292,15 +311,15 @@
     )
 
 
-def of_phases(size: Size, phases: tuple[str, ...], count: int, idle_for: float, changes_for: float) -> Rows:
-    """One fleet through idle and kinds of changes."""
+def run_phases(size: Size, phases: tuple[str, ...], count: int, idle_for: float, changes_for: float) -> Rows:
+    """Takes one fleet through idle and the phases of changes."""
     times: list[TimeRow] = []
     with Fleet(size) as fleet:
-        fleet.begin()
+        fleet.start()
         usage, _ = idle(fleet, idle_for)
         for phase in phases:
             phase_usage, phase_times = changes(fleet, phase, count, changes_for)
-            print(shown(phase_times), flush=True)
+            print(summary(phase_times), flush=True)
             usage += phase_usage
             times += phase_times
     return usage, times
