--- a/benchmarks/chart.py
+++ b/benchmarks/chart.py
@@ -1,4 +1,4 @@
-"""The chart of docs/data-path.md, from the figures kept beside it.
+"""Draws the chart of docs/data-path.md from docs/figures/data-path.csv.
 
 python -m benchmarks.chart        (needs matplotlib)
 """
@@ -16,6 +16,7 @@
 from benchmarks.rig import ROOT  # noqa: E402
 
 FIGURES = ROOT / "docs" / "figures"
+# The labels of the axes of each chart.
 AXES = {
     "goodput": ("offered load, times the capacity", "answered in time, requests/s"),
     "idle": ("silent connections", "resident memory, MB"),
@@ -23,6 +24,7 @@
 
 
 def main() -> None:
+    """Writes docs/figures/data-path.png."""
     rows: dict[str, dict[str, list[tuple[float, float]]]] = defaultdict(lambda: defaultdict(list))
     with (FIGURES / "data-path.csv").open(encoding="utf-8") as file:
         for row in csv.DictReader(file):
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -1,8 +1,8 @@
-"""What the log costs: requests a second on one core, and the slowest answer, with each way to log.
+"""The cost of logging: requests a second on one core, and the slowest response, for each configuration of the log.
 
     python -m benchmarks.log_cost [--seconds 5] [--rounds 3]
 
-`stuck`: the access line is on and nobody reads the pipe that it goes to.
+`stuck`: access logging is on, and nothing reads the pipe that the log is written to.
 """
 
 from __future__ import annotations
@@ -12,9 +12,10 @@
 import statistics
 import subprocess
 
-from benchmarks.rig import Load, cores, offer, program, providers
+from benchmarks.rig import Load, cores, program, providers, run_loads
 
-WAYS = {
+# By name: the operator's file, and where the log goes.
+LOGGING = {
     "nothing said": ('[log]\nlevel = "error"\n', "null"),
     "info": ("", "null"),
     "access sampled 1%": ('[log]\naccess = "sampled"\n', "null"),
@@ -25,23 +26,24 @@
 
 
 def main() -> None:
+    """Runs all configurations in turn and prints the medians."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=5)
     parser.add_argument("--rounds", type=int, default=3)
-    words = parser.parse_args()
-    on = cores()
-    rates: dict[str, list[tuple[float, float]]] = {name: [] for name in WAYS}
-    with providers(2, on[1:3]) as members:
-        for _ in range(words.rounds):
-            for name, (operator, where) in WAYS.items():
+    arguments = parser.parse_args()
+    core_ids = cores()
+    rates: dict[str, list[tuple[float, float]]] = {name: [] for name in LOGGING}
+    with providers(2, core_ids[1:3]) as members:
+        for _ in range(arguments.rounds):
+            for name, (operator, where) in LOGGING.items():
                 reads, writes = os.pipe()
                 stderr = writes if where == "stuck" else subprocess.DEVNULL
-                with program(members, on[:1], operator=operator, stderr=stderr) as running:
-                    seen = offer([Load(running.address, 8, words.seconds) for _ in range(2)], on[3:])
+                with program(members, core_ids[:1], operator=operator, stderr=stderr) as running:
+                    seen = run_loads([Load(running.address, 8, arguments.seconds) for _ in range(2)], core_ids[3:])
                 os.close(reads)
                 os.close(writes)
                 times = [t for s in seen for status, t in s.times if status == 200]
-                rates[name].append((len(times) / words.seconds, max(times) * 1000))
+                rates[name].append((len(times) / arguments.seconds, max(times) * 1000))
     for name, runs in rates.items():
         rate, slowest = (statistics.median(column) for column in zip(*runs, strict=True))
         print(f"{name:20} {rate:7.0f} requests/s, slowest answer {slowest:6.1f} ms")
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,8 +1,8 @@
-"""A bare relay to measure beside: asyncio and httptools, no decisions, no limits, one request at a time a connection.
+"""A minimal relay as a baseline: asyncio and httptools, no decisions, no limits, no pipelining.
 
     python -m benchmarks.relay LISTEN PROVIDER [PROVIDER ...]
 
-It parses what comes, opens or reuses a connection to the next provider in turn, and passes head and body on.
+It parses each request, opens or reuses a connection to the next provider in turn, and forwards head and body.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 import httptools
 
 
-class Back(asyncio.Protocol):
-    """A connection to a provider; `front` is whom its next answer is for."""
+class ProviderConnection(asyncio.Protocol):
+    """A connection to a provider; `client` is the connection that gets its next response."""
 
-    def __init__(self, pool: deque[Back]) -> None:
+    def __init__(self, pool: deque[ProviderConnection]) -> None:
         self.pool = pool
-        self.front: Front | None = None
+        self.client: ClientConnection | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
 
@@ -36,21 +36,21 @@
         self.parser.feed_data(data)
 
     def on_message_complete(self) -> None:
-        front, self.front = self.front, None
-        answer = b"".join(self.parts)
-        self.begin()
+        client, self.client = self.client, None
+        response = b"".join(self.parts)
+        self.reset()
         self.pool.append(self)
-        if front is not None:
-            front.transport.write(answer)
+        if client is not None:
+            client.transport.write(response)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self in self.pool:
             self.pool.remove(self)
-        if self.front is not None:
-            self.front.transport.close()
+        if self.client is not None:
+            self.client.transport.close()
 
 
-class Front(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection."""
 
     def __init__(self, next_pool: Any) -> None:
@@ -58,9 +58,9 @@
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
         self.headers: list[bytes] = []
         self.body: list[bytes] = []
@@ -88,23 +88,28 @@
                 self.send(pool.popleft(), message)
             else:
                 asyncio.ensure_future(self.connect(address, pool, message))
-        self.begin()
+        self.reset()
 
-    async def connect(self, address: str, pool: deque[Back], message: bytes) -> None:
+    async def connect(self, address: str, pool: deque[ProviderConnection], message: bytes) -> None:
         host, port = address.split(":")
-        _, back = await asyncio.get_running_loop().create_connection(lambda: Back(pool), host, int(port))
-        self.send(back, message)
+        _, connection = await asyncio.get_running_loop().create_connection(
+            lambda: ProviderConnection(pool), host, int(port)
+        )
+        self.send(connection, message)
 
-    def send(self, back: Back, message: bytes) -> None:
-        back.front = self
-        back.transport.write(message)
+    def send(self, connection: ProviderConnection, message: bytes) -> None:
+        connection.client = self
+        connection.transport.write(message)
 
 
 async def main(listen: str, providers: list[str]) -> None:
-    pools = {address: deque[Back]() for address in providers}
+    """Serves until it is killed."""
+    pools = {address: deque[ProviderConnection]() for address in providers}
     turns = cycle(pools.items())
     host, port = listen.split(":")
-    server = await asyncio.get_running_loop().create_server(lambda: Front(lambda: next(turns)), host, int(port))
+    server = await asyncio.get_running_loop().create_server(
+        lambda: ClientConnection(lambda: next(turns)), host, int(port)
+    )
     await server.serve_forever()
 
 
--- a/benchmarks/replication_news.py
+++ b/benchmarks/replication_news.py
@@ -1,7 +1,9 @@
-"""How long after OK two hundred followers of one voter have the news: `python -m benchmarks.replication_news`.
+"""How long after its OK two hundred observers of one voter receive an override.
 
-Three real voters on the loopback; the followers are connections of this process, which also makes the call. Prints for
-each kind of voter (the leader, another) the time to the first and to the last follower, over several words.
+    python -m benchmarks.replication_news
+
+Three real voters run on loopback; the observers are connections of this process, which also sends the command. Prints,
+for the leader and for another voter, the time until the last observer has it, over several overrides.
 """
 
 from __future__ import annotations
@@ -17,10 +19,13 @@
 
 from loftweir.replication import wire  # noqa: E402
 
-FOLLOWERS, WORDS = 200, 20
+FOLLOWERS = 200  # observers of one voter
+OVERRIDES = 20
+
 
+class NotificationBench(FleetScene):
+    """Three voters and the measurement on them."""
 
-class News(FleetScene):
     keys = {"callers": FOLLOWERS + 8}
 
     def runTest(self):
@@ -30,7 +35,8 @@
         for voter in (leader, next(n for n in self.seats if n != leader)):
             self.measure(voter, "the leader" if voter == leader else "another voter")
 
-    def measure(self, voter, which):
+    def measure(self, voter, label):
+        """Measures with all observers at one voter."""
         host, port = self.seats[voter].split(":")
         socks = {socket.create_connection((host, int(port))): wire.FrameReader() for _ in range(FOLLOWERS)}
         for sock in socks:
@@ -40,7 +46,7 @@
         for sock in socks:
             sock.recv(4096)
         firsts, lasts, calls = [], [], []
-        for n in range(WORDS):
+        for n in range(OVERRIDES):
             index = int(self.sidecars[voter].stands()["index"])
             for sock in socks:
                 sock.sendall(wire.encode_frame(wire.FollowRequest(index, 30 * 10**9)))
@@ -48,27 +54,27 @@
             called_at = time.monotonic()
             assert self.sidecars["n0"].call(f"FLEET-DISABLE x{n}").startswith("OK")
             ok_at = time.monotonic()
-            told, left = [], set(socks)
+            received, left = [], set(socks)
             while left:
                 for sock in select.select(list(left), [], [], 5)[0]:
                     socks[sock].feed(sock.recv(65536))
                     if isinstance(socks[sock].next(), wire.FollowResponse):
-                        told.append(time.monotonic() - ok_at)
+                        received.append(time.monotonic() - ok_at)
                         left.remove(sock)
             calls.append(ok_at - called_at)
-            firsts.append(told[0])
-            lasts.append(told[-1])
+            firsts.append(received[0])
+            lasts.append(received[-1])
         for sock in socks:
             sock.close()
-        middle = WORDS // 2
+        middle = OVERRIDES // 2
         print(
-            f"{which}: OK after {sorted(calls)[middle] * 1000:.1f} ms median, {max(calls) * 1000:.1f} worst; from OK "
+            f"{label}: OK after {sorted(calls)[middle] * 1000:.1f} ms median, {max(calls) * 1000:.1f} worst; from OK "
             f"to the last of {FOLLOWERS} {sorted(lasts)[middle] * 1000:.1f} ms median, {max(lasts) * 1000:.1f} worst"
         )
 
 
 if __name__ == "__main__":
-    case = News()
+    case = NotificationBench()
     result = case.run()
     for _, text in [*result.errors, *result.failures]:
         print(text)
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.restart [--runs 20]
 
-Each run is the scene of `tests/test_mass_restart.py`; the time is from the first start to the moment the last of the
-five serves from its snapshot. Median and worst are printed.
+Each run is the test of `tests/test_mass_restart.py`; the time is from the first start until the last of the five serves
+from its snapshot. Median and worst are printed.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 
 
 def main() -> None:
+    """Runs the test repeatedly and prints the times."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--runs", type=int, default=20)
     runs = parser.parse_args().runs
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,4 +1,4 @@
-"""What the measurements share: the program pinned to a core, stand-in providers and clients in other processes.
+"""What the benchmarks share: the program pinned to a core, stub providers and load clients in other processes.
 
 Everything is on loopback. Providers and clients speak just enough HTTP/1.1, on raw sockets, to cost little beside the
 program measured; they are pinned to the other cores.
@@ -26,28 +26,31 @@
 
 ROOT = Path(__file__).parent.parent
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
-END = b"\r\n\r\n"
-TICKS = os.sysconf("SC_CLK_TCK")
+HEAD_END = b"\r\n\r\n"
+TICKS = os.sysconf("SC_CLK_TCK")  # ticks a second of the CPU times in /proc
 
 
 def cores() -> list[int]:
+    """The cores that this process may use."""
     return sorted(os.sched_getaffinity(0))
 
 
 def listener(backlog: int = 4096) -> socket.socket:
+    """A non-blocking listening socket on a free port of loopback."""
     sock = socket.create_server(("127.0.0.1", 0), backlog=backlog)
     sock.setblocking(False)
     return sock
 
 
 def address_of(sock: socket.socket) -> str:
+    """The local address as `host:port`."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
-def serve(sock: socket.socket, on: list[int], delay: float) -> None:
-    """A provider: every whole head gets the same answer, `delay` seconds later."""
-    os.sched_setaffinity(0, on)
+def serve(sock: socket.socket, core_ids: list[int], delay: float) -> None:
+    """Runs a stub provider: every complete head gets the same response after `delay` seconds."""
+    os.sched_setaffinity(0, core_ids)
     poll = select.epoll()
     poll.register(sock.fileno(), select.EPOLLIN)
     connections: dict[int, tuple[socket.socket, bytearray]] = {}
@@ -64,15 +67,15 @@
                 continue
             connection, data = connections[fd]
             try:
-                got = connection.recv(65536)
+                received = connection.recv(65536)
             except OSError:
-                got = b""
-            if not got:
+                received = b""
+            if not received:
                 del connections[fd]
                 connection.close()
                 continue
-            data += got
-            if data.endswith(END):
+            data += received
+            if data.endswith(HEAD_END):
                 del data[:]
                 if delay:
                     due.append((time.monotonic() + delay, fd))
@@ -86,6 +89,7 @@
 
 
 def request(number: int, deadline_ms: int = 2000) -> bytes:
+    """The bytes of one request."""
     return (
         f"GET /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {number:016x}\r\nReq-Kind: status-read\r\n"
         f"Req-Deadline-Ms: {deadline_ms}\r\nUser-Agent: bench\r\nAccept: */*\r\n\r\n"
@@ -93,7 +97,7 @@
 
 
 class Load(NamedTuple):
-    """What one client process does. `rate` 0: each connection asks again as soon as it is answered."""
+    """The load of one client process. With `rate` 0 (closed loop) each connection sends again after each response."""
 
     address: str
     connections: int
@@ -102,16 +106,16 @@
     deadline_ms: int = 2000
 
 
-class Seen(NamedTuple):
-    """What one client process saw: seconds of each answer by its status, 0 where none came in time."""
+class LoadResult(NamedTuple):
+    """What one client process measured."""
 
-    times: list[tuple[int, float]]
-    offered: int
-    late: float  # the most that the client itself was behind its schedule, s
+    times: list[tuple[int, float]]  # status of each response (0: none in time) and its time in s
+    offered: int  # requests
+    late: float  # the longest time by which the client itself missed its schedule, s
 
 
-def ask(load: Load, number: int, on: list[int], start_at: float, out: Any) -> None:
-    os.sched_setaffinity(0, on)
+def run_client(load: Load, number: int, core_ids: list[int], start_at: float, out: Any) -> None:
+    os.sched_setaffinity(0, core_ids)
     host, port = load.address.split(":")
     poll = select.epoll()
     idle: list[socket.socket] = []
@@ -128,9 +132,9 @@
     for _ in range(load.connections):
         connect()
     began: dict[int, float] = {}
-    got: dict[int, bytearray] = {}
+    received: dict[int, bytearray] = {}
     times: list[tuple[int, float]] = []
-    waiting: list[float] = []  # scheduled and not sent: no connection was free
+    waiting: list[float] = []  # scheduled and not sent, as no connection was free
     sent, late = 0, 0.0
     while time.monotonic() < start_at:
         time.sleep(0.001)
@@ -139,7 +143,7 @@
     def send(sock: socket.socket, since: float) -> None:
         nonlocal sent
         began[sock.fileno()] = since
-        got[sock.fileno()] = bytearray()
+        received[sock.fileno()] = bytearray()
         sock.send(request((number << 32) + sent, load.deadline_ms))
         sent += 1
 
@@ -175,9 +179,9 @@
                     times.append((0, time.monotonic() - began.pop(fd)))
                 connect()
                 continue
-            buffer = got.setdefault(fd, bytearray())
+            buffer = received.setdefault(fd, bytearray())
             buffer += data
-            head = buffer.find(END)
+            head = buffer.find(HEAD_END)
             if head < 0 or fd not in began:
                 continue
             length = int(buffer[: head + 2].lower().partition(b"content-length: ")[2].split(b"\r", 1)[0])
@@ -186,17 +190,17 @@
             times.append((int(buffer[9:12]), time.monotonic() - began.pop(fd)))
             if b"connection: close" not in buffer[:head].lower():
                 idle.append(sock)
-    if load.rate:  # a closed loop ends in the middle of an exchange, which is no loss
+    if load.rate:  # a closed loop ends during exchanges, which are not lost requests
         times += [(0, 0.0)] * (len(began) + len(waiting))
-    out.put(Seen(times, max(sent, scheduled), late))
+    out.put(LoadResult(times, max(sent, scheduled), late))
 
 
-def offer(loads: list[Load], on: list[int], lead: float = 0.5) -> list[Seen]:
-    """Runs the loads in a process each, all at once, on the cores given."""
+def run_loads(loads: list[Load], core_ids: list[int], lead: float = 0.5) -> list[LoadResult]:
+    """Runs each load in a process of its own, all at once, on the given cores."""
     queue: Any = multiprocessing.Queue()
     start_at = time.monotonic() + lead
     processes = [
-        multiprocessing.Process(target=ask, args=(load, n, [on[n % len(on)]], start_at, queue))
+        multiprocessing.Process(target=run_client, args=(load, n, [core_ids[n % len(core_ids)]], start_at, queue))
         for n, load in enumerate(loads)
     ]
     for process in processes:
@@ -208,34 +212,35 @@
 
 
 def quantile(values: list[float], q: float) -> float:
+    """The quantile `q`, from 0 to 1; NaN if there are no values."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * q))] if ordered else float("nan")
 
 
 class Program(NamedTuple):
-    """The program under measurement, and where it listens."""
+    """The program being measured, and its address."""
 
     process: subprocess.Popen[bytes]
     address: str
     started_in: float  # seconds to its first 200 on /_health
 
     def status(self, field: str) -> int:
-        """A figure of /proc/PID/status, as VmRSS (kB)."""
+        """A number in /proc/PID/status, such as VmRSS (kB)."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(next(line for line in text.splitlines() if line.startswith(f"{field}:")).split()[1])
 
     def cpu(self) -> float:
-        """Seconds of CPU taken so far."""
+        """Seconds of CPU time so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 @contextmanager
-def providers(number: int, on: list[int], delay: float = 0.0) -> Iterator[ProviderList]:
-    """Stand-in providers, a process each, and the list that names them."""
+def providers(number: int, core_ids: list[int], delay: float = 0.0) -> Iterator[ProviderList]:
+    """Stub providers, each in a process of its own, and the list that names them."""
     socks = [listener() for _ in range(number)]
     processes = [
-        multiprocessing.Process(target=serve, args=(sock, [on[n % len(on)]], delay), daemon=True)
+        multiprocessing.Process(target=serve, args=(sock, [core_ids[n % len(core_ids)]], delay), daemon=True)
         for n, sock in enumerate(socks)
     ]
     for process in processes:
@@ -253,14 +258,17 @@
 @contextmanager
 def program(
     members: ProviderList,
-    on: list[int],
+    core_ids: list[int],
     tree: Path = ROOT,
     operator: str = "",
     stderr: int = subprocess.DEVNULL,
     limits: dict[str, Any] | None = None,
     before: Callable[[], None] | None = None,
 ) -> Iterator[Program]:
-    """One sidecar of the checkout `tree`, pinned to the cores given. Discovery is not there: the list is `known`."""
+    """Runs one sidecar of the checkout `tree` on the given cores.
+
+    Nothing listens at the address of discovery; the list is in `known`.
+    """
     with tempfile.TemporaryDirectory() as folder:
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = address_of(free)
@@ -283,7 +291,7 @@
             environment["LOFTWEIR_OPERATOR"] = str(Path(folder, "loftweir.toml"))
 
         def pinned() -> None:
-            os.sched_setaffinity(0, on)
+            os.sched_setaffinity(0, core_ids)
             if before is not None:
                 before()
 
@@ -292,13 +300,14 @@
             [sys.executable, "-m", "loftweir"], env=environment, cwd=folder, stderr=stderr, preexec_fn=pinned
         )
         try:
-            yield Program(process, address, ready(process, address) - began)
+            yield Program(process, address, wait_until_ready(process, address) - began)
         finally:
             process.send_signal(signal.SIGKILL)
             process.wait()
 
 
-def ready(process: subprocess.Popen[bytes], address: str) -> float:
+def wait_until_ready(process: subprocess.Popen[bytes], address: str) -> float:
+    """Waits for a 200 on /_health and returns the monotonic time."""
     host, port = address.split(":")
     until = time.monotonic() + 20
     while time.monotonic() < until and process.poll() is None:
@@ -311,4 +320,4 @@
             time.sleep(0.002)
         finally:
             client.close()
-    raise RuntimeError("the program did not get ready")
+    raise RuntimeError("the program did not become ready in time")
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -15,17 +15,18 @@
 
 
 def main() -> None:
+    """Starts the checkouts in turn and prints the medians."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--other", type=Path, help="another checkout to start in turn with this one")
     parser.add_argument("--runs", type=int, default=9)
-    words = parser.parse_args()
-    trees = [ROOT, *([words.other.resolve()] if words.other else [])]
+    arguments = parser.parse_args()
+    trees = [ROOT, *([arguments.other.resolve()] if arguments.other else [])]
     seen: dict[Path, list[tuple[float, float]]] = {tree: [] for tree in trees}
-    on = cores()
-    with providers(2, on[2:]) as members:
-        for _ in range(words.runs):
+    core_ids = cores()
+    with providers(2, core_ids[2:]) as members:
+        for _ in range(arguments.runs):
             for tree in trees:
-                with program(members, on[:1], tree) as running:
+                with program(members, core_ids[:1], tree) as running:
                     seen[tree].append((running.started_in * 1000, running.status("VmRSS") / 1024))
     for tree, runs in seen.items():
         started, memory = (statistics.median(column) for column in zip(*runs, strict=True))
