--- a/examples/two-sites/run.py
+++ b/examples/two-sites/run.py
@@ -1,8 +1,8 @@
-"""Two sites of three sidecars each, that offer each other a service under terms; and the terms at work.
+"""Runs two sites of three sidecars each, which offer each other a service under terms, and shows the terms at work.
 
     .venv/bin/python examples/two-sites/run.py
 
-All of it is on free ports of loopback, takes some ten seconds, and has ended when this ends.
+All processes listen on free ports of loopback and end with this script, after some ten seconds.
 """
 
 import http.client
@@ -21,8 +21,9 @@
 
 from loftweir.standins.toy import ProviderList, platform_config, start_discovery, start_provider  # noqa: E402
 
-LONGEST = 90  # seconds for all of it, on a machine that is busy
-OPERATOR = """
+TIMEOUT = 90  # s for the whole example, on a busy machine
+# The operator's file of a sidecar.
+OPERATOR_FILE = """
 [replication]
 members = "{members}"
 folder = "{folder}/copies"
@@ -40,7 +41,8 @@
 gone = "4s"
 lease = "2s"
 """
-PARTNERS = """
+# The partners' file of a site.
+PARTNERS_FILE = """
 [[neighbours]]
 name = "{other}"
 addresses = {addresses}
@@ -54,21 +56,21 @@
 """
 
 
-GIVEN = set()
+USED_ADDRESSES = set()  # those that `free_address` has returned
 
 
-def free():
-    """An address that nobody has, and that was not given before."""
+def free_address():
+    """An unused address that was not returned before."""
     while True:
         with socket.create_server(("127.0.0.1", 0)) as sock:
             address = "{}:{}".format(*sock.getsockname())
-        if address not in GIVEN:
-            GIVEN.add(address)
+        if address not in USED_ADDRESSES:
+            USED_ADDRESSES.add(address)
             return address
 
 
 class Site:
-    """One site: a provider, a discovery, and three sidecars that vote on what it keeps."""
+    """One site: a provider, a stub discovery, and three sidecars that are the voters of its cluster."""
 
     def __init__(self, name, folder):
         self.name, self.folder = name, folder / name
@@ -77,14 +79,17 @@
         self.members = ProviderList([(f"{name}-1", self.provider.address)])
         self.discovery = start_discovery(self.members)
         names = [f"{name}-n{n}" for n in range(3)]
-        self.listens, self.desks, self.copies, self.offers = ({n: free() for n in names} for _ in range(4))
+        self.listen_addresses = {n: free_address() for n in names}
+        self.operator_addresses = {n: free_address() for n in names}
+        self.member_addresses = {n: free_address() for n in names}
+        self.offer_addresses = {n: free_address() for n in names}
         self.programs = {}
         self.partners = self.folder / "partners.toml"
 
     def allow(self, other, use):
-        """What this site's operators say of its route: who may use it."""
-        text = PARTNERS.format(
-            other=other.name, addresses=json.dumps(list(other.offers.values())), provider=f"{self.name}-1",
+        """Writes the partners' file, with the terms that say who may use this site's route, and reloads it."""
+        text = PARTNERS_FILE.format(
+            other=other.name, addresses=json.dumps(list(other.offer_addresses.values())), provider=f"{self.name}-1",
             at=self.provider.address, use=use,
         )  # fmt: skip
         self.partners.write_text(text, encoding="utf-8")
@@ -92,28 +97,34 @@
             program.send_signal(signal.SIGHUP)
 
     def start(self):
-        members = ", ".join(f"{n}={address}" for n, address in self.copies.items())
-        for name, listen in self.listens.items():
+        """Starts the three sidecars."""
+        members = ", ".join(f"{n}={address}" for n, address in self.member_addresses.items())
+        for name, listen in self.listen_addresses.items():
             folder = self.folder / name
             (folder / "tmp").mkdir(parents=True)
             config = platform_config(listen, self.members, self.discovery.address) | {"name": name}
-            config["operator"] = self.desks[name]
+            config["operator"] = self.operator_addresses[name]
             (folder / "config.json").write_text(json.dumps(config), encoding="utf-8")
-            text = OPERATOR.format(
-                members=members, folder=folder, site=self.name, partners=self.partners, offers=self.offers[name]
+            text = OPERATOR_FILE.format(
+                members=members,
+                folder=folder,
+                site=self.name,
+                partners=self.partners,
+                offers=self.offer_addresses[name],
             )
             (folder / "loftweir.toml").write_text(text, encoding="utf-8")
-            told = {
+            environment = {
                 "RELAY_CONFIG": str(folder / "config.json"),
                 "LOFTWEIR_OPERATOR": str(folder / "loftweir.toml"),
                 "TMPDIR": str(folder / "tmp"),
                 "PYTHONPATH": str(ROOT),
             }
             with (folder / "log").open("wb") as log:
-                words = [sys.executable, "-m", "loftweir"]
-                self.programs[name] = subprocess.Popen(words, env=os.environ | told, stderr=log, cwd=folder)
+                command = [sys.executable, "-m", "loftweir"]
+                self.programs[name] = subprocess.Popen(command, env=os.environ | environment, stderr=log, cwd=folder)
 
     def end(self):
+        """Stops all processes of the site."""
         for program in self.programs.values():
             program.terminate()
         for program in self.programs.values():
@@ -122,12 +133,12 @@
             except subprocess.TimeoutExpired:
                 program.kill()
                 program.wait()
-        for toy in (self.provider, self.discovery):
-            toy.close()
+        for server in (self.provider, self.discovery):
+            server.close()
 
-    def say(self, line, number=0):
-        """One line to a sidecar's operators' address, and its answer."""
-        host, port = list(self.desks.values())[number].split(":")
+    def operator_command(self, line, number=0):
+        """Sends one command to a sidecar's operators' address and returns the response; empty: none."""
+        host, port = list(self.operator_addresses.values())[number].split(":")
         try:
             with socket.create_connection((host, int(port)), timeout=2) as sock:
                 sock.sendall(f"{line}\n".encode())
@@ -135,68 +146,73 @@
         except OSError:
             return ""
 
-    def ask(self, number=0):
-        """One request through a sidecar: who served it, or the status."""
-        host, port = list(self.listens.values())[number].split(":")
+    def request(self, number=0):
+        """Sends one request through a sidecar and returns the provider's name, or the status if it is not 200."""
+        host, port = list(self.listen_addresses.values())[number].split(":")
         client = http.client.HTTPConnection(host, int(port), timeout=5)
         try:
             head = {"Req-Id": os.urandom(8).hex(), "Req-Kind": "status-read", "Req-Deadline-Ms": "500"}
             client.request("GET", "/api", headers=head)
             answer = client.getresponse()
-            words = answer.read().decode()
-            return words.split()[0] if answer.status == 200 else str(answer.status)
+            body = answer.read().decode()
+            return body.split()[0] if answer.status == 200 else str(answer.status)
         except OSError:
             return "0"
         finally:
             client.close()
 
 
-def until(what, check):
-    """Waits for something, and says how long it took."""
+def wait_until(what, check):
+    """Polls until the check is true, and prints how long it took."""
     began = time.monotonic()
     while not check():
         time.sleep(0.05)
     print(f"{what}: after {time.monotonic() - began:.1f} s", flush=True)
 
 
-def play(oslo, bergen):
+def run_example(oslo, bergen):
+    """Takes the provider of one site away, and changes the terms of the other."""
+
     def knows(n):
-        return oslo.say("READY", n) == "OK" and "partners=bergen:fresh" in oslo.say("ROUTES", n)
+        is_ready = oslo.operator_command("READY", n) == "OK"
+        return is_ready and "partners=bergen:fresh" in oslo.operator_command("ROUTES", n)
 
-    until("oslo's three sidecars know what bergen offers", lambda: all(map(knows, range(3))))
-    print("ROUTES at oslo:", oslo.say("ROUTES orders@shop"))
-    print("oslo's own provider serves:", oslo.ask())
+    wait_until("oslo's three sidecars know what bergen offers", lambda: all(map(knows, range(3))))
+    print("ROUTES at oslo:", oslo.operator_command("ROUTES orders@shop"))
+    print("oslo's own provider serves:", oslo.request())
     oslo.members.set_status("oslo-1", "leaving")
-    # At first a part is turned away: what was not known for long counts as cold.
+    # At first some requests are rejected: a provider that was discovered recently counts as cold.
     for n in range(3):
-        until(f"it leaves; bergen's serves at oslo-n{n}", lambda n=n: oslo.ask(n) == "bergen-1")
+        wait_until(f"it leaves; bergen's serves at oslo-n{n}", lambda n=n: oslo.request(n) == "bergen-1")
     bergen.allow(oslo, '"nobody"')
-    until(
+    wait_until(
         "bergen's operators: nobody may use it; oslo sends nothing more",
-        lambda: all("excluded by its terms" in oslo.say("ROUTES orders@shop", n) for n in range(3)),
+        lambda: all("excluded by its terms" in oslo.operator_command("ROUTES orders@shop", n) for n in range(3)),
     )
-    print("ROUTES at oslo:", oslo.say("ROUTES orders@shop"))
-    print("a request at oslo is answered:", oslo.ask())
+    print("ROUTES at oslo:", oslo.operator_command("ROUTES orders@shop"))
+    print("a request at oslo is answered:", oslo.request())
     bergen.allow(oslo, '{only = ["oslo"]}')
-    until("oslo may again; bergen's serves", lambda: oslo.ask() == "bergen-1")
+    wait_until("oslo may again; bergen's serves", lambda: oslo.request() == "bergen-1")
     oslo.members.set_status("oslo-1", "active")
-    until("oslo's own is back; it serves", lambda: oslo.ask() == "oslo-1")
+    wait_until("oslo's own is back; it serves", lambda: oslo.request() == "oslo-1")
 
 
 def main():
-    def late(number, frame):
-        raise TimeoutError(f"not done within {LONGEST} s")
+    """Starts both sites, runs the example, and returns the exit code."""
+
+    def on_timeout(number, frame):
+        raise TimeoutError(f"not done within {TIMEOUT} s")
 
-    signal.signal(signal.SIGALRM, late)
-    signal.signal(signal.SIGTERM, late)
-    signal.alarm(LONGEST)
+    signal.signal(signal.SIGALRM, on_timeout)
+    signal.signal(signal.SIGTERM, on_timeout)
+    signal.alarm(TIMEOUT)
     with tempfile.TemporaryDirectory() as folder:
         oslo, bergen = (Site(name, Path(folder)) for name in ("oslo", "bergen"))
         try:
             for site, other in ((oslo, bergen), (bergen, oslo)):
                 site.allow(other, f'{{only = ["{other.name}"]}}')
                 site.start()
-            play(oslo, bergen)
+            run_example(oslo, bergen)
         except TimeoutError as error:
             print(error)
             for log in sorted(Path(folder).glob("*/*/log")):
