--- a/benchmarks/engine_trial.py
+++ b/benchmarks/engine_trial.py
@@ -179,6 +179,7 @@
         return json.loads(line) if line else None
 
     def put(self, key: str, value: Any) -> str:
+        """The outcome of one write, "OK" if it succeeded."""
         return str(self.ask("call", "put", [key, value])[0])
 
     def put_until_ok(self, key: str, value: Any) -> bool:
@@ -186,10 +187,12 @@
         return any(self.put(key, value) == "OK" for _ in range(5))
 
     def kill(self) -> None:
+        """Kills the process and waits for its end."""
         self.process.kill()
         self.process.wait()
 
     def cpu(self) -> float:
+        """Seconds of CPU time so far."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -198,21 +201,25 @@
 
 
 def frame(message: Any) -> bytes:
+    """A message as it is sent."""
     packed = zlib.compress(pickle.dumps(message, 2))
     return struct.pack("<I", len(packed)) + packed
 
 
 def frames(data: bytes) -> Iterator[Any]:
+    """The messages of all complete frames."""
     while len(data) >= 4 and len(data) >= 4 + (size := struct.unpack("<I", data[:4])[0]):
         yield pickle.loads(zlib.decompress(data[4 : 4 + size]))  # only data of this trial's own members
         data = data[4 + size :]
 
 
 def temporary_folder() -> Path:
+    """A folder that is deleted after the check."""
     return Path(RESOURCES.enter_context(tempfile.TemporaryDirectory(ignore_cleanup_errors=True)))
 
 
 def free_address() -> tuple[str, int]:
+    """An unused address."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return sock.getsockname()  # type: ignore[no-any-return]
 
@@ -266,14 +273,17 @@
         self.blocked |= {(m, n) for m in every for n in every if (m in isolated) != (n in isolated)}
 
     def kept(self, key: str, *among: int) -> list[Any]:
+        """The value that each of the given members, or each of all, has stored."""
         return [self.members[n].ask("kept", key) for n in among or self.members]
 
     def accept(self, to: int) -> None:
+        """Accepts connections for a member, each served by a thread."""
         with suppress(OSError):
             while True:
                 threading.Thread(target=self.join, args=(self.relays[to].accept()[0], to), daemon=True).start()
 
     def join(self, near: socket.socket, to: int) -> None:
+        """Relays one connection until it ends."""
         with near, suppress(OSError), socket.create_connection(self.member_addresses[to]) as far:
             first = near.recv(65536)
             dialer = next((n for n, name in enumerate(self.names) if name in list(frames(first))), -1)
@@ -284,6 +294,7 @@
             back.join()
 
     def pump(self, reads: socket.socket, writes: socket.socket, direction: tuple[int, int]) -> None:
+        """Copies and records one direction, while it is not blocked."""
         with suppress(OSError):
             while True:
                 if direction in self.blocked or not select.select([reads], [], [], 0.02)[0]:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,6 +28,7 @@
         self.reset()
 
     def reset(self) -> None:
+        """Prepares for the next response."""
         self.parser = httptools.HttpResponseParser(self)
         self.parts: list[bytes] = []
 
@@ -61,6 +62,7 @@
         self.reset()
 
     def reset(self) -> None:
+        """Prepares for the next request."""
         self.parser = httptools.HttpRequestParser(self)
         self.headers: list[bytes] = []
         self.body: list[bytes] = []
@@ -91,6 +93,7 @@
         self.reset()
 
     async def connect(self, address: str, pool: deque[ProviderConnection], message: bytes) -> None:
+        """Opens a connection to a provider and sends the request on it."""
         host, port = address.split(":")
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ProviderConnection(pool), host, int(port)
@@ -98,6 +101,7 @@
         self.send(connection, message)
 
     def send(self, connection: ProviderConnection, message: bytes) -> None:
+        """Sends the request on a connection that is idle."""
         connection.client = self
         connection.transport.write(message)
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -115,6 +115,7 @@
 
 
 def run_client(load: Load, number: int, core_ids: list[int], start_at: float, out: Any) -> None:
+    """Runs one load from the monotonic time `start_at` on, and puts the `LoadResult` into the queue `out`."""
     os.sched_setaffinity(0, core_ids)
     host, port = load.address.split(":")
     poll = select.epoll()
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -77,6 +77,7 @@
 
 
 def traffic(row: Row, kind: str, peers: tuple[str, ...]) -> float:
+    """Bytes or messages (`kind`) exchanged with these peers, in both directions."""
     return float(sum(row[f"{peer}_{kind}_{way}"] for peer in peers for way in ("out", "in")))
 
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -73,6 +73,7 @@
         self.first: dict[int, int] = {}
 
     def advance(self, before: int, index: int) -> None:
+        """Counts a stub sidecar that went from one change to a later one, and reports those that all now have."""
         now = time.time_ns()
         for passed in range(before + 1, index + 1):
             self.count[passed] += 1
@@ -85,6 +86,7 @@
     """The providers' side of a balancer that gets no requests."""
 
     def begin(self, call: ProviderAttempt) -> None:
+        """Never called."""
         raise AssertionError("a stub sidecar serves no requests")
 
     def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
@@ -145,6 +147,7 @@
         self.lists.advance(before, self.version)
 
     def state(self) -> StubState:
+        """What it has received so far."""
         out = frozenset(name for name, override in self.follower.machine.overrides.items() if override.out)
         return StubState(self.index, self.version, out)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -23,7 +23,10 @@
 
 
 class SmallFleetTest(unittest.TestCase):
-    """One fleet for all tests: each leaves it complete, except for the leader that one of them kills."""
+    """One fleet for all tests: each leaves it complete, except for the one that kills the leader.
+
+    The tests run in the order of their names; that one has to run after the test of the usage, which counts followers.
+    """
 
     @classmethod
     def setUpClass(cls):
@@ -92,7 +95,7 @@
         for state in self.states().values():
             self.assertLessEqual(self.overrides(), state.out)
 
-    def test_every_sidecar_has_the_acknowledged_overrides_after_the_leader_was_killed(self):
+    def test_with_the_leader_killed_every_sidecar_has_the_acknowledged_overrides(self):
         _, (row,) = scenarios.leader_killed(self.fleet, seconds=6)
         self.assertGreater(row.size, 0)  # acknowledged overrides
         self.assertLess(row.last, IN_FORCE_TIMEOUT)
