--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -26,7 +26,7 @@
 def open_silent_connections(
     address: str, number: int, first: int, core_ids: list[int], prefix: bytes, drip: float, opened: Any, stop: Any
 ) -> None:
-    """Opens connections and sends `prefix` on each; with `drip` s, then also a byte at a time."""
+    """Opens connections and sends `prefix` on each; with `drip`, also one byte every so many seconds."""
     os.sched_setaffinity(0, core_ids)
     host, port = address.split(":")
     socks = []
