--- a/loftweir/partners/standby.py
+++ b/loftweir/partners/standby.py
@@ -37,13 +37,12 @@
     if missing:
         return f"it is not for {', '.join(missing)}"
     if route.share is not None and route.share < 1:
-        return f"its share is {route.share:g}, and a share can't be enforced here"
+        return f"its share is {route.share:g}, and a part can't be held to"
     if route.rate is not None:
-        return f"its rate is {route.rate:g} a second, and a rate can't be enforced here"
+        return f"its rate is {route.rate:g} a second, and a rate can't be held to"
     keyed = sorted(c.name for c in settings.classes.values() if c.effect is Effect.BY_KEY and c.scope is Scope.ALL)
     if keyed and not shares_keys:
-        names = ", ".join(keyed)
-        return f"repeats of {names} are dropped by this site's servers, and `shares_keys` is not set for the partner"
+        return f"repeats of {', '.join(keyed)} are dropped by this site's servers, and it is not said that theirs do"
     return ""
 
 
