--- a/benchmarks/faults/holder.py
+++ b/benchmarks/faults/holder.py
@@ -91,7 +91,7 @@
         token = holder.valid_token(now)
         if token is not None:
             count += 1
-            said(caller, FencedWrite(holder.duty, token, "last", f"{holder.name} {count}".encode()), now)
+            said(caller, FencedWrite(holder.lease_name, token, "last", f"{holder.name} {count}".encode()), now)
 
 
 if __name__ == "__main__":
--- a/loftweir/lease/duty.py
+++ b/loftweir/lease/duty.py
@@ -67,23 +67,23 @@
         self,
         loop: Loop,
         name: str,
-        duty: str,
+        lease_name: str,
         ttl: int,
         proposers: tuple[Proposer, Proposer],
         begin: Callable[[int], None],
         end: Callable[[], None],
         bid_delay: int = 0,
     ) -> None:
-        """`callers`: one proposer for the lease and one for the writes under it, so that a renewal never waits behind
+        """`proposers`: one for the lease and one for the writes under it, so that a renewal never waits behind
         many writes. `bid_delay`: how long a free lease is left to the processes with a shorter delay, ns.
         """
         self.loop = loop
-        self.duty = duty
+        self.lease_name = lease_name
         self.ttl = ttl
         self.bid_delay = bid_delay
         self.lease_proposer, self.writer = proposers
         self.begin, self.end = begin, end
-        self.holder = LeaseHolder(duty, name, ttl, Random(secrets.randbits(64)))
+        self.holder = LeaseHolder(lease_name, name, ttl, Random(secrets.randbits(64)))
         self.wanted = False
         self.lease_known = False  # the replicated state was received
         self.lease: Lease | None = None  # as in this sidecar's state machine
@@ -101,7 +101,7 @@
 
     def machine_changed(self, machine: Machine) -> None:
         """This sidecar's state machine has changed."""
-        lease = machine.leases.get(self.duty)
+        lease = machine.leases.get(self.lease_name)
         if not self.lease_known or lease != self.lease:
             self.lease_known, self.lease = True, lease
             self._update()
@@ -191,11 +191,11 @@
         `NotActing` if the lease is not held, and the proposer's errors if the outcome is not known within that time
         (ns).
         """
-        return (yield from self._write_fenced(lambda token: FencedWrite(self.duty, token, key, value), within))
+        return (yield from self._write_fenced(lambda token: FencedWrite(self.lease_name, token, key, value), within))
 
     def claim(self, operation: bytes, within: int) -> Coroutine[AnyResult]:
         """Submits a command on a claim of a name (`catalog.claims.encode`) under the token; otherwise like `put`."""
-        return (yield from self._write_fenced(lambda token: ClaimName(self.duty, token, operation), within))
+        return (yield from self._write_fenced(lambda token: ClaimName(self.lease_name, token, operation), within))
 
     def _write_fenced(self, operation: Callable[[int], FencedWrite | ClaimName], within: int) -> Coroutine[AnyResult]:
         until = self.loop.now() + within
@@ -203,11 +203,11 @@
             yield Wait(None, 0, self.loop.now() + BUSY_POLL_INTERVAL)
         token = self.valid_token()
         if token is None:
-            raise NotActing("its lease is over", self.duty)
+            raise NotActing("its lease is over", self.lease_name)
         result = yield from self.writer.write(operation(token), max(MS, until - self.loop.now()))
         if isinstance(result, StaleToken | LeaseNotHeld):
             self.rejected_token = token
             # in a separate loop turn, as `end` may cancel the task that makes this write
             self.loop.after(0, self._release, token)
-            raise NotActing(result.text, self.duty)
+            raise NotActing(result.text, self.lease_name)
         return result
--- a/loftweir/lease/holder.py
+++ b/loftweir/lease/holder.py
@@ -201,10 +201,10 @@
     reject.
     """
 
-    def __init__(self, duty: str, name: str, ttl: int, random: Random) -> None:
-        self.duty, self.ttl = duty, ttl
+    def __init__(self, lease_name: str, name: str, ttl: int, random: Random) -> None:
+        self.lease_name, self.ttl = lease_name, ttl
         self.name = f"{name}~{random.getrandbits(64):016x}"
-        if not machine.valid_name(duty, 128) or not machine.valid_name(self.name, 128):
+        if not machine.valid_name(lease_name, 128) or not machine.valid_name(self.name, 128):
             raise ValueError("a lease's name has 1 to 128 printable characters, a holder's 1 to 111")
         if not machine.MIN_TTL <= ttl <= machine.MAX_TTL:
             raise ValueError(f"a time to live of {ttl} ns; it is 1 s to 1 h")
@@ -255,7 +255,7 @@
             if not current or self.state is not HolderState.ACQUIRING:
                 if isinstance(result, Ok):
                     # the request was given up meanwhile
-                    self._send(now, ReleaseLease(self.duty, self.name, result.value))
+                    self._send(now, ReleaseLease(self.lease_name, self.name, result.value))
             elif isinstance(result, Ok):
                 self.token, self.until = result.value, until
                 self._transition(now, Transition.GRANTED if now < until else Transition.STALE_GRANT, request.sent)
@@ -298,9 +298,9 @@
         elif sent is not None and traits.may_act:
             self._next_transition_at = sent + self.ttl // 3
         if traits.operation is AcquireLease:
-            self._awaited_request = self._send(now, AcquireLease(self.duty, self.name, self.ttl))
+            self._awaited_request = self._send(now, AcquireLease(self.lease_name, self.name, self.ttl))
         elif traits.operation is not None and self.token is not None:
-            self._awaited_request = self._send(now, traits.operation(self.duty, self.name, self.token))
+            self._awaited_request = self._send(now, traits.operation(self.lease_name, self.name, self.token))
         if not traits.may_act and traits.operation is not ReleaseLease:
             self.token = None
 
--- a/loftweir/lease/keeper.py
+++ b/loftweir/lease/keeper.py
@@ -44,34 +44,34 @@
     def became_leader(self, now: int, leases: Mapping[str, Lease]) -> None:
         """The first entry of this leader's term is applied; `now` is read after that."""
         self.is_leader, self.countdowns, self.next_at = True, {}, None
-        for duty, lease in leases.items():
-            self.lease_changed(now, duty, lease)
+        for lease_name, lease in leases.items():
+            self.lease_changed(now, lease_name, lease)
 
     def lost_leadership(self) -> None:
         """Another member leads, or none."""
         self.is_leader, self.countdowns, self.next_at = False, {}, None
 
-    def lease_changed(self, now: int, duty: str, lease: Lease | None) -> None:
+    def lease_changed(self, now: int, lease_name: str, lease: Lease | None) -> None:
         """An entry granted, renewed or ended (None) this lease (`Machine.changed_lease`); `now` is read after applying
         it.
         """
         if not self.is_leader:
             return
-        self.countdowns.pop(duty, None)
+        self.countdowns.pop(lease_name, None)
         if lease is not None:
-            self._start_countdown(duty, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
+            self._start_countdown(lease_name, LeaseCountdown(now + lease.ttl, lease.token, lease.renewed))
 
     def due_expirations(self, now: int) -> list[ExpireLease]:
         """What the leader has to propose now, each as `Command("", 0, operation)`."""
         if self.next_at is None or now < self.next_at:
             return []
-        over = [(duty, counted) for duty, counted in self.countdowns.items() if counted.until <= now]
+        over = [(lease_name, counted) for lease_name, counted in self.countdowns.items() if counted.until <= now]
         self.next_at = None
-        for duty, counted in self.countdowns.items():
+        for lease_name, counted in self.countdowns.items():
             again = now + REPROPOSE_DELAY if counted.until <= now else counted.until
-            self._start_countdown(duty, counted._replace(until=again))
-        return [ExpireLease(duty, counted.token, counted.renewed) for duty, counted in over]
+            self._start_countdown(lease_name, counted._replace(until=again))
+        return [ExpireLease(lease_name, counted.token, counted.renewed) for lease_name, counted in over]
 
-    def _start_countdown(self, duty: str, counted: LeaseCountdown) -> None:
-        self.countdowns[duty] = counted
+    def _start_countdown(self, lease_name: str, counted: LeaseCountdown) -> None:
+        self.countdowns[lease_name] = counted
         self.next_at = counted.until if self.next_at is None else min(self.next_at, counted.until)
--- a/loftweir/partners/keeping.py
+++ b/loftweir/partners/keeping.py
@@ -107,7 +107,7 @@
             except NotActing:
                 return  # the lease ended, and `end` follows
             except LoftweirError as error:
-                emit(PARTNERS_NOT_KEPT, duty=self.leased_task.duty, why=error)
+                emit(PARTNERS_NOT_KEPT, duty=self.leased_task.lease_name, why=error)
                 yield Wait(None, 0, self.loop.now() + backoff)
                 backoff = min(2 * backoff, MAX_BACKOFF)
 
@@ -143,7 +143,7 @@
         self.possible.add(key)
         result = yield from self.leased_task.put(self.prefix + key, value, WRITE_TIMEOUT)
         if not isinstance(result, Ok):
-            raise NotKept(result.text, f"{self.leased_task.duty} {self.prefix}{key}")
+            raise NotKept(result.text, f"{self.leased_task.lease_name} {self.prefix}{key}")
         if value:
             self.stored.add(key)
         else:
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -183,7 +183,9 @@
         machine = self.fleet.machine
         try:
             if machine is not None and leased_task.valid_token() is not None:
-                for key in sorted(stored_keys(machine.fenced_values, leased_task.duty), key=lambda key: key != HEAD):
+                for key in sorted(
+                    stored_keys(machine.fenced_values, leased_task.lease_name), key=lambda key: key != HEAD
+                ):
                     yield from leased_task.put(key, b"", max(MS, until - self.loop.now()))
         except Exception:  # what is left has a bounded size and is not used
             pass
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -512,8 +512,8 @@
         self.changed_lease = operation.duty
         return Ok(self.index, self.index)
 
-    def _token_error(self, duty: str, token: int, holder: str | None = None) -> AnyResult | None:
-        lease = self.leases.get(duty)
+    def _token_error(self, lease_name: str, token: int, holder: str | None = None) -> AnyResult | None:
+        lease = self.leases.get(lease_name)
         if lease is not None and token < lease.token:
             return StaleToken(self.index, token, lease.token)
         if lease is None or token != lease.token or holder not in (None, lease.holder):
@@ -572,12 +572,12 @@
         if error is not None:
             return error
         try:
-            override = claims.decode_command(operation.act)
+            command = claims.decode_command(operation.act)
         except (ValueError, RecursionError):
             return InvalidCommand(self.index, "not a claim in its form")
         if self.claims is None:
             self.claims = claims.Claims()
-        outcome = self.claims.apply(self.index, override)
+        outcome = self.claims.apply(self.index, command)
         if isinstance(outcome, claims.ClaimRejected):
             return InvalidCommand(self.index, outcome.text)
         return Ok(self.index, outcome.index)
@@ -609,7 +609,7 @@
 
     def dump(self) -> bytes:
         """The snapshot; equal machines yield equal bytes."""
-        fenced_values = [(duty, key, fact) for (duty, key), fact in sorted(self.fenced_values.items())]
+        fenced_values = [(lease_name, key, fact) for (lease_name, key), fact in sorted(self.fenced_values.items())]
         overrides, sessions = list(self.overrides.items()), list(self.sessions.items())
         leases = sorted(self.leases.items())
         dump = (
@@ -646,8 +646,8 @@
         machine.index, machine.overrides_dropped_index, machine.session_horizon = dump.index, dump.thinned, dump.horizon
         machine.overrides, machine.leases, machine.sessions = dict(dump.words), dict(dump.leases), dict(dump.sessions)
         machine.claims = claimed
-        machine.fenced_values = {(duty, key): fact for duty, key, fact in dump.facts}
-        machine.fenced_bytes = sum(len(duty) + len(key) + len(fact.value) for duty, key, fact in dump.facts)
+        machine.fenced_values = {(lease_name, key): fact for lease_name, key, fact in dump.facts}
+        machine.fenced_bytes = sum(len(lease_name) + len(key) + len(fact.value) for lease_name, key, fact in dump.facts)
         return machine
 
 
--- a/loftweir/replication/reception.py
+++ b/loftweir/replication/reception.py
@@ -423,10 +423,10 @@
     match query:
         case OverrideQuery(name):
             return machine.overrides.get(name)
-        case LeaseQuery(duty):
-            return machine.leases.get(duty)
-        case FencedValueQuery(duty, key):
-            return machine.fenced_values.get((duty, key))
+        case LeaseQuery(lease_name):
+            return machine.leases.get(lease_name)
+        case FencedValueQuery(lease_name, key):
+            return machine.fenced_values.get((lease_name, key))
 
 
 REQUEST_HANDLERS: dict[type[Frame], Callable[[ReplicationListener, FrameConnection, Any], None]] = {
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -260,10 +260,10 @@
 
     def became_leader(self, now, leases):
         super().became_leader(now, leases)
-        for duty in self.countdowns.keys() & self.old.keys():
-            self._start_countdown(
-                duty, self.countdowns[duty]._replace(until=min(self.countdowns[duty].until, self.old[duty].until))
-            )
+        for lease_name in self.countdowns.keys() & self.old.keys():
+            countdown = self.countdowns[lease_name]
+            until = min(countdown.until, self.old[lease_name].until)
+            self._start_countdown(lease_name, countdown._replace(until=until))
 
 
 def same_token(machine, operation):
@@ -400,9 +400,9 @@
         if TRAITS[state].may_act
     )
     assert LeaseHolder("d", "me", SECOND, Random(1)).name != LeaseHolder("d", "me", SECOND, Random(2)).name
-    for duty, name, ttl in (("", "me", SECOND), ("d", "m" * 112, SECOND), ("d", "me", SECOND - 1)):
+    for lease_name, name, ttl in (("", "me", SECOND), ("d", "m" * 112, SECOND), ("d", "me", SECOND - 1)):
         with pytest.raises(ValueError):
-            LeaseHolder(duty, name, ttl, Random(1))
+            LeaseHolder(lease_name, name, ttl, Random(1))
 
 
 def test_expiry_is_timed_in_full_and_only_while_leading():
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -51,13 +51,14 @@
 
 def random_command(random, index):
     """A command as a proposer or leader may send it, or invalid bytes."""
-    duty, holder, token = random.choice("de"), random.choice("hij"), max(1, index - random.randrange(12))
+    lease_name, holder, token = random.choice("de"), random.choice("hij"), max(1, index - random.randrange(12))
     operation = random.choice([
         SetOverride(random.choice("pqrst"), random.random() < 0.5, random.randrange(9)),
-        AcquireLease(duty, holder, SECOND), RenewLease(duty, holder, token), ReleaseLease(duty, holder, token),
-        ExpireLease(duty, token, index - random.randrange(5)),
-        FencedWrite(duty, token, random.choice("kl"), random.randbytes(random.randrange(3))),
-        EndSession(f"s{random.randrange(6)}"), AcquireLease(duty, "", 0),
+        AcquireLease(lease_name, holder, SECOND), RenewLease(lease_name, holder, token),
+        ReleaseLease(lease_name, holder, token),
+        ExpireLease(lease_name, token, index - random.randrange(5)),
+        FencedWrite(lease_name, token, random.choice("kl"), random.randbytes(random.randrange(3))),
+        EndSession(f"s{random.randrange(6)}"), AcquireLease(lease_name, "", 0),
     ])  # fmt: skip
     command = Command(
         f"s{random.randrange(6)}", random.randint(1, 3 + index // 9), operation, random.choice([None, index // 2])
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -36,7 +36,7 @@
     StaleToken,
 )
 
-DUTY = "partner:bergen"
+LEASE_NAME = "partner:bergen"
 LIMITS = Limits(routes=3)
 
 
@@ -47,7 +47,7 @@
 class FakeLease:
     """A fake lease that stores the facts, and ends before the write with a given number."""
 
-    duty = DUTY
+    lease_name = LEASE_NAME
 
     def __init__(self, check=lambda: None):
         self.facts, self.order, self.left, self.check = {}, 0, 1 << 30, check
@@ -58,9 +58,9 @@
         self.left -= 1
         self.order += 1
         if value:
-            self.facts[DUTY, key] = FencedValue(value, 1, self.order)
+            self.facts[LEASE_NAME, key] = FencedValue(value, 1, self.order)
         else:
-            self.facts.pop((DUTY, key), None)
+            self.facts.pop((LEASE_NAME, key), None)
         self.check()
         return Ok(self.order)
         yield
@@ -75,12 +75,12 @@
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.tuples(st.dictionaries(st.integers(0, 150), st.integers(0, 2), max_size=120), st.integers(0, 9))))
 def test_a_table_is_visible_as_a_whole_or_not_at_all_whichever_writer_was_killed(steps):
-    lease, reader, allowed = FakeLease(), TableReader(DUTY), [{}]
+    lease, reader, allowed = FakeLease(), TableReader(LEASE_NAME), [{}]
 
     def check():
         reader.read(lease.facts, SECOND)
         assert reader.routes in allowed
-        fresh = TableReader(DUTY)  # a reader without earlier state
+        fresh = TableReader(LEASE_NAME)  # a reader without earlier state
         fresh.read(lease.facts, SECOND)
         assert (fresh.routes, fresh.sums) == (reader.routes, reader.sums)
 
@@ -88,7 +88,7 @@
     for index, (wanted, left) in enumerate(steps):
         routes = {f"s{n}@shop": route(n, version) for n, version in wanted.items()}
         writer = TableWriter(None, lease)
-        head = lease.facts.get((DUTY, "head"))
+        head = lease.facts.get((LEASE_NAME, "head"))
         writer.head, writer.stored = head.value if head else None, {key for _, key in lease.facts}
         writer.possible = set(writer.stored)
         before, allowed[:], lease.left = dict(reader.routes), [reader.routes, routes], left or 1 << 30
@@ -102,7 +102,7 @@
 
 
 def test_a_change_concerns_one_chunk_and_unchanged_routes_stay_the_same_objects():
-    chunker, reader, lease = Chunker(), TableReader(DUTY), FakeLease()
+    chunker, reader, lease = Chunker(), TableReader(LEASE_NAME), FakeLease()
     routes = {f"s{n}@shop": route(n) for n in range(500)}
     before = target(chunker, routes, 1)
     writer = TableWriter(None, lease)
@@ -116,7 +116,7 @@
     assert sum(reader.routes[name] is not old[name] for name in old) < 100
     # A table that is incomplete or of another version is not used at all.
     for head in (Head(chunks=("c:none",), routes=1), Head(version=9), Head(routes=4)):
-        lease.facts[DUTY, "head"] = FencedValue(encode_head(head), 1, 99)
+        lease.facts[LEASE_NAME, "head"] = FencedValue(encode_head(head), 1, 99)
         with pytest.raises(NotReadable):
             reader.read(lease.facts, 0)
         assert (reader.routes, reader.table, reader.partner_state(0, Timing()).freshness) == ({}, None, Freshness.GONE)
@@ -124,7 +124,7 @@
 
 def test_a_table_expires_without_updates_and_a_fast_clock_does_not_extend_it():
     reader, lease, timing = (
-        TableReader(DUTY),
+        TableReader(LEASE_NAME),
         FakeLease(),
         Timing(wait=1, silent_after=1, hold=15 * SECOND, gone=30 * SECOND),
     )
@@ -133,10 +133,10 @@
     states = [reader.partner_state(now * SECOND, timing).freshness for now in (114, 115, 144, 145)]
     assert states == [Freshness.FRESH, Freshness.STALE, Freshness.STALE, Freshness.GONE]
     assert [reader.next_change_at(now * SECOND, timing) for now in (100, 115)] == [115 * SECOND, 145 * SECOND]
-    lease.facts[DUTY, "note"] = FencedValue(replicated_table.encode_note(5000 * SECOND), 1, 9)
+    lease.facts[LEASE_NAME, "note"] = FencedValue(replicated_table.encode_note(5000 * SECOND), 1, 9)
     assert reader.read(lease.facts, 120 * SECOND) and reader.confirmed_at == 120 * SECOND
     # A damped partner stays damped after another sidecar takes the lease over, as long as the penalty lasts.
-    lease.facts[DUTY, "head"] = FencedValue(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
+    lease.facts[LEASE_NAME, "head"] = FencedValue(encode_head(Head(damped=True, table=("bergen", 1, 1))), 1, 10)
     assert (
         reader.read(lease.facts, 121 * SECOND)
         and reader.partner_state(121 * SECOND, timing).freshness is Freshness.GONE
@@ -151,7 +151,7 @@
 def test_each_error_is_raised():
     loop = Loop()
     leased_task = LeasedTask(
-        loop, "n0", DUTY, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None
+        loop, "n0", LEASE_NAME, SECOND, (None, type("C", (), {"writes": type("W", (), {"busy": False})})), None, None
     )
     with pytest.raises(NotActing, match="its lease is over"):
         next(leased_task.put("head", b"x", SECOND))
@@ -192,10 +192,10 @@
         loop.stopped = True
 
     leased_task = LeasedTask(
-        loop, "n0", DUTY, SECOND, (FakeCluster(), FakeCluster()), events.append, lambda: events.append("end")
+        loop, "n0", LEASE_NAME, SECOND, (FakeCluster(), FakeCluster()), events.append, lambda: events.append("end")
     )
     held = Machine()
-    held.leases[DUTY] = Lease("n1~0", 6, SECOND, 6)
+    held.leases[LEASE_NAME] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
     loop.spawn(run())
     leased_task.set_wanted(True)
