--- a/loftweir/partners/link.py
+++ b/loftweir/partners/link.py
@@ -92,14 +92,14 @@
         site: str,
         neighbour: Neighbour,
         options: Options,
-        fleet: ReplicationAgent,
+        replication: ReplicationAgent,
         reader: TableReader,
     ) -> None:
         self.loop = loop
         self.site = site
         self.neighbour = neighbour  # replaced as a whole by a reload
         self.options = options
-        self.fleet = fleet
+        self.replication = replication
         self.reader = reader  # the replicated table, as read here
         # The session's hold time ends a little earlier than for the sidecars that read the replicated state.
         self.timing, self.limits = timing(options, options.hold - REPLICATION_MARGIN), limits(options)
@@ -151,11 +151,11 @@
 
     def _run(self, token: int) -> Coroutine[None]:
         """Runs the session. All writes under earlier tokens are known here once the grant is, and none can follow."""
-        while self.fleet.machine is None or self.fleet.index < token:
+        while self.replication.machine is None or self.replication.index < token:
             yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         writer, reader, now = self.writer, self.reader, self.loop.now()
         assert writer is not None
-        fenced_values = self.fleet.machine.fenced_values
+        fenced_values = self.replication.machine.fenced_values
         stored = fenced_values.get((reader.lease_name, HEAD))
         writer.begin(stored_keys(fenced_values, reader.lease_name), stored.value if stored else None)
         instance = secrets.token_hex(8)
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -76,7 +76,7 @@
         name: str,
         options: Options,
         sites: PartnersConfig,
-        fleet: ReplicationAgent,
+        replication: ReplicationAgent,
         notify_balancer: NotifyBalancer,
         settings: Callable[[], Settings],
     ) -> None:
@@ -88,13 +88,14 @@
         self.catalog: Catalog | None = None
         self.timing = timing(self.options, self.options.hold)
         self.sites = sites
-        self.fleet = fleet
+        self.replication = replication
         self.notify_balancer = notify_balancer
         self.settings = settings
-        self.seats = parse_members(options.replication.members)
+        self.member_addresses = parse_members(options.replication.members)
         id = secrets.token_hex(8)
         self.proposers = tuple(
-            Proposer(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
+            Proposer(loop, name, id, options.replication, self.member_addresses, lambda: replication.index)
+            for _ in range(2)
         )
         self.readers: dict[str, TableReader] = {}
         self.clients: dict[str, PartnerClient] = {}
@@ -103,13 +104,13 @@
         self.standby = Standby()
         self.unusable = "no route"  # why this sidecar can't use the route
         self.listener: Listener | None = None
-        self.shown = NeighbourOffers(loop, options, fleet, lambda: self.merger, self._wake_neighbour)
+        self.shown = NeighbourOffers(loop, options, replication, lambda: self.merger, self._wake_neighbour)
         self.task: Task | None = None  # advances the merger with time
         self.wakes_at = 0
         self.leaving = False
         if options.partners.listen:
             self.listener = Listener(loop, self.shown, options.partners.callers)
-        fleet.machine_listeners.append(self._on_state_change)
+        replication.machine_listeners.append(self._on_state_change)
 
     def _policy(self) -> Policy:
         neighbours = self.sites.neighbours.values()
@@ -128,7 +129,7 @@
         """Starts to listen, to bid for leases and to read."""
         if self.listener is not None:
             self.listener.listen(self.options.listen)
-            if self.name in self.seats:
+            if self.name in self.member_addresses:
                 self.shown.leased_task = self._leased_task(OFFERS_LEASE, self.shown.begin, self.shown.end)
         self.use(self.sites)
         self.task = self.loop.spawn(self._run(), self._crashed)
@@ -150,9 +151,9 @@
             client = self.clients.get(name)
             if client is not None:
                 client.neighbour = neighbour
-            elif self.name in self.seats:
+            elif self.name in self.member_addresses:
                 client = self.clients[name] = PartnerClient(
-                    self.loop, self.site, neighbour, self.options, self.fleet, reader
+                    self.loop, self.site, neighbour, self.options, self.replication, reader
                 )
                 leased_task = self.leased_tasks[name] = self._leased_task(reader.lease_name, client.begin, client.end)
                 client.attach(leased_task)
@@ -166,8 +167,8 @@
         self._update_standby()
         if self.catalog is not None:
             self.catalog.update_routes(self.merger.merged)
-        if self.fleet.machine is not None:
-            self._on_state_change(self.fleet.machine)
+        if self.replication.machine is not None:
+            self._on_state_change(self.replication.machine)
 
     def _forget(self, name: str) -> None:
         del self.readers[name]
@@ -180,7 +181,7 @@
     def _clear(self, leased_task: LeasedTask) -> Coroutine[None]:
         """Deletes the replicated table of a former neighbour, if this sidecar has its lease, and closes the lease."""
         until = self.loop.now() + CLEAR_TIMEOUT
-        machine = self.fleet.machine
+        machine = self.replication.machine
         try:
             if machine is not None and leased_task.valid_token() is not None:
                 for key in sorted(
@@ -195,7 +196,7 @@
 
     def _leased_task(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> LeasedTask:
         commands, reads = self.proposers
-        order = sorted(self.seats, key=lambda seat: blake2b(f"{seat} {name}".encode()).digest())
+        order = sorted(self.member_addresses, key=lambda member: blake2b(f"{member} {name}".encode()).digest())
         bid_delay = BID_INTERVAL * order.index(self.name)
         leased_task = LeasedTask(
             self.loop, self.name, name, self.options.lease, (commands, reads), begin, end, bid_delay
--- a/loftweir/partners/shown.py
+++ b/loftweir/partners/shown.py
@@ -52,14 +52,14 @@
         self,
         loop: Loop,
         options: Options,
-        fleet: ReplicationAgent,
+        replication: ReplicationAgent,
         merger: Callable[[], Merger],
         on_change: Callable[[str], None],
     ) -> None:
         """`on_change` is called with each neighbour that may get another response than before."""
         self.loop = loop
         self.options = options.partners
-        self.fleet = fleet
+        self.replication = replication
         self.merger = merger
         self.on_change = on_change
         self.limits = limits(options.partners)
@@ -111,7 +111,7 @@
 
     def rejection_reason(self, to: str, after: tuple[int, int] | None) -> str:
         """The reason why a neighbour with this position can't get a response now; empty if it can."""
-        age, offer = self.fleet.age(), self.offers.get(to)
+        age, offer = self.replication.age(), self.offers.get(to)
         if age is None or age > self.max_age:
             self.confirmed_index = None
             return "this sidecar is cut off from the copies of its site"
@@ -119,7 +119,7 @@
             if self.confirming is None or self.confirming.over:
                 self.confirming = self.loop.spawn(self._confirm_index())
             return "this sidecar has yet to learn how far the copies are"
-        if self.fleet.index < self.confirmed_index:
+        if self.replication.index < self.confirmed_index:
             return "this sidecar is behind the copies"
         if offer is None or not self.epoch:
             return "nothing is in the copies yet"
@@ -141,7 +141,7 @@
 
     def _confirm_index(self) -> Coroutine[None]:
         try:
-            reading = yield from self.fleet.proposer.read(FencedValueQuery(LEASE_NAME, EPOCH), CONFIRM_TIMEOUT)
+            reading = yield from self.replication.proposer.read(FencedValueQuery(LEASE_NAME, EPOCH), CONFIRM_TIMEOUT)
         except LoftweirError:
             reading = None
         if reading is None or not reading.sure:
@@ -178,7 +178,7 @@
     def _begin(self, token: int) -> Coroutine[None]:
         leased_task = self.leased_task
         assert leased_task is not None
-        while self.fleet.machine is None or self.fleet.index < token:
+        while self.replication.machine is None or self.replication.index < token:
             yield Wait(None, 0, self.loop.now() + POLL_INTERVAL)
         written = False
         while not self.epoch:
@@ -194,7 +194,7 @@
 
     def set_neighbours(self, names: Iterable[str]) -> None:
         """Sets the neighbours to write tables for, if this sidecar has the lease."""
-        leased_task, machine, names = self.leased_task, self.fleet.machine, set(names)
+        leased_task, machine, names = self.leased_task, self.replication.machine, set(names)
         if leased_task is None or machine is None or leased_task.valid_token() is None or not self.epoch:
             return
         keys: dict[str, list[str]] = {}
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -20,9 +20,9 @@
 with_fields = msgspec.structs.replace
 
 
-def cluster_with_leader(make=Core, seats=3, **plan):
+def cluster_with_leader(make=Core, member_count=3, **plan):
     """A simulated cluster with a leader and without faults, and its members, the leader's first."""
-    world = Simulation(1, Plan(seats, **plan), make)
+    world = Simulation(1, Plan(member_count, **plan), make)
     until(world, lambda: (leader := world.leader()) and leader.can_change_members and world.converged())
     first = member_at(world, world.leader().me)
     return world, [first, *(seat for seat in world.slots.values() if seat is not first)]
@@ -167,7 +167,7 @@
 
 def needed_after_its_removal(make=Core):
     """A member that alone has the entry which removes it has to lead once more (diss. 4.2.2)."""
-    world, (a, b) = cluster_with_leader(make, seats=2)
+    world, (a, b) = cluster_with_leader(make, member_count=2)
     cut_both_ways(world, a, b)
     world.submit(a, lambda token: api.MembershipChange(token, (b.member(),)))
     world.wanted_slots.discard(a.name)
@@ -222,9 +222,9 @@
 # ---- behaviour ----------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("seats", [1, 2, 3, 5])
-def test_a_cluster_is_founded_and_serves_writes_and_reads(seats):
-    world, (a, *others) = cluster_with_leader(seats=seats)
+@pytest.mark.parametrize("member_count", [1, 2, 3, 5])
+def test_a_cluster_is_founded_and_serves_writes_and_reads(member_count):
+    world, (a, *others) = cluster_with_leader(member_count=member_count)
     outcomes = write_and_wait(world, a, 20)
     assert [type(o) for o in outcomes] == [api.RequestCompleted] * 20
     assert [o.index for o in outcomes] == list(range(outcomes[0].index, outcomes[0].index + 20))
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -57,8 +57,8 @@
         self.stubs = {n: StubVoter(self.received.append, hello=self.hello(f"id-{n}", n)) for n in ("n1", "n2")}
         with listener() as free:
             self.address = address_of(free)
-        seats = {"n0": self.address} | {n: stub.address for n, stub in self.stubs.items()}
-        members = ", ".join(f"{n}={a}" for n, a in seats.items())
+        addresses = {"n0": self.address} | {n: stub.address for n, stub in self.stubs.items()}
+        members = ", ".join(f"{n}={a}" for n, a in addresses.items())
         options = Replication(members=members, folder=str(folder / "copies"), callers=4, write_within=300 * MS)
         self.part = ReplicationAgent(
             self.loop, "n0", options, lambda words, whole: self.notified.append((words, whole))
@@ -263,13 +263,13 @@
     """Three voters on one event loop."""
 
     def __init__(self, folder, **more):
-        self.loop, seats = Loop(), {}
+        self.loop, addresses = Loop(), {}
         for name in ("n0", "n1", "n2"):
             with listener() as free:
-                seats[name] = address_of(free)
-        members = ", ".join(f"{n}={a}" for n, a in seats.items())
+                addresses[name] = address_of(free)
+        members = ", ".join(f"{n}={a}" for n, a in addresses.items())
         self.options = Replication(members=members, election=800 * MS, beat=40 * MS, **more)
-        self.parts = {n: self.part(n, folder / n) for n in seats}
+        self.parts = {n: self.part(n, folder / n) for n in addresses}
 
     def part(self, name, folder):
         part = ReplicationAgent(
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -298,8 +298,8 @@
 
 
 def make_proposer(loop, voters):
-    seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
-    return Proposer(loop, "f0", "id-f", Replication(election=50 * MS, beat=10 * MS), seats, lambda: 7)
+    addresses = {f"n{n}": voter.address for n, voter in enumerate(voters)}
+    return Proposer(loop, "f0", "id-f", Replication(election=50 * MS, beat=10 * MS), addresses, lambda: 7)
 
 
 def command_of(frame):
@@ -399,9 +399,9 @@
 
 
 def make_observer(loop, voters, applied):
-    seats = {f"n{n}": voter.address for n, voter in enumerate(voters)}
+    addresses = {f"n{n}": voter.address for n, voter in enumerate(voters)}
     options = Replication(election=50 * MS, beat=10 * MS, follow_wait=100 * MS)
-    return Observer(loop, "f0", "id-f", options, seats, applied)
+    return Observer(loop, "f0", "id-f", options, addresses, applied)
 
 
 def committed_commands(length, name="s"):
