--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -77,9 +77,9 @@
             for whom, seat in self.seats.items():
                 if who != whom:
                     self.link[who, whom] = link = self.links.add(seat)
-                    self.reach[who, whom] = link.address
+                    self.address_overrides[who, whom] = link.address
         for sidecar in self.sidecars.values():
-            sidecar.fault = HOOKS
+            sidecar.startup_code = HOOKS
         self.lives = dict.fromkeys(self.sidecars, 0)
         self.down: set[str] = set()  # voters whose process does not run
         self.unsure: set[str] = set()  # whose process runs, and which is no voter as it was last seen
@@ -127,10 +127,10 @@
             (self.sidecars[name].folder / flag).unlink(missing_ok=True)
         self.sidecars[name].start(**keys)
 
-    def begin(self, *names):
+    def start_sidecars(self, *names):
         for name in names or self.sidecars:
             self.lives[name] += 1
-        return super().begin(*names)
+        return super().start_sidecars(*names)
 
     def kill(self, *names: str) -> None:
         """Together: all are signalled before any of them is waited for."""
@@ -160,7 +160,7 @@
         for name in names:
             if self.sidecars[name].program is not None:
                 self._back(name)
-                self.sidecars[name].go_on()
+                self.sidecars[name].resume()
 
     # ---- ways -----------------------------------------------------------------------------------
 
@@ -198,11 +198,11 @@
     # ---- disks ----------------------------------------------------------------------------------
 
     def files(self, name: str, pattern: str) -> list[Path]:
-        return sorted(self.sidecars[name].copies.glob(pattern))
+        return sorted(self.sidecars[name].replication_folder.glob(pattern))
 
     def mark(self, name: str) -> tuple[Path, int]:
         """The segment that the mark names, and how many bytes of it were promised."""
-        copies = self.sidecars[name].copies
+        copies = self.sidecars[name].replication_folder
         identity = journal.decode_identity((copies / folder.IDENTITY).read_bytes())
         mark = journal.decode_mark((copies / folder.MARK).read_bytes(), identity)
         return copies / folder.segment_name(mark.segment), mark.at
@@ -230,7 +230,7 @@
                 other = self.sidecars[name].folder / "foreign"
                 disk, _, _ = open_disk(other, "another")
                 disk.close()
-                (other / "identity").replace(self.sidecars[name].copies / "identity")
+                (other / "identity").replace(self.sidecars[name].replication_folder / "identity")
             case _:
                 raise ValueError(how)
         return segment, at
@@ -339,7 +339,7 @@
         """All is whole, and every sidecar shows the same index with a leader."""
 
         def same() -> bool:
-            stands = [sidecar.stands() for sidecar in self.sidecars.values()]
+            stands = [sidecar.fleet_status() for sidecar in self.sidecars.values()]
             return len({s.get("index") for s in stands}) == 1 and all(s.get("leader", "-") != "-" for s in stands)
 
         return bool(eventually(self.whole, seconds) and eventually(same, seconds))
--- a/benchmarks/faults/schedule.py
+++ b/benchmarks/faults/schedule.py
@@ -140,7 +140,7 @@
         return who if who in free else free[int(fault.share * len(free))] if free else ""
 
     def _leads(self, name: str) -> bool:
-        return self.fleet.sidecars[name].stands().get("role") == "leader"
+        return self.fleet.sidecars[name].fleet_status().get("role") == "leader"
 
     # ---- choices ----
 
--- a/benchmarks/process_faults.py
+++ b/benchmarks/process_faults.py
@@ -40,7 +40,7 @@
     fleet = Fleet()
     try:
         fleet.fleet(voters_of(number), FOLLOWERS)
-        fleet.begin()
+        fleet.start_sidecars()
         load = Load(fleet, seed * 1000 + number, holders=2).start()
         play = Play(fleet, load, seed * 1000 + number)
         began = time.monotonic()
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -50,8 +50,8 @@
     def up(self, followers: int = 0) -> None:
         self.fleet(3, followers)
         for sidecar in self.sidecars.values():
-            sidecar.fault = ""
-        self.begin()
+            sidecar.startup_code = ""
+        self.start_sidecars()
         self.caller = Caller(self.seats, Random(1))
         granted = self.caller.write(AcquireLease("pen", "bench", HOUR), 10)
         assert isinstance(granted, Ok)
@@ -146,7 +146,7 @@
             shown: dict[str, float] = {}
 
             def look(sidecar, name: str, shown: dict[str, float]) -> None:
-                if eventually(lambda: name in sidecar.stands().get("out", "").split(","), 30):
+                if eventually(lambda: name in sidecar.fleet_status().get("out", "").split(","), 30):
                     shown[sidecar.name] = time.perf_counter()
 
             answer = followers[n % len(followers)].call(f"FLEET-DISABLE s{n}")
--- a/benchmarks/replication_news.py
+++ b/benchmarks/replication_news.py
@@ -25,7 +25,7 @@
 
     def runTest(self):
         self.fleet(followers=0)
-        self.begin()
+        self.start_sidecars()
         leader = self.leader().name
         for voter in (leader, next(n for n in self.seats if n != leader)):
             self.measure(voter, "the leader" if voter == leader else "another voter")
@@ -41,7 +41,7 @@
             sock.recv(4096)
         firsts, lasts, calls = [], [], []
         for n in range(WORDS):
-            index = int(self.sidecars[voter].stands()["index"])
+            index = int(self.sidecars[voter].fleet_status()["index"])
             for sock in socks:
                 sock.sendall(wire.encode_frame(wire.FollowRequest(index, 30 * 10**9)))
             time.sleep(0.1)
--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -1,7 +1,7 @@
 """A fleet of real sidecars for tests: voters and observers, each a process that can be killed, stopped and wiped.
 
-The address by which one sidecar reaches a member can be set for each pair (`reach`), so that a test can put a proxy
-between them.
+The address by which one sidecar reaches a member can be set for each pair (`address_overrides`), so that a test can
+put a proxy between them.
 """
 
 import json
@@ -30,21 +30,21 @@
         self.folder = fleet.folder / name
         self.folder.mkdir()
         (self.folder / "tmp").mkdir()
-        self.copies = self.folder / "copies"  # a voter's folder
+        self.replication_folder = self.folder / "copies"  # a voter's folder
         self.listen, self.operator_address = fleet.free(), fleet.free()
         self.program = None
-        self.fault = ""  # code that runs before the program
-        self.more = ""  # additional text for the operator's file
+        self.startup_code = ""  # code that runs before the program
+        self.extra_config = ""  # additional text for the operator's file
 
     def start(self, **replication):
         """`replication`: further keys of that section in the operator's file."""
-        keys = {"members": self.fleet.members_of(self.name), "folder": str(self.copies)}
+        keys = {"members": self.fleet.members_of(self.name), "folder": str(self.replication_folder)}
         keys |= self.fleet.keys | replication
         if not self.fleet.on:
             keys = {}
         lines = ["[log]", 'level = "debug"', "[replication]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())]
-        (self.folder / "loftweir.toml").write_text("\n".join([*lines, self.more, ""]), encoding="utf-8")
-        (self.folder / "sitecustomize.py").write_text(self.fault, encoding="utf-8")
+        (self.folder / "loftweir.toml").write_text("\n".join([*lines, self.extra_config, ""]), encoding="utf-8")
+        (self.folder / "sitecustomize.py").write_text(self.startup_code, encoding="utf-8")
         catalog = self.fleet.catalog
         config = {
             "name": self.name,
@@ -92,13 +92,13 @@
     def stop(self):
         self.signal(signal.SIGSTOP)
 
-    def go_on(self):
+    def resume(self):
         self.signal(signal.SIGCONT)
 
     def wipe(self):
         """Deletes the voter's folder; only while the process does not run."""
         assert self.program is None
-        shutil.rmtree(self.copies, ignore_errors=True)
+        shutil.rmtree(self.replication_folder, ignore_errors=True)
 
     def call(self, line, timeout=10):
         """Sends one line to the operators' address and returns the answer; empty: none."""
@@ -110,7 +110,7 @@
         except OSError:
             return ""
 
-    def stands(self):
+    def fleet_status(self):
         """The answer to FLEET by key; empty: none."""
         answer = self.call("FLEET", 2)
         return dict(pair.split("=", 1) for pair in answer.split()[1:]) if answer.startswith("OK ") else {}
@@ -122,7 +122,7 @@
         records = [json.loads(line) for line in self.log().splitlines() if line.endswith("}")]
         return [record for record in records if record["event"] == event]
 
-    def invoke(self, timeout=5):
+    def send_request(self, timeout=5):
         """Sends one request through the sidecar and returns the status."""
         host, port = self.listen.split(":")
         head = [f"GET /api HTTP/1.1\r\nHost: x\r\nReq-Id: {os.urandom(8).hex()}\r\nReq-Kind: {READ}"]
@@ -143,17 +143,18 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        process, self.given = os.getpid(), set()
+        process = os.getpid()
+        self.used_addresses = set()
         self.host = f"127.{1 + process // 250 % 250}.{process % 250}.{1 + next(FLEETS) % 250}"
         self.catalog = StubDiscovery()
         self.providers = [StubServer(ok) for _ in range(providers)]
-        for party in (self.catalog, *self.providers):
-            self.addCleanup(party.close)
+        for stub in (self.catalog, *self.providers):
+            self.addCleanup(stub.close)
         self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
         self.voters = [f"n{n}" for n in range(voters)]
         self.seats = {name: self.free() for name in self.voters}
         # By (sidecar, member): the address by which one reaches the other, if it is not the member's own.
-        self.reach = {}
+        self.address_overrides = {}
         self.sidecars = {n: Sidecar(self, n) for n in [*self.voters, *(f"f{n}" for n in range(followers))]}
         self.addCleanup(lambda: [sidecar.kill() for sidecar in self.sidecars.values()])
         return self.sidecars
@@ -169,15 +170,15 @@
         while True:
             with socket.create_server((self.host, 0)) as sock:
                 address = address_of(sock)
-            if address not in self.given:
-                self.given.add(address)
+            if address not in self.used_addresses:
+                self.used_addresses.add(address)
                 return address
 
     def members_of(self, name):
         """The list of members in one sidecar's file."""
-        return ", ".join(f"{n}={self.reach.get((name, n), seat)}" for n, seat in self.seats.items())
+        return ", ".join(f"{n}={self.address_overrides.get((name, n), address)}" for n, address in self.seats.items())
 
-    def begin(self, *names):
+    def start_sidecars(self, *names):
         """Starts the named sidecars, or all, and waits until they serve and know a leader."""
         chosen = [self.sidecars[name] for name in names or self.sidecars]
         for sidecar in chosen:
@@ -187,22 +188,22 @@
         return chosen
 
     def knows_leader(self, sidecar):
-        return sidecar.stands().get("leader", "-") != "-"
+        return sidecar.fleet_status().get("leader", "-") != "-"
 
     def leader(self, seconds=10):
         """The sidecar that leads."""
 
         def find():
             running = [s for s in self.sidecars.values() if s.program is not None]
-            return [s for s in running if s.stands().get("role") == "leader"]
+            return [s for s in running if s.fleet_status().get("role") == "leader"]
 
         return self.wait(find, seconds)[0]
 
     def wait(self, check, seconds=20):
-        found = eventually(check, seconds)
-        if not found:
+        result = eventually(check, seconds)
+        if not result:
             for sidecar in self.sidecars.values():
                 with suppress(OSError):
                     print(f"---- {sidecar.name}\n{sidecar.log()[-4000:]}")
-            self.fail("it did not come to that")
-        return found
+            self.fail("the condition was not met in time")
+        return result
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -125,15 +125,15 @@
         for name in names or self.sidecars:
             (self.sidecars[name].folder / "partners.json").write_text(text, encoding="utf-8")
 
-    def begin(self, *names):
+    def start_sidecars(self, *names):
         """Writes the configuration and starts the sidecars."""
         self.write_config()
         for name, sidecar in self.sidecars.items():
             keys = {"site": self.name, "file": "partners.json", "service": "orders@shop"} | self.options
             if name in self.listens:
                 keys["listen"] = self.listens[name]
-            sidecar.more = "\n".join(["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())])
-        return super().begin(*names)
+            sidecar.extra_config = "\n".join(["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())])
+        return super().start_sidecars(*names)
 
     def reload(self, *names):
         """Writes the partners' file and reloads it."""
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -63,7 +63,7 @@
         site.write_services()
         return site
 
-    def begin(self, site):
+    def start_sidecars(self, site):
         """Starts the sidecars with the sections for partners and the catalog in the operator's file."""
         site.write_config()
         for name, sidecar in site.sidecars.items():
@@ -71,8 +71,8 @@
             if name in site.listens:
                 keys["listen"] = site.listens[name]
             lines = ["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())]
-            sidecar.more = "\n".join([*lines, "[catalog]", 'file = "services.json"'])
-        super(PartnerSite, site).begin()
+            sidecar.extra_config = "\n".join([*lines, "[catalog]", 'file = "services.json"'])
+        super(PartnerSite, site).start_sidecars()
         return site.sidecars["f0"]
 
     def fake_partner(self, site, *rows):
@@ -97,7 +97,7 @@
         bergen = self.fake_partner("bergen", *rows, make_route("secret@shop", terms={"use": "nobody"}))
         services = [{"name": "orders", "types": ["a"]}, {"name": "bills", "types": ["b"]}, {"name": "both"}]
         site = self.site(services, [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         a, b = site.providers
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
 
@@ -150,7 +150,7 @@
         gate = self.provider(lambda head, body: time.sleep(0.02) or ok(head, body))
         bergen = self.fake_partner("bergen", make_route("stock@shop", [gate.address]))
         site = self.site([{"name": "orders", "types": ["a"]}], [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         statuses, over = [], threading.Event()
 
@@ -221,7 +221,7 @@
             "bergen", make_route("orders@shop", [gate.address]), make_route("stock@shop", [gate.address])
         )
         site = self.site([{"name": "orders", "types": ["a"]}], [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         self.assertEqual([send_request(f0, host)[0] for host in ("orders", "stock.shop")], [200, 200])
         # The short name refers to the partner's service once the replicated state has its claim.
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -38,7 +38,7 @@
     def up(self, voters=3, followers=1, **keys):
         self.keys = self.keys | keys
         self.fleet(voters, followers)
-        self.begin()
+        self.start_sidecars()
         return self.leader()
 
     def caller(self, at=""):
@@ -66,7 +66,7 @@
         return [name for name in self.voters if name != sidecar.name]
 
     def led_by_another(self, sidecar):
-        return any(self.sidecars[name].stands()["role"] == "leader" for name in self.others(sidecar))
+        return any(self.sidecars[name].fleet_status()["role"] == "leader" for name in self.others(sidecar))
 
     def at_rest(self, load):
         load.finish()
@@ -103,7 +103,7 @@
         lost.say(SubmitCommand(1, first))
         self.wait(lambda: self.held() == b"first")
         self.assertIsInstance(self.caller().write(FencedWrite(PEN, token, "k", b"second"), 10), Ok)
-        index = int(leader.stands()["index"])
+        index = int(leader.fleet_status()["index"])
         self.kill(leader.name)
         after = self.line(self.leader().name)
         after.say(SubmitCommand(1, first))
@@ -131,7 +131,7 @@
             self.line(leader.name, k) for k in (ConnectionKind.CALLER, ConnectionKind.CALLER, ConnectionKind.FOLLOWER)
         )
         self.wait(lambda: news(follows, 1 << 40).leads)  # of an index that it has not: a majority has said so
-        term = int(leader.stands()["term"])
+        term = int(leader.fleet_status()["term"])
         self.stop(leader.name)
         self.wait(lambda: self.led_by_another(leader))
         self.assertIsInstance(self.caller().write(FencedWrite(PEN, token, "k", b"new"), 10), Ok)
@@ -146,7 +146,7 @@
         self.assertIsInstance(outcome, CommandOutcome)
         self.assertIn(outcome.how, (OutcomeCode.NOT_LEADER, OutcomeCode.LOST))
         self.assertFalse(told.leads)
-        self.wait(lambda: int(leader.stands()["term"]) > term and leader.stands()["role"] == "follower")
+        self.wait(lambda: int(leader.fleet_status()["term"]) > term and leader.fleet_status()["role"] == "follower")
         self.assertEqual(self.held(), b"new")
 
 
@@ -160,28 +160,28 @@
             self.wait(lambda leader=leader: self.led_by_another(leader))
             self.say("f0", f"FLEET-DISABLE s{out:d}")
             self.assertLess(time.monotonic() - began, 10)
-            self.wait(lambda leader=leader: leader.stands()["role"] != "leader")
+            self.wait(lambda leader=leader: leader.fleet_status()["role"] != "leader")
             self.heal()
             self.assertTrue(self.settled())
-        self.assertEqual({s.stands()["out"] for s in self.sidecars.values()}, {"s0,s1"})
+        self.assertEqual({s.fleet_status()["out"] for s in self.sidecars.values()}, {"s0,s1"})
 
     def test_a_member_that_was_cut_off_or_comes_and_goes_deposes_nobody(self):
         leader = self.up(**SLOW)
-        term, away = leader.stands()["term"], self.sidecars[self.others(leader)[0]]
+        term, away = leader.fleet_status()["term"], self.sidecars[self.others(leader)[0]]
         self.isolate(away.name)
-        self.wait(lambda: away.stands()["role"] == "asking")
+        self.wait(lambda: away.fleet_status()["role"] == "asking")
         self.say("f0", "FLEET-DISABLE s0")
-        self.assertEqual(away.stands()["out"], "-")
-        self.assertGreater(int(away.stands()["age_ms"]), 500)
+        self.assertEqual(away.fleet_status()["out"], "-")
+        self.assertGreater(int(away.fleet_status()["age_ms"]), 500)
         for _ in range(4):
             self.heal()
             time.sleep(0.1)
             self.isolate(away.name)
             time.sleep(0.3)
         self.heal()
-        self.wait(lambda: away.stands()["out"] == "s0" and away.stands()["role"] == "follower")
-        self.assertEqual((leader.stands()["role"], leader.stands()["term"]), ("leader", term))
-        self.assertEqual(away.stands()["term"], term)
+        self.wait(lambda: away.fleet_status()["out"] == "s0" and away.fleet_status()["role"] == "follower")
+        self.assertEqual((leader.fleet_status()["role"], leader.fleet_status()["term"]), ("leader", term))
+        self.assertEqual(away.fleet_status()["term"], term)
 
     def test_frames_cut_short_or_changed_on_the_way_are_sent_again(self):
         leader, load = self.up(), Load(self, 2).start()
@@ -198,16 +198,18 @@
     def test_without_a_majority_reads_say_how_old_they_are_and_writes_fail_in_their_time(self):
         leader = self.up(write_within="500ms")
         self.say("f0", "FLEET-DISABLE s0")
-        self.wait(lambda: {s.stands()["out"] for s in self.sidecars.values()} == {"s0"})
+        self.wait(lambda: {s.fleet_status()["out"] for s in self.sidecars.values()} == {"s0"})
         self.split(*({name} for name in self.voters))
         for name in (leader.name, *self.others(leader)[:1], "f0"):
             began = time.monotonic()
             self.assertRegex(self.sidecars[name].call("FLEET-DISABLE s1"), "^ERR (NoMajority|OutcomeUnknown): ")
             self.assertLess(time.monotonic() - began, 3)
-        self.wait(lambda: min(int(s.stands()["age_ms"]) for s in self.sidecars.values()) > 1000)
-        self.wait(lambda: {self.sidecars[name].stands()["leader"] for name in self.voters} == {"-"})  # 2 elections
+        self.wait(lambda: min(int(s.fleet_status()["age_ms"]) for s in self.sidecars.values()) > 1000)
+        self.wait(
+            lambda: {self.sidecars[name].fleet_status()["leader"] for name in self.voters} == {"-"}
+        )  # 2 elections
         for name in [*self.voters, "f0"]:
-            stands = self.sidecars[name].stands()
+            stands = self.sidecars[name].fleet_status()
             self.assertEqual((stands["out"], name == "f0" or stands["leader"]), ("s0", name == "f0" or "-"))
             self.assertEqual(self.sidecars[name].call("READY"), "OK")
         self.heal()
@@ -218,12 +220,12 @@
         load = Load(self, 3, operators=3).start()
         for name in ("f0", "f1", "f2"):
             sidecar = self.sidecars[name]
-            at = self.wait(lambda s=sidecar: s.stands().get("follows", "-").strip("-"))
+            at = self.wait(lambda s=sidecar: s.fleet_status().get("follows", "-").strip("-"))
             if name == "f2":
                 self.link[name, at].block()
             else:
                 self.kill(at)
-            self.wait(lambda s=sidecar, at=at: s.stands().get("follows", "-") not in ("-", at), 20)
+            self.wait(lambda s=sidecar, at=at: s.fleet_status().get("follows", "-") not in ("-", at), 20)
             before = len(self.oracle.promises)
             self.wait(lambda before=before: len(self.oracle.promises) > before + 10, 20)
             self.resume()
@@ -234,15 +236,15 @@
         follower = self.sidecars["f0"]
         followed = []
         for _ in range(4):  # of three voters: at least one for the second time
-            at = self.wait(lambda: follower.stands().get("follows", "-").strip("-"))
+            at = self.wait(lambda: follower.fleet_status().get("follows", "-").strip("-"))
             followed.append(at)
             self.link["f0", at].refuse()
-            self.wait(lambda at=at: follower.stands().get("follows", "-") not in ("-", at))
+            self.wait(lambda at=at: follower.fleet_status().get("follows", "-") not in ("-", at))
             self.link["f0", at].heal()
         self.assertLess(len(set(followed)), len(followed))
         for voter in self.voters:
             self.link["f0", voter].refuse()
-        self.wait(lambda: follower.stands().get("follows") == "-")
+        self.wait(lambda: follower.fleet_status().get("follows") == "-")
 
 
 class DiskTest(Faults):
@@ -251,15 +253,15 @@
         self.say(leader.name, "FLEET-DISABLE s0")
         lost, old = self.sidecars[self.others(leader)[0]], {m.name: m.id for m in self.members()}
         self.kill(lost.name)
-        shutil.copytree(lost.copies, lost.folder / "old")
+        shutil.copytree(lost.replication_folder, lost.folder / "old")
         lost.wipe()
         self.start(lost.name)
         self.wait(self.whole, 20)
         new = {m.name: m.id for m in self.members()}
         self.assertEqual([n for n in new if new[n] != old[n]], [lost.name])
-        self.wait(lambda: lost.stands()["out"] == "s0")
+        self.wait(lambda: lost.fleet_status()["out"] == "s0")
         # What is meant for the old one is not taken there, and what says that it is the old one counts nowhere.
-        term = int(leader.stands()["term"])
+        term = int(leader.fleet_status()["term"])
         to_old = self.line(lost.name, ConnectionKind.MEMBER, id="x")
         as_old = self.line(leader.name, ConnectionKind.MEMBER, id=old[lost.name])
         said = {"sender": "x", "to": old[lost.name], "term": term + 100, "round": 1}
@@ -273,7 +275,7 @@
             as_old.say(message)
         time.sleep(0.3)
         for name in self.voters:
-            self.assertEqual(int(self.sidecars[name].stands()["term"]), term)
+            self.assertEqual(int(self.sidecars[name].fleet_status()["term"]), term)
         turned = [r for n in self.others(lost) for r in self.sidecars[n].logged("replication.turned_away")]
         self.assertTrue(any("another id is here" in record["why"] for record in turned))
 
@@ -286,13 +288,13 @@
         self.say("f0", "FLEET-DISABLE s0")
         self.start(away)
         self.wait(self.whole, 20)
-        self.wait(lambda: self.sidecars[away].stands()["out"] == "s0")
+        self.wait(lambda: self.sidecars[away].fleet_status()["out"] == "s0")
 
     def test_a_damaged_folder_is_set_aside_with_its_file_and_byte_and_caught_up_from_the_others(self):
         leader = self.up(followers=0)
         for n in range(8):
             self.say(leader.name, f"FLEET-DISABLE s{n}")
-        self.wait(lambda: len({s.stands()["index"] for s in self.sidecars.values()}) == 1)
+        self.wait(lambda: len({s.fleet_status()["index"] for s in self.sidecars.values()}) == 1)
         hurt = self.sidecars[self.others(leader)[0]]
         for n, how in enumerate(("flip", "tail", "lost", "version", "foreign")):
             self.kill(hurt.name)
@@ -300,12 +302,12 @@
             self.start(hurt.name)
             self.wait(lambda n=n: len(hurt.logged("replication.damaged")) == n + 1)
             told = hurt.logged("replication.damaged")[-1]
-            named = str(hurt.copies / "identity") if how == "foreign" else str(file)
+            named = str(hurt.replication_folder / "identity") if how == "foreign" else str(file)
             self.assertRegex(told["why"], f"^{re.escape(named)}: .*, at byte [0-9]+$")
-            self.assertTrue(told["aside"].startswith(str(hurt.copies)))
+            self.assertTrue(told["aside"].startswith(str(hurt.replication_folder)))
             self.wait(self.whole, 20)
-            self.wait(lambda: hurt.stands()["out"] == ",".join(f"s{n}" for n in range(8)))
-            self.assertEqual(hurt.stands()["role"], "follower")
+            self.wait(lambda: hurt.fleet_status()["out"] == ",".join(f"s{n}" for n in range(8)))
+            self.assertEqual(hurt.fleet_status()["role"], "follower")
 
     def test_no_promise_comes_of_a_full_disk_or_a_failed_sync_and_the_others_go_on(self):
         token = self.up() and self.pen()
@@ -314,9 +316,9 @@
             breaks(leader.name)
             for piece in range(10):  # the last of them it can't keep
                 caller.write(FencedWrite(PEN, token, "big", bytes([piece]) * 128 * 1024), 10)
-                if leader.stands()["role"] == "follows":
+                if leader.fleet_status()["role"] == "follows":
                     break
-            self.wait(lambda leader=leader: leader.stands()["role"] == "follows")
+            self.wait(lambda leader=leader: leader.fleet_status()["role"] == "follows")
             (ended,) = leader.logged("replication.ended")
             self.assertRegex(ended["why"], "File too large|Input/output error")
             self.assertIn("Free space on the volume or replace the disk", ended["remedy"])
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -59,7 +59,7 @@
         site.add_neighbour("bergen", site.free(), bergen.address)  # nothing listens at the first address
         site.add_neighbour("trondheim", trondheim.address)
         site.offer_routes(make_route("own@shop", terms={"show": {"only": ["trondheim"]}}))
-        site.begin()
+        site.start_sidecars()
         begun = time.monotonic()
         follower, address = site.sidecars["f0"], site.listens["n0"]
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh" and site.routes_status(s)["used"] == "2")
@@ -89,25 +89,25 @@
         site.wait(lambda: shown(address, "trondheim") == {"own@shop", "orders@shop"})
 
         # The partner's providers serve only while this site has no ready provider.
-        self.assertEqual([follower.invoke() for _ in range(5)], [200] * 5)
+        self.assertEqual([follower.send_request() for _ in range(5)], [200] * 5)
         self.assertEqual((provider.seen, site.routes_status(follower)["standby"]), ([], "ready"))
         site.catalog.change(entry("s0", site.providers[0].address, status="leaving"))
         site.wait_everywhere(lambda s: site.routes_status(s)["standby"] == "used")
         before = len(site.providers[0].seen)
-        site.wait(lambda: follower.invoke() == 200 and provider.seen)
+        site.wait(lambda: follower.send_request() == 200 and provider.seen)
         self.assertEqual(len(site.providers[0].seen), before)
         # They are not used if the terms exclude a class, because the balancer could still send that class there.
         bergen.replace_routes(make_route("orders@shop", [provider.address], classes=["status-read"]))
         site.wait(lambda: "standby=no: it is not for apply-submit, place-confirm" in follower.call("ROUTES"))
         before = len(provider.seen)
-        self.assertEqual({follower.invoke() for _ in range(3)} - {503}, set())
+        self.assertEqual({follower.send_request() for _ in range(3)} - {503}, set())
         self.assertEqual(len(provider.seen), before)
         bergen.replace_routes(routes)
-        site.wait(lambda: follower.invoke() == 200 and len(provider.seen) > before)
+        site.wait(lambda: follower.send_request() == 200 and len(provider.seen) > before)
         site.catalog.change(entry("s0", site.providers[0].address))
         site.wait(lambda: site.routes_status(follower)["standby"] == "ready")
         before = len(provider.seen)
-        site.wait(lambda: follower.invoke() == 200)
+        site.wait(lambda: follower.send_request() == 200)
         self.assertEqual(len(provider.seen), before)
 
         # Only changes are written: repeated responses cost at most one note in two seconds.
@@ -135,7 +135,7 @@
         site.options = site.options | {"table_size": "16KiB"}
         site.add_neighbour("bergen", bergen.address)
         site.add_neighbour("trondheim")
-        site.begin()
+        site.start_sidecars()
         follower, address = site.sidecars["f0"], site.listens["n2"]
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         site.wait(lambda: shown(address, "trondheim") == {"orders@shop", "b@shop"})
@@ -205,8 +205,8 @@
         site = PartnerSite.of(self, "oslo")
         site.add_neighbour("bergen", bergen.address)
         for name in site.voters:
-            site.sidecars[name].fault = KILLED_IN_A_TABLE + STOPPING_CLOCK
-        site.begin()
+            site.sidecars[name].startup_code = KILLED_IN_A_TABLE + STOPPING_CLOCK
+        site.start_sidecars()
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
 
         # The holder is killed between two chunks of a table: the table is visible as a whole or not at all, and the
@@ -257,7 +257,7 @@
             stopped.stop()
             others = [s for s in site.running() if s is not stopped]
             site.wait(lambda others=others: [s for s in others if "bergen" in site.routes_status(s)["asks"]], 15)
-            stopped.go_on()
+            stopped.resume()
             bergen.replace_routes(*routes, make_route(f"x{time.monotonic_ns()}@shop"))
             site.wait(lambda: len(site.asking_sidecars("bergen")) == 1)
             writes = site.fenced_writes("partner:bergen")
@@ -274,7 +274,7 @@
         site.add_neighbour("bergen", self.fake_partner("bergen").address)
         site.add_neighbour("trondheim", asks_from=["127.1.0.0/16"])
         site.offer_routes(make_route("own@shop"), make_route("two@shop"))
-        site.begin()
+        site.start_sidecars()
         n0, n1, n2 = (site.sidecars[n] for n in site.voters)
         at = [site.listens[n] for n in site.voters]
         for address in at:
@@ -319,7 +319,7 @@
         others[1].stop()
         site.wait(lambda: "cut off" in request_routes(site.listens[writer.name], "bergen")[1], 12)
         site.wait(lambda: site.freshness(writer, "bergen") == "gone", 12)
-        others[1].go_on()
+        others[1].resume()
         site.wait(lambda: shown(site.listens[writer.name], "bergen") == {"own@shop"})
         site.wait(lambda: site.freshness(writer, "bergen") == "fresh")
         # A restarted sidecar continues with the common index.
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -28,24 +28,24 @@
         sidecars = self.fleet()
         # with it, a response that waits for the end of the poll arrives too late
         self.keys = self.keys | {"follow_wait": "30s"}
-        self.begin()
-        self.wait(lambda: {s.invoke() for s in sidecars.values()} and all(party.seen for party in self.providers))
+        self.start_sidecars()
+        self.wait(lambda: {s.send_request() for s in sidecars.values()} and all(party.seen for party in self.providers))
         answer = sidecars["f0"].call("FLEET-DISABLE s0")
         self.assertRegex(answer, "^OK disabled, at index [0-9]+$")
         said_at = time.monotonic()
         for sidecar in sidecars.values():
-            self.wait(lambda sidecar=sidecar: sidecar.stands()["out"] == "s0", 1)
+            self.wait(lambda sidecar=sidecar: sidecar.fleet_status()["out"] == "s0", 1)
         self.assertLess(time.monotonic() - said_at, 1)
         before = len(self.providers[0].seen)
-        self.assertIn(200, {s.invoke() for s in sidecars.values() for _ in range(4)})
+        self.assertIn(200, {s.send_request() for s in sidecars.values() for _ in range(4)})
         self.assertEqual(len(self.providers[0].seen), before)
         index = int(answer.split()[-1])
-        self.assertTrue(all(int(s.stands()["index"]) >= index for s in sidecars.values()))
+        self.assertTrue(all(int(s.fleet_status()["index"]) >= index for s in sidecars.values()))
         # A provider that is unknown here may be known elsewhere. Enabled again, it gets requests.
         self.assertRegex(sidecars["n1"].call("FLEET-DISABLE s9"), "^OK")
         self.assertRegex(sidecars["f1"].call("FLEET-ENABLE s7"), "^ERR no such upstream")
         self.assertRegex(sidecars["f1"].call("FLEET-ENABLE s0"), "^OK enabled")
-        self.wait(lambda: sidecars["f0"].invoke() == 200 and len(self.providers[0].seen) > before, 10)
+        self.wait(lambda: sidecars["f0"].send_request() == 200 and len(self.providers[0].seen) > before, 10)
         self.assertRegex(sidecars["f1"].call("FLEET-REMOVE n9"), "^ERR NotTaken")
         # A process that starts while it can reach no member applies the overrides that the previous one cached.
         self.wait(lambda: {n for n, (_, out) in self.remembered("n2").items() if out} == {"s9"})
@@ -53,27 +53,27 @@
             sidecar.kill()
         alone = sidecars["n2"].start()
         self.wait(alone.ready)
-        stands = alone.stands()
+        stands = alone.fleet_status()
         self.assertEqual((stands["out"], stands["leader"]), ("s9", "-"))
         self.assertGreater(int(stands["age_ms"]), 0)
 
     def test_writes_continue_without_the_leader_and_acknowledged_overrides_remain(self):
         sidecars = self.fleet(followers=1)
         self.keys = {"beat": "100ms", "election": "800ms", "write_within": "5s"}
-        self.begin()
+        self.start_sidecars()
         self.assertRegex(sidecars["f0"].call("FLEET-DISABLE s0"), "^OK")
         leader = self.leader()
         leader.kill()
         self.assertRegex(sidecars["f0"].call("FLEET-DISABLE s1"), "^OK")
         left = [s for s in sidecars.values() if s is not leader]
         for sidecar in left:
-            self.wait(lambda sidecar=sidecar: sidecar.stands()["out"] == "s0,s1")
+            self.wait(lambda sidecar=sidecar: sidecar.fleet_status()["out"] == "s0,s1")
         # With its disk lost, it returns as another member in its slot and gets all overrides.
         before = leader.logged("replication.opened")[0]["id"]
         leader.wipe()
         leader.start()
         self.wait(lambda: [r for r in leader.logged("replication.joined") if r["id"] != before], 20)
-        self.wait(lambda: leader.stands()["out"] == "s0,s1" and leader.stands()["role"] == "follower")
+        self.wait(lambda: leader.fleet_status()["out"] == "s0,s1" and leader.fleet_status()["role"] == "follower")
         # It counts as a voter: with it and one other there is a majority.
         self.leader().kill()
         self.assertRegex(sidecars["f0"].call("FLEET-ENABLE s1"), "^OK")
@@ -81,9 +81,11 @@
         handing = self.leader()
         other = [s for s in sidecars.values() if s.program is None][0]
         other.start()
-        self.wait(lambda: other.ready() and other.stands()["out"] == "s0" and other.stands()["role"] == "follower")
+        self.wait(
+            lambda: other.ready() and other.fleet_status()["out"] == "s0" and other.fleet_status()["role"] == "follower"
+        )
         handing.signal(15)
-        self.wait(lambda: handing.stands().get("role") == "follows")
+        self.wait(lambda: handing.fleet_status().get("role") == "follows")
         next_one = self.leader()
         self.assertEqual(handing.terminate(), 0)
         roles = [record["role"] for record in next_one.logged("replication.role")]
@@ -96,7 +98,7 @@
 
     def test_without_a_majority_it_reports_the_age_of_its_state_and_acknowledges_nothing(self):
         sidecars = self.fleet(followers=1)
-        self.begin()
+        self.start_sidecars()
         self.assertRegex(sidecars["f0"].call("FLEET-DISABLE s0"), "^OK")
         stopped, killed = [s for n, s in sidecars.items() if n[0] == "n" and s is not self.leader()]
         leader = self.leader()
@@ -107,43 +109,49 @@
             answer = sidecar.call("FLEET-DISABLE s1")
             self.assertRegex(answer, "^ERR (OutcomeUnknown|NoMajority): .*")
             self.assertLess(time.monotonic() - began, 3)
-        age = int(leader.stands()["age_ms"])
+        age = int(leader.fleet_status()["age_ms"])
         self.assertGreater(age, 1000)
-        self.assertEqual(leader.stands()["out"], "s0")
-        self.wait(lambda: int(leader.stands()["age_ms"]) > age and int(sidecars["f0"].stands()["age_ms"]) > age)
-        stopped.go_on()
+        self.assertEqual(leader.fleet_status()["out"], "s0")
+        self.wait(
+            lambda: int(leader.fleet_status()["age_ms"]) > age and int(sidecars["f0"].fleet_status()["age_ms"]) > age
+        )
+        stopped.resume()
         self.wait(lambda: sidecars["f0"].call("FLEET-DISABLE s1").startswith("OK"))
         # A running member that is removed becomes an observer.
         self.assertRegex(sidecars["f0"].call(f"FLEET-REMOVE {killed.name}"), "^OK removed")
         self.assertRegex(sidecars["f0"].call(f"FLEET-REMOVE {leader.name}"), "^OK removed")
-        self.wait(lambda: leader.stands()["role"] == "follows" and leader.stands()["leader"] == stopped.name)
+        self.wait(
+            lambda: leader.fleet_status()["role"] == "follows" and leader.fleet_status()["leader"] == stopped.name
+        )
         self.assertEqual(leader.logged("replication.ended")[0]["why"].split(":")[0], leader.name)
         self.assertRegex(leader.call("FLEET-ENABLE s1"), "^OK")
         # A listed member that starts anew joins again.
         killed.start()
-        self.wait(lambda: killed.stands().get("role") in ("follower", "leader"))
+        self.wait(lambda: killed.fleet_status().get("role") in ("follower", "leader"))
         self.wait(lambda: stopped.logged("replication.role")[-1]["members"] == [stopped.name, killed.name])
         self.assertEqual(len({record["id"] for record in killed.logged("replication.opened")}), 1)
 
     def test_a_failing_disk_or_a_foreign_sidecar_affects_only_its_own_member(self):
         sidecars = self.fleet(followers=1)
-        sidecars["n1"].fault = (
+        sidecars["n1"].startup_code = (
             "import os\nreal = os.fdatasync\n"
             "def sync(fd):\n"
             "    if os.path.exists('full'): raise OSError(28, 'No space left on device')\n"
             "    return real(fd)\n"
             "os.fdatasync = sync\n"
         )
-        self.begin()
+        self.start_sidecars()
         (sidecars["n1"].folder / "full").touch()
         self.assertRegex(sidecars["f0"].call("FLEET-DISABLE s0"), "^OK")
-        self.wait(lambda: sidecars["n1"].stands()["role"] == "follows" and sidecars["n1"].stands()["out"] == "s0")
+        self.wait(
+            lambda: sidecars["n1"].fleet_status()["role"] == "follows" and sidecars["n1"].fleet_status()["out"] == "s0"
+        )
         self.assertIn("No space left", sidecars["n1"].logged("replication.ended")[0]["why"])
-        self.assertEqual(sidecars["n1"].invoke(), 200)
+        self.assertEqual(sidecars["n1"].send_request(), 200)
         # With changed files, they are set aside, and it joins as another member.
         sidecars["n1"].kill()
         (sidecars["n1"].folder / "full").unlink()
-        segment = max(sidecars["n1"].copies.glob("segment-*"))
+        segment = max(sidecars["n1"].replication_folder.glob("segment-*"))
         data = bytearray(segment.read_bytes())
         data[len(data) // 2] ^= 1
         segment.write_bytes(data)
@@ -159,10 +167,10 @@
         self.assertIn("another cluster", foreign.call("FLEET-DISABLE s1"))
         # A second process with the name of a running member does not replace it.
         double = sidecars["double"] = Sidecar(self, "double")
-        double.name, self.reach["n2", "n2"] = "n2", self.free()
+        double.name, self.address_overrides["n2", "n2"] = "n2", self.free()
         double.start()
         self.wait(lambda: any("heard from just now" in r["why"] for r in double.logged("replication.waits")))
-        self.assertIn(sidecars["n2"].stands()["role"], ("leader", "follower"))
+        self.assertIn(sidecars["n2"].fleet_status()["role"], ("leader", "follower"))
         host, port = self.seats["n0"].split(":")
         for said in (
             b"GET / HTTP/1.1\r\n\r\n",
@@ -179,7 +187,7 @@
 class LeaseTest(FleetScene):
     def test_a_lease_that_is_not_renewed_expires_under_this_leader_and_the_next(self):
         self.fleet(followers=0)
-        self.begin()
+        self.start_sidecars()
         loop = Loop()
         calls = Proposer(loop, "f", "id-f", Replication(), self.seats, lambda: 0)
         self.addCleanup(calls.close)
@@ -208,7 +216,7 @@
 
     def test_without_members_nothing_is_imported_and_commands_report_that_it_is_off(self):
         (sidecar,) = self.fleet(voters=0, followers=1).values()
-        sidecar.fault = (
+        sidecar.startup_code = (
             "import atexit, json, sys\n"
             "atexit.register(lambda: open('modules', 'w').write(json.dumps(sorted(sys.modules))))\n"
         )
@@ -228,7 +236,7 @@
 class UpgradeTest(FleetScene):
     def test_a_new_process_takes_over_the_membership_of_the_old_one(self):
         sidecars = self.fleet(followers=0)
-        self.begin()
+        self.start_sidecars()
         self.assertRegex(sidecars["n0"].call("FLEET-DISABLE s0"), "^OK")
         leader = self.leader()
         old, leader.operator_address, leader.listen = leader.program, self.free(), self.free()
@@ -236,9 +244,9 @@
         self.addCleanup(old.kill)
         leader.start()  # alongside the previous process, with the same folder and address
         self.wait(leader.ready)
-        self.wait(lambda: (leader.stands()["role"], leader.stands()["out"]) == ("follows", "s0"))
+        self.wait(lambda: (leader.fleet_status()["role"], leader.fleet_status()["out"]) == ("follows", "s0"))
         old.terminate()
-        self.wait(lambda: leader.stands()["role"] == "follower")
+        self.wait(lambda: leader.fleet_status()["role"] == "follower")
         self.assertEqual(old.wait(10), 0)
         self.assertEqual(len({record["id"] for record in leader.logged("replication.opened")}), 1)
         self.assertTrue(eventually(lambda: leader.call("FLEET-ENABLE s0").startswith("OK")))
@@ -247,12 +255,12 @@
 class RemovedTest(FleetScene):
     def test_a_member_removed_while_it_was_down_joins_again_at_its_next_start(self):
         sidecars = self.fleet(followers=0)
-        self.begin()
+        self.start_sidecars()
         out = [s for s in sidecars.values() if s is not self.leader()][0]
         out.kill()
         leader = self.leader()
         self.wait(lambda: leader.call(f"FLEET-REMOVE {out.name}") == "OK removed")
         out.start()  # by its disk it is still a voter
         self.wait(lambda: out.logged("replication.joined"), 20)
-        self.assertEqual(out.stands()["role"], "follower")
+        self.assertEqual(out.fleet_status()["role"], "follower")
         self.assertEqual(out.logged("replication.ended"), [])
