--- a/loftweir/catalog/build.py
+++ b/loftweir/catalog/build.py
@@ -154,8 +154,12 @@
 
     def providers(self, service: Service) -> ProviderSet:
         """The providers of a service. Computed on each call, so that unused services need no memory for it."""
-        own = [(one.endpoints, one.addresses) for one in map(self.own.get, service.members) if one is not None]
-        used = [one for one in map(self._usable_route, service.members) if one is not None]
+        own = [
+            (service_here.endpoints, service_here.addresses)
+            for service_here in map(self.own.get, service.members)
+            if service_here is not None
+        ]
+        used = [route for route in map(self._usable_route, service.members) if route is not None]
         is_remote = all(split_name(name)[1] != self.site.mesh for name in service.members)
         return build_provider_set(own, used, is_remote, self.site.zone, frozenset(service.contract))
 
@@ -260,10 +264,10 @@
 
     def _entry(self, members: tuple[str, ...], name: str) -> Service | UnknownService:
         """The service with these members if any of them has providers or a route, else the reason why not."""
-        if not any(self.own.get(one) is not None or self._usable_route(one) is not None for one in members):
+        if not any(self.own.get(member) is not None or self._usable_route(member) is not None for member in members):
             return self._unknown(members, name)
-        contract = strictest(contract for one in members for contract in self._contracts(one))
-        if len({split_name(one)[1] for one in members}) > 1:
+        contract = strictest(contract for member in members for contract in self._contracts(member))
+        if len({split_name(member)[1] for member in members}) > 1:
             contract = across_meshes(contract)
         return Service(key_of(members), members, contract)
 
@@ -292,12 +296,12 @@
 
     def _unknown(self, members: Iterable[str], name: str) -> UnknownService:
         reasons: dict[UnknownReason, str] = {}
-        for one in members:
-            if one in self.used:
-                reasons.setdefault(UnknownReason.UNFIT, f"{one} from {self.used[one].partner}: {FOREIGN_SITE}")
-            for partner, left in sorted(self.left.get(one, {}).items()):
+        for member in members:
+            if member in self.used:
+                reasons.setdefault(UnknownReason.UNFIT, f"{member} from {self.used[member].partner}: {FOREIGN_SITE}")
+            for partner, left in sorted(self.left.get(member, {}).items()):
                 reasons.setdefault(
-                    REASON_BY_UNUSED.get(left.reason, UnknownReason.UNFIT), f"{one} from {partner}: {left}"
+                    REASON_BY_UNUSED.get(left.reason, UnknownReason.UNFIT), f"{member} from {partner}: {left}"
                 )
         for reason in (UnknownReason.STALE, UnknownReason.EXCLUDED, UnknownReason.UNFIT):
             if reason in reasons:
--- a/loftweir/catalog/claims.py
+++ b/loftweir/catalog/claims.py
@@ -8,9 +8,11 @@
 sidecar that has the session with the mesh determines this by its own clock (`pending_commands`) and submits a command.
 So every replica sees the same end of a claim, whatever its clock shows.
 
-Invariants: 1. Two tables that applied the same entries are equal, and so are their dumps. 2. An acknowledged claim
-keeps its index until its release is in the log. 3. A mesh has at most `Limits.per_mesh` claims, and all meshes together
-at most `Limits.total`, so that no mesh uses up all.
+Invariants:
+ 1. Two tables that applied the same entries are equal, and so are their dumps.
+ 2. An acknowledged claim keeps its index until its release is in the log.
+ 3. A mesh has at most `Limits.per_mesh` claims, and all meshes together at most `Limits.total`, so that no mesh uses
+    up all.
 """
 
 from __future__ import annotations
@@ -176,20 +178,21 @@
 
     away: int = 86_400_000_000_000  # after this time without routes a claim is released
     withdrawn: int = 60_000_000_000  # the same where the mesh itself has withdrawn the service
-    settle: int = 10_000_000_000  # how long another declaration has to stay unchanged before it is written
+    min_unchanged: int = 10_000_000_000  # how long another declaration has to stay unchanged before it is written
 
 
 def pending_commands(
     table: Mapping[str, Claim], observed: Mapping[str, ObservedService], now: int, damping: Damping
 ) -> list[PutClaim | ReleaseClaim]:
-    """The commands that the sidecar with the mesh's session should submit, ordered by name. `settle` delays only a new
-    declaration of a name that is already claimed; until that is written, the strictest of both applies (`build`)."""
+    """The commands that the sidecar with the mesh's session should submit, ordered by name. `min_unchanged` delays
+    only a new declaration of a name that is already claimed; until that is written, the strictest of both applies
+    (`build`)."""
     found: list[PutClaim | ReleaseClaim] = []
     for name, service in sorted(observed.items()):
         claim = table.get(name)
         if service.declared is not None:
-            is_settled = now - service.since >= damping.settle
-            if claim is None or (claim.declared != service.declared and is_settled):
+            is_stable = now - service.since >= damping.min_unchanged
+            if claim is None or (claim.declared != service.declared and is_stable):
                 found.append(PutClaim(name, service.declared))
         elif claim is not None and now - service.since >= (damping.withdrawn if service.withdrawn else damping.away):
             found.append(ReleaseClaim(name, claim.index))
--- a/loftweir/catalog/contract.py
+++ b/loftweir/catalog/contract.py
@@ -68,8 +68,8 @@
     return dict.fromkeys(classes, ONCE)
 
 
-def _meet(one: Contract, other: Contract) -> Contract:
-    return {name: one[name].meet(other[name]) for name in one.keys() & other.keys()}
+def _meet(first: Contract, second: Contract) -> Contract:
+    return {name: first[name].meet(second[name]) for name in first.keys() & second.keys()}
 
 
 def strictest(contracts: Iterable[Contract]) -> dict[str, Clause]:
@@ -81,15 +81,21 @@
     """The contract over several meshes. Servers of one mesh do not know the keys that another mesh has seen, and zones
     of two meshes are never the same; so no scope is wider than a zone."""
     return {
-        name: msgspec.structs.replace(one, scope=Scope.ZONE)
-        if one.effect is Effect.BY_KEY and one.scope is Scope.ALL
-        else one
-        for name, one in contract.items()
+        name: msgspec.structs.replace(declared, scope=Scope.ZONE)
+        if declared.effect is Effect.BY_KEY and declared.scope is Scope.ALL
+        else declared
+        for name, declared in contract.items()
     }
 
 
-def apply_clause(cls: RequestClass, one: Clause) -> RequestClass:
+def apply_clause(cls: RequestClass, declared: Clause) -> RequestClass:
     """The class as the service's balancer gets it: with this site's own values, but never less strict than the
     contract."""
-    met = clause(cls.effect, cls.scope, cls.window, cls.deadline).meet(one)
-    return replace(cls, effect=met.effect, scope=met.scope, window=met.window, deadline=met.deadline)
+    strictest_clause = clause(cls.effect, cls.scope, cls.window, cls.deadline).meet(declared)
+    return replace(
+        cls,
+        effect=strictest_clause.effect,
+        scope=strictest_clause.scope,
+        window=strictest_clause.window,
+        deadline=strictest_clause.deadline,
+    )
--- a/loftweir/catalog/file.py
+++ b/loftweir/catalog/file.py
@@ -2,9 +2,11 @@
 
 mesh = "shop"
 
-[meshes] bergen = "mill"
+[meshes]
+bergen = "mill"
 
-[pins] orders = "orders@shop"
+[pins]
+orders = "orders@shop"
 
 [[services]]
 name = "orders"
@@ -166,8 +168,8 @@
 
 
 def _read_list(row: Mapping[str, Any], key: str, kind: type, place: str, fault: Any) -> list[Any]:
-    found = row.get(key, [])
-    if isinstance(found, list) and all(type(one) is kind for one in found):
-        return found
-    fault(f"{place}.{key}", found, f"a list of {'whole numbers' if kind is int else 'texts'}")
+    value = row.get(key, [])
+    if isinstance(value, list) and all(type(item) is kind for item in value):
+        return value
+    fault(f"{place}.{key}", value, f"a list of {'whole numbers' if kind is int else 'texts'}")
     return []
--- a/loftweir/catalog/hosts.py
+++ b/loftweir/catalog/hosts.py
@@ -67,9 +67,10 @@
     Invariant: the service has acquired one unit of `shared` for each connection that is open or being opened.
     """
 
-    def __init__(self, whole: Pool, shared: SharedLimit, key: str) -> None:
-        self.whole, self.shared, self.key = whole, shared, key
-        self.loop, self.max_connections, self.idle = whole.loop, whole.max_connections, whole.idle
+    def __init__(self, sidecar_pool: Pool, shared: SharedLimit, key: str) -> None:
+        self.sidecar_pool, self.shared, self.key = sidecar_pool, shared, key
+        self.loop = sidecar_pool.loop
+        self.max_connections, self.idle = sidecar_pool.max_connections, sidecar_pool.idle
         self.addresses: dict[str, str] = {}
         self.names_by_address: dict[str, str] = {}  # the inverse, as in `Pool`
         self.last_response_at: dict[str, int] = {}
@@ -78,19 +79,19 @@
     @property
     def open_count(self) -> int:
         """The number of connections of the sidecar."""
-        return self.whole.open_count
+        return self.sidecar_pool.open_count
 
     @open_count.setter
     def open_count(self, count: int) -> None:
-        self.whole.open_count = count
+        self.sidecar_pool.open_count = count
 
     @property
     def settings(self) -> Settings:  # type: ignore[override]
-        return self.whole.settings
+        return self.sidecar_pool.settings
 
     @property
     def options(self) -> Any:  # type: ignore[override]
-        return self.whole.options
+        return self.sidecar_pool.options
 
     def connect(self, name: str, until: int) -> Coroutine[ProviderConnection]:
         """Opens a connection, and closes the service's longest idle ones while the sidecar has no room for another."""
@@ -115,7 +116,7 @@
 
 
 class NoDiscovery:
-    """Discovery for a service's balancer: the sidecar's main balancer sends the requests for all."""
+    """Discovery for a service's balancer: the sidecar's main balancer requests the endpoint list for all."""
 
     def watch(self, on: bool) -> None: ...
 
@@ -155,7 +156,7 @@
         # By global name: the partner that offers it, and what was observed.
         self.observed: dict[str, tuple[str, ObservedService]] = {}
         self.rejected_until: dict[str, int] = {}  # by global name: time before which a rejected claim is not repeated
-        self.unsettled: set[str] = set()  # names whose claim may differ from what was observed
+        self.outdated_claims: set[str] = set()  # names whose claim may differ from what was observed
         self.shared = SharedLimit(back.pool.max_connections)
         self.service_balancers: dict[str, ServiceBalancer] = {}  # by service key
         self.catalog = self._build_catalog()
@@ -372,7 +373,7 @@
         self.claims = dict(claims.table) if claims is not None else {}
         changes = _difference(self.catalog.claims, self.claims)
         if changes:
-            self.unsettled |= changes.keys() & self.observed.keys()
+            self.outdated_claims |= changes.keys() & self.observed.keys()
             self._apply_changes(self.catalog.update(CatalogState(claims=changes)))
 
     # ---- claims ----------------------------------------------------------------------------------
@@ -387,7 +388,7 @@
                 withdrawn = name not in merged.left
                 if known is not None and (known[1].declared is not None or known[1].withdrawn is not withdrawn):
                     self.observed[name] = known[0], ObservedService(None, now, withdrawn)
-                    self.unsettled.add(name)
+                    self.outdated_claims.add(name)
                 continue
             site = used.route.path[-1]
             # The own mesh declares its services in the file, and owns its names without a claim.
@@ -397,20 +398,20 @@
             declared = Declaration(once_only(used.route.classes))
             if known is None or known[1].declared != declared or known[0] != used.partner:
                 self.observed[name] = used.partner, ObservedService(declared, now)
-                self.unsettled.add(name)
+                self.outdated_claims.add(name)
 
     def _submit_claims(self) -> Coroutine[None]:
         """Submits the commands for claims, for the partners whose lease this sidecar has."""
         while True:
             yield Wait(None, 0, self.loop.now() + CLAIM_INTERVAL)
-            for partner, leased_task in list(self.leased_tasks.items()) if self.unsettled else ():
+            for partner, leased_task in list(self.leased_tasks.items()) if self.outdated_claims else ():
                 now = self.loop.now()
-                self.unsettled = {name for name in self.unsettled if not self._is_settled(name)}
+                self.outdated_claims = {name for name in self.outdated_claims if not self._is_claim_current(name)}
                 if leased_task.valid_token() is None:
                     continue
                 observed = {
                     name: self.observed[name][1]
-                    for name in self.unsettled
+                    for name in self.outdated_claims
                     if self.observed[name][0] == partner and self.rejected_until.get(name, 0) <= now
                 }
                 for command in pending_commands(self.claims, observed, now, DAMPING):
@@ -427,7 +428,7 @@
                         self.rejected_until[command.name] = self.loop.now() + REJECTED_CLAIM_DELAY
                         emit(CATALOG_CLAIMED, name=command.name, index=0, why=result.text)
 
-    def _is_settled(self, name: str) -> bool:
+    def _is_claim_current(self, name: str) -> bool:
         """Whether the replicated claim of a name matches what was observed."""
         if name not in self.observed:
             return True
@@ -445,7 +446,7 @@
     return {name: cls for name, cls in classes.items() if name.lower() in service.contract}
 
 
-def _difference(held: Mapping[str, Any], wanted: Mapping[str, Any]) -> dict[str, Any]:
-    """The changes from `held` to `wanted`, in the form of `CatalogState`."""
-    gone: dict[str, Any] = dict.fromkeys(held.keys() - wanted.keys())
-    return gone | {name: value for name, value in wanted.items() if held.get(name) != value}
+def _difference(current: Mapping[str, Any], wanted: Mapping[str, Any]) -> dict[str, Any]:
+    """The changes from `current` to `wanted`, in the form of `CatalogState`."""
+    gone: dict[str, Any] = dict.fromkeys(current.keys() - wanted.keys())
+    return gone | {name: value for name, value in wanted.items() if current.get(name) != value}
--- a/loftweir/catalog/oracle.py
+++ b/loftweir/catalog/oracle.py
@@ -42,28 +42,28 @@
 
     def check(self, catalog: Catalog, begun: Iterable[StartedRequest]) -> None:
         """Retries each request at every provider that its service has in this catalog."""
-        live = {one.key: one for one in catalog.entries.values() if isinstance(one, Service)}
-        for one in begun:
-            service = live.get(one.key)
+        live = {entry.key: entry for entry in catalog.entries.values() if isinstance(entry, Service)}
+        for request in begun:
+            service = live.get(request.key)
             if service is None:  # all providers of its balancer are draining
                 continue
             for other in catalog.providers(service).endpoints.values():
-                if self._may_retry(one, other):
+                if self._may_retry(request, other):
                     self.retries += 1
-                    self._check_retry(one, other)
+                    self._check_retry(request, other)
 
-    def _may_retry(self, one: StartedRequest, other: Endpoint) -> bool:
-        effect, scope = one.clause.effect, one.clause.scope
-        same = dedup_group(other, scope) == dedup_group(one.provider, scope)
+    def _may_retry(self, request: StartedRequest, other: Endpoint) -> bool:
+        effect, scope = request.clause.effect, request.clause.scope
+        same = dedup_group(other, scope) == dedup_group(request.provider, scope)
         return effect is Effect.REPEATABLE or (effect is Effect.BY_KEY and same)
 
-    def _check_retry(self, one: StartedRequest, other: Endpoint) -> None:
-        where = f"{one.key}: at {one.provider.address}, then {other.address}"
-        declared = [one.declared[self.mesh_of(provider)] for provider in (one.provider, other)]
+    def _check_retry(self, request: StartedRequest, other: Endpoint) -> None:
+        where = f"{request.key}: at {request.provider.address}, then {other.address}"
+        declared = [request.declared[self.mesh_of(provider)] for provider in (request.provider, other)]
         if any(clause.effect is Effect.ONCE for clause in declared):
             self.breaches.append(f"{where}: executed twice, although a mesh declares it as once")
         elif any(clause.effect is Effect.BY_KEY for clause in declared):
-            if self.mesh_of(one.provider) != self.mesh_of(other):
+            if self.mesh_of(request.provider) != self.mesh_of(other):
                 self.breaches.append(f"{where}: in a mesh that does not know its key")
-            elif dedup_group(other, declared[0].scope) != dedup_group(one.provider, declared[0].scope):
+            elif dedup_group(other, declared[0].scope) != dedup_group(request.provider, declared[0].scope):
                 self.breaches.append(f"{where}: outside the scope in which duplicates are dropped")
--- a/loftweir/catalog/providers.py
+++ b/loftweir/catalog/providers.py
@@ -77,31 +77,33 @@
     for endpoints, at in own:
         own_endpoints.update(endpoints)
         addresses.update(at)
-    found = dict(sorted(own_endpoints.items(), key=lambda item: (item[1].zone != zone, item[0])))
-    ready = [one for one in found.values() if one.lifecycle is Lifecycle.READY]
+    endpoints_by_name = dict(sorted(own_endpoints.items(), key=lambda item: (item[1].zone != zone, item[0])))
+    ready = [endpoint for endpoint in endpoints_by_name.values() if endpoint.lifecycle is Lifecycle.READY]
     if ready and not is_remote:
-        return ProviderSet(found, addresses, classes)
+        return ProviderSet(endpoints_by_name, addresses, classes)
     admitted = classes if ready else None
     partner_routes: list[tuple[UsedRoute, dict[str, Endpoint]]] = []
-    for one in sorted(used, key=lambda one: (-(one.route.share or 1.0), one.partner, one.route.service)):
-        offered = classes & frozenset(one.route.classes)
+    for used_route in sorted(used, key=lambda u: (-(u.route.share or 1.0), u.partner, u.route.service)):
+        offered = classes & frozenset(used_route.route.classes)
         if offered and (admitted is None or admitted <= offered):
             admitted = offered if admitted is None else admitted
-            endpoints, at = partner_endpoints(one)
-            partner_routes.append((one, endpoints))
+            endpoints, at = partner_endpoints(used_route)
+            partner_routes.append((used_route, endpoints))
             addresses.update(at)
-    fraction = _scale_weights(partner_routes, sum(one.weight for one in ready))
+    fraction = _scale_weights(partner_routes, sum(endpoint.weight for endpoint in ready))
     shares: dict[str, float] = {}
     rates: dict[str, float] = {}
-    for one, endpoints in partner_routes:
+    for used_route, endpoints in partner_routes:
         for name, endpoint in endpoints.items():
-            found.setdefault(name, endpoint)
-        partner, route = one.partner, one.route
+            endpoints_by_name.setdefault(name, endpoint)
+        partner, route = used_route.partner, used_route.route
         if route.share is not None:
             shares[partner] = min(route.share, shares.get(partner, 1.0))
         if route.rate is not None:
             rates[partner] = min(route.rate, rates.get(partner, route.rate))
-    return ProviderSet(found, addresses, admitted if admitted is not None else frozenset(), fraction, shares, rates)
+    return ProviderSet(
+        endpoints_by_name, addresses, admitted if admitted is not None else frozenset(), fraction, shares, rates
+    )
 
 
 def _scale_weights(partner_routes: list[tuple[UsedRoute, dict[str, Endpoint]]], unlimited_weight: float) -> float:
@@ -109,12 +111,14 @@
     `unlimited_weight`: the total weight of this site's providers."""
     sums = [sum(endpoint.weight for endpoint in endpoints.values()) for _, endpoints in partner_routes]
     unlimited_weight += sum(
-        total for total, (one, _) in zip(sums, partner_routes, strict=True) if one.route.share is None
+        total for total, (used_route, _) in zip(sums, partner_routes, strict=True) if used_route.route.share is None
     )
     with_weight = [
-        (one.route.share, total, ends) for total, (one, ends) in zip(sums, partner_routes, strict=True) if total > 0
+        (used_route.route.share, total, endpoints)
+        for total, (used_route, endpoints) in zip(sums, partner_routes, strict=True)
+        if total > 0
     ]
-    limited = [(share, total, ends) for share, total, ends in with_weight if share is not None]
+    limited = [(share, total, endpoints) for share, total, endpoints in with_weight if share is not None]
     if not limited:
         return 1.0
     total_weight = unlimited_weight or min(total / share for share, total, _ in limited)
@@ -177,5 +181,5 @@
             return None
         self.version += 1
         kind = UpdateKind.CHANGES if self.version > 1 else UpdateKind.FULL
-        at = {one.address: self.addresses[one.address] for one in changes if one.address in self.addresses}
+        at = {e.address: self.addresses[e.address] for e in changes if e.address in self.addresses}
         return ProviderUpdate(MembershipUpdate(kind, tuple(changes), self.version), at, tuple(draining))
--- a/loftweir/catalog/shares.py
+++ b/loftweir/catalog/shares.py
@@ -7,8 +7,9 @@
 nothing, and n services that all want more converge to an equal alpha / (1 + n * alpha) of the whole, which leaves 1 /
 (1 + n * alpha) for the next one.
 
-Invariants: 1. The units in use, over all services and balancers, never exceed `total`. 2. `in_use` has only services
-that use something.
+Invariants:
+ 1. The units in use, over all services and balancers, never exceed `total`.
+ 2. `in_use` has only services that use something.
 """
 
 from __future__ import annotations
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -108,7 +108,7 @@
     def _keep(self, number: int, mesh: str, now: int) -> None:
         """A sidecar that holds a mesh's session, as it thinks. Cut off, its word is lost, or comes late."""
         seen = {f"shop@{mesh}": ObservedService(self._declared(mesh) if mesh in self.up else None, now - 9)}
-        damping = Damping(away=0 if self.dice.random() < 0.1 else 10**6, settle=0)
+        damping = Damping(away=0 if self.dice.random() < 0.1 else 10**6, min_unchanged=0)
         for act in pending_commands(self.cars[number].copies.table, seen, now, damping):
             if number in self.cut and self.dice.random() < 0.8:
                 continue
--- a/loftweir/partners/file.py
+++ b/loftweir/partners/file.py
@@ -85,11 +85,11 @@
     neighbours: dict[str, Neighbour] = {}
     rows = list(_tables(data, "neighbours", fault))
     for place, row in rows[:MAX_NEIGHBOURS]:
-        found = _parse_neighbour(place, row, site, fault)
-        if found is not None and found.name in neighbours:
-            fault(f"{place}.name", found.name, "each neighbour once")
-        elif found is not None:
-            neighbours[found.name] = found
+        neighbour = _parse_neighbour(place, row, site, fault)
+        if neighbour is not None and neighbour.name in neighbours:
+            fault(f"{place}.name", neighbour.name, "each neighbour once")
+        elif neighbour is not None:
+            neighbours[neighbour.name] = neighbour
     if len(rows) > MAX_NEIGHBOURS:
         fault("neighbours", len(rows), f"at most {MAX_NEIGHBOURS}")
     routes: dict[str, Route] = {}
@@ -166,8 +166,8 @@
         faults += 1
     if faults:
         return None
-    found = tuple(map(ipaddress.ip_network, asks_from))
-    return Neighbour(name.lower(), tuple(addresses), found, Role(role), preference, shares_keys)
+    client_networks = tuple(map(ipaddress.ip_network, asks_from))
+    return Neighbour(name.lower(), tuple(addresses), client_networks, Role(role), preference, shares_keys)
 
 
 def _is_label(value: Any) -> bool:
@@ -178,16 +178,16 @@
 
 
 def _is_address_list(value: Any) -> bool:
-    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(one, str) for one in value):
+    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(item, str) for item in value):
         return False
     try:
-        return all(split_host_port(one)[1] > 0 for one in value)
+        return all(split_host_port(address)[1] > 0 for address in value)
     except ValueError:
         return False
 
 
 def _is_network_list(value: Any) -> bool:
-    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(one, str) for one in value):
+    if not isinstance(value, list) or len(value) > MAX_ADDRESSES or not all(isinstance(item, str) for item in value):
         return False
     try:
         return bool(list(map(ipaddress.ip_network, value)))
@@ -223,8 +223,8 @@
     try:
         return parse_route(row_with_defaults, site, limits)
     except BadTable as error:
-        for found in error.faults:
-            report(found.place, _at(row_with_defaults, found.place), found.expected)
+        for route_fault in error.faults:
+            report(route_fault.place, _at(row_with_defaults, route_fault.place), route_fault.expected)
         return None
 
 
--- a/loftweir/partners/merge.py
+++ b/loftweir/partners/merge.py
@@ -158,12 +158,12 @@
 
 def newest_tables(first: Mapping[str, Table], second: Mapping[str, Table]) -> dict[str, Table]:
     """The newest table of each partner in both maps. Commutative, associative, idempotent."""
-    found = dict(first)
+    newest_by_partner = dict(first)
     for partner, table in second.items():
-        newest = newer_table(found.get(partner), table)
+        newest = newer_table(newest_by_partner.get(partner), table)
         if newest is not None:
-            found[partner] = newest
-    return found
+            newest_by_partner[partner] = newest
+    return newest_by_partner
 
 
 def expiry(candidate: Candidate, policy: Policy) -> tuple[int, Reason]:
@@ -386,28 +386,28 @@
         merged, partner_states = self.merged, self.partner_states
         for service in list(services):
             routes = self.by_service.get(service, {})
-            found = decide(
+            decision = decide(
                 service, [Candidate(p, route, partner_states[p]) for p, route in routes.items()], self.policy, now
             )
-            if merged.used.pop(service, None) != found.used:
+            if merged.used.pop(service, None) != decision.used:
                 changed.used.add(service)
             for partner in merged.left.pop(service, {}):
                 self.unconfirmed.get(partner, set()).discard(service)
-            for partner, rejected in found.left.items():
+            for partner, rejected in decision.left.items():
                 if rejected.reason is Reason.EXPIRED:
                     self.unconfirmed.setdefault(partner, set()).add(service)
-            for to in self.recipients.pop(service, set()) - found.shown.keys():
+            for to in self.recipients.pop(service, set()) - decision.shown.keys():
                 del merged.shown[to][service]
                 changed.shown.add(to)
-            for to, route in found.shown.items():
+            for to, route in decision.shown.items():
                 if merged.shown[to].get(service) != route:
                     changed.shown.add(to)
-            if found.shown:
-                self.recipients[service] = set(found.shown)
-            _store_decision(merged, service, found)
+            if decision.shown:
+                self.recipients[service] = set(decision.shown)
+            _store_decision(merged, service, decision)
             if not routes and service not in self.policy.offers:
                 self.by_service.pop(service, None)
-            if found.until < FOREVER and found.until < self.due_at.get(service, FOREVER):
-                self.due_at[service] = found.until
-                heapq.heappush(self.due, (found.until, service))
+            if decision.until < FOREVER and decision.until < self.due_at.get(service, FOREVER):
+                self.due_at[service] = decision.until
+                heapq.heappush(self.due, (decision.until, service))
         return changed
--- a/loftweir/partners/offer.py
+++ b/loftweir/partners/offer.py
@@ -59,16 +59,16 @@
         if self.error:
             return
         self.status = 400
-        found = POSITION.fullmatch(fields["after"]) if "after" in fields else None
+        position = POSITION.fullmatch(fields["after"]) if "after" in fields else None
         wait = fields.get("wait_ms", "0")
-        if "after" in fields and found is None:
+        if "after" in fields and position is None:
             self.error = "after: a mark as EPOCH.INDEX"
         elif not (wait.isascii() and wait.isdigit() and len(wait) < 8):
             self.error = "wait_ms: whole milliseconds"
         elif len(self.to) > MAX_NONCE_LENGTH or not self.to.isprintable():
             self.error = "to: plain text of at most 128 characters"
         else:
-            self.after = (int(found[1]), int(found[2])) if found else None
+            self.after = (int(position[1]), int(position[2])) if position else None
             self.wait = min(int(wait) * MS, MAX_WAIT)
 
 
@@ -152,7 +152,7 @@
                 request = yield from wire.next_event(until)
                 if not isinstance(request, h11.Request):
                     return
-                whole = isinstance((yield from wire.next_event(until)), h11.EndOfMessage)
+                complete = isinstance((yield from wire.next_event(until)), h11.EndOfMessage)
                 data = wire.rest()
                 self.connections[sock] = self.connections.pop(sock)  # moves to the end: the most recently active one
                 target = request.target.decode("ascii", "replace") if request.method == b"GET" else ""
@@ -160,7 +160,7 @@
                 if response is None:
                     return
                 status, body, kind = response
-                closes = not whole or not wire.whole() or status in (400, 404)
+                closes = not complete or not wire.whole() or status in (400, 404)
                 head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
                 close = "Connection: close\r\n" if closes else ""
                 yield from send(self.loop, sock, [f"{head}{close}\r\n".encode(), body], self.loop.now() + WRITE_TIMEOUT)
--- a/loftweir/partners/oracle.py
+++ b/loftweir/partners/oracle.py
@@ -83,13 +83,13 @@
     def _valid_terms(self, act: Breach, site: str, own: bool, bound: int) -> list[Terms]:
         """The terms that were valid at a site at some time within the bound before the action."""
         declared = self.declared.get((site, act.service), [])
-        found = [] if own else [OPEN]  # a site without a restriction passes on everything
+        valid = [] if own else [OPEN]  # a site without a restriction passes on everything
         for at, terms in declared:
             if at <= act.at - bound:
-                found = []
+                valid = []
             if at <= act.at:
-                found.append(terms)
-        return found
+                valid.append(terms)
+        return valid
 
     def _allows(self, terms: Terms, act: Breach, own: bool) -> bool:
         if terms.unknown or act.at >= terms.until:
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -58,9 +58,11 @@
 class Catalog(Protocol):
     """The catalog of services, if the operator's file names one: it uses the routes in place of `standby`."""
 
-    def update_routes(self, merged: MergeResult) -> None: ...
+    def update_routes(self, merged: MergeResult) -> None:
+        """Uses the routes of this result from now on."""
 
-    def update_claims(self, claims: Any) -> None: ...
+    def update_claims(self, claims: Any) -> None:
+        """Uses these replicated claims of names from now on."""
 
 
 class Partners:
@@ -116,8 +118,8 @@
         neighbours = self.sites.neighbours.values()
         return Policy(
             self.site,
-            roles={one.name: one.role for one in neighbours},
-            preference={one.name: one.preference for one in neighbours},
+            roles={neighbour.name: neighbour.role for neighbour in neighbours},
+            preference={neighbour.name: neighbour.preference for neighbour in neighbours},
             offers=self.sites.routes,
             gone_after=self.options.gone,
             limits=limits(self.options),
@@ -257,7 +259,7 @@
             self.task.wake()
         if before is None or before.freshness is not state.freshness or before.table is not state.table:
             table, left = state.table, self.merger.merged.left
-            used = sum(one.partner == name for one in self.merger.merged.used.values())
+            used = sum(used_route.partner == name for used_route in self.merger.merged.used.values())
             epoch, index = table.position if table is not None else (0, 0)
             freshness, routes = state.freshness.value, len(table.routes) if table is not None else 0
             emit(PARTNERS_TABLE, partner=name, standing=freshness, epoch=epoch, index=index, routes=routes, used=used)
--- a/loftweir/partners/standby.py
+++ b/loftweir/partners/standby.py
@@ -53,16 +53,16 @@
     started.
     """
     zone, cell_base = f"partner:{used.partner}", int.from_bytes(used.partner.encode(), "big") << 64
-    found = {}
+    providers = {}
     for provider in used.route.providers:
         name = f"{provider.name}@{used.partner}"
         lifecycle = Lifecycle.READY if provider.status == "active" else Lifecycle.DRAINING
         started_at = max(provider.since_ms * MS, back_at)
-        found[name] = BorderProvider(
+        providers[name] = BorderProvider(
             Endpoint(name, zone, provider.kind, -1 - cell_base - provider.cell, lifecycle, provider.weight, started_at),
             provider.address,
         )
-    return found
+    return providers
 
 
 class Standby:
@@ -89,20 +89,20 @@
         """An update of this site's own providers, together with the resulting changes of the partner's."""
         if update.kind is UpdateKind.FAILED:
             return update, dict(addresses)
-        whole = update.kind is not UpdateKind.CHANGES
-        if whole:
+        replaces_all = update.kind is not UpdateKind.CHANGES
+        if replaces_all:
             self.own = {}
         # A start without a remembered list knows nothing yet; discovery's list arrives soon.
         self.known = self.known or update.kind is not UpdateKind.REMEMBERED or bool(update.endpoints)
         for endpoint in update.endpoints:
-            # The name now belongs to the site's own provider, or is free again and announced anew.
+            # The name now belongs to the site's own provider, or is free and can be announced again.
             self.announced.pop(endpoint.address, None)
             if endpoint.lifecycle is Lifecycle.GONE:
                 self.own.pop(endpoint.address, None)
             else:
                 self.own[endpoint.address] = endpoint.lifecycle is Lifecycle.READY
         changed = self._announce()
-        return self._added(update, addresses, self.announced if whole else changed)
+        return self._added(update, addresses, self.announced if replaces_all else changed)
 
     def use(self, offered: Mapping[str, BorderProvider]) -> AddressedUpdate | None:
         """Sets the providers of the used route; empty if there is none."""
@@ -160,7 +160,7 @@
 
 def format_counts(names: Iterable[str]) -> str:
     """Counts names in the form `a:2,b:1`, for a status line."""
-    found: dict[str, int] = {}
+    counts: dict[str, int] = {}
     for name in names:
-        found[name] = found.get(name, 0) + 1
-    return ",".join(f"{name}:{found[name]}" for name in sorted(found)) or "-"
+        counts[name] = counts.get(name, 0) + 1
+    return ",".join(f"{name}:{counts[name]}" for name in sorted(counts)) or "-"
--- a/loftweir/partners/table.py
+++ b/loftweir/partners/table.py
@@ -242,11 +242,11 @@
 
 def _parse_fault(place: str, error: Exception) -> Fault:
     """The fault that a message of msgspec, or one in its format, describes; `place`: of the decoded part."""
-    found = _FAULT_PLACE.fullmatch(str(error))
-    if found is None:
+    match = _FAULT_PLACE.fullmatch(str(error))
+    if match is None:
         return Fault(place, str(error) or "JSON that is nested less deeply")
-    at = re.sub(r"\[(\d+|\.\.\.)\]", r".\1", found[2]).lstrip(".")
-    return Fault(".".join(filter(None, (place, at))), found[1])
+    at = re.sub(r"\[(\d+|\.\.\.)\]", r".\1", match[2]).lstrip(".")
+    return Fault(".".join(filter(None, (place, at))), match[1])
 
 
 def parse_route(row: Any, site: str, limits: Limits = DEFAULT_LIMITS) -> Route:
--- a/loftweir/partners/terms.py
+++ b/loftweir/partners/terms.py
@@ -128,18 +128,18 @@
     if not isinstance(value, dict):
         return msgspec.structs.replace(CLOSED, unknown=frozenset(("terms",)))
     unknown = {str(name)[:63] for name in value if name not in FIELDS}
-    found: dict[str, Any] = {}
+    parsed: dict[str, Any] = {}
     for name, parse in (
         ("use", _parse_sites),
         ("show", _parse_sites),
         ("passes", _parse_passes),
         ("until", _parse_until),
     ):
-        found[name] = parse(value.get(name))
-        if found[name] is None:
+        parsed[name] = parse(value.get(name))
+        if parsed[name] is None:
             unknown.add(name)
-            found[name] = getattr(CLOSED, name)
-    return Terms(**found, unknown=frozenset(unknown))
+            parsed[name] = getattr(CLOSED, name)
+    return Terms(**parsed, unknown=frozenset(unknown))
 
 
 def terms_to_json(terms: Terms) -> dict[str, Any]:
--- a/loftweir/replication/caller.py
+++ b/loftweir/replication/caller.py
@@ -100,6 +100,7 @@
         self.session, self.number, self.since = "", 0, 0
 
     def close(self) -> None:
+        """Closes both connections."""
         self.writes.close()
         self.reads.close()
 
@@ -185,6 +186,7 @@
         self.busy = False
 
     def close(self) -> None:
+        """Closes the connection, if there is one."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
--- a/loftweir/replication/disk.py
+++ b/loftweir/replication/disk.py
@@ -100,6 +100,7 @@
             self._batches.put(batch)
 
     def take_reports(self) -> list[BatchSynced | StorageBroken]:
+        """The reports since the last call: which batches are stable, or that the storage broke."""
         with suppress(BlockingIOError):
             os.eventfd_read(self._wake)
         reports = []
--- a/loftweir/replication/folder.py
+++ b/loftweir/replication/folder.py
@@ -85,10 +85,12 @@
 
 
 def segment_name(number: int) -> str:
+    """The file name of a log segment."""
     return f"{SEGMENT}{number:010d}"
 
 
 def snapshot_name(number: int) -> str:
+    """The file name of a snapshot."""
     return f"{SNAPSHOT}{number:010d}"
 
 
@@ -126,9 +128,11 @@
             raise FolderInUse("another process uses it", str(path)) from None
 
     def close(self) -> None:
+        """Releases the lock on the folder."""
         os.close(self.descriptor)
 
     def sync(self) -> None:
+        """Syncs the directory, which makes created, renamed and removed files stable."""
         os.fsync(self.descriptor)
 
     @staticmethod
@@ -222,6 +226,7 @@
         return aside
 
     def bytes_of(self, name: str) -> bytes:
+        """The content of a file in the folder."""
         return (self.path / name).read_bytes()
 
     def last_id(self) -> str:
--- a/loftweir/replication/follower.py
+++ b/loftweir/replication/follower.py
@@ -110,6 +110,7 @@
         return None if self.leader_known_at is None else max(0, self.loop.now() - self.leader_known_at)
 
     def close(self) -> None:
+        """Stops following and closes the connection."""
         self.closed = True
         self.task.cancel()
 
@@ -169,7 +170,7 @@
             raise Gap(f"entries after {response.after}, where those after {after} were requested", self.member)
         if self.members and members and not self.members & members:
             emit(REPLICATION_LOST, member=self.member, why=OtherCopies("all members differ", self.member))
-            yield from self._fetch_snapshot(connection, anew=True)
+            yield from self._fetch_snapshot(connection, may_be_older=True)
             return
         if response.index < after:
             if not response.leads:
@@ -178,10 +179,10 @@
                 f"its leader is at index {response.index}, and {after} was received before", self.member
             )
             emit(REPLICATION_LOST, member=self.member, why=error)
-            yield from self._fetch_snapshot(connection, anew=True)
+            yield from self._fetch_snapshot(connection, may_be_older=True)
             return
         if response.whole:
-            yield from self._fetch_snapshot(connection, anew=False)
+            yield from self._fetch_snapshot(connection, may_be_older=False)
             return
         if not response.entries and (
             response.age is None or response.age > MAX_LEADERLESS_ELECTIONS * self.options.election
@@ -205,8 +206,8 @@
         if response.age is not None:
             self.leader_known_at = max(self.leader_known_at or 0, self.loop.now() - response.age)
 
-    def _fetch_snapshot(self, connection: FrameConnection, anew: bool) -> Coroutine[None]:
-        """Fetches a snapshot chunk by chunk. `anew`: it may be older than the current state."""
+    def _fetch_snapshot(self, connection: FrameConnection, may_be_older: bool) -> Coroutine[None]:
+        """Fetches a snapshot chunk by chunk. `may_be_older`: its index may be below the current one."""
         index, data = 0, bytearray()
         while True:
             connection.put(FetchSnapshot(index, len(data)))
@@ -221,7 +222,7 @@
             if len(data) >= chunk.size:
                 break
         machine = Machine.load(bytes(data)) if data else Machine()
-        if machine.index != index or (machine.index < self.machine.index and not anew):
+        if machine.index != index or (machine.index < self.machine.index and not may_be_older):
             raise Behind(f"the snapshot is of index {machine.index}, behind {self.machine.index}", self.member)
         self.machine = machine
         self._record_leader(chunk, frozenset(chunk.members))
--- a/loftweir/replication/journal.py
+++ b/loftweir/replication/journal.py
@@ -43,6 +43,8 @@
 
 
 class Identity(StrictStruct, frozen=True):
+    """The cluster and the member that a folder belongs to."""
+
     cluster: str
     member: str  # 128 random bits in hex
 
@@ -174,6 +176,7 @@
 
     @property
     def snapshot_index(self) -> int:
+        """The index of the snapshot; 0: there is none."""
         return self.snapshot_file.index if self.snapshot_file else 0
 
     # ---- writing ----
@@ -302,6 +305,7 @@
 
 
 def encode_identity(identity: Identity) -> bytes:
+    """The content of the identity file."""
     return seal(IDENTITY, VERSION, ENCODER.encode(identity))
 
 
@@ -311,6 +315,7 @@
 
 
 def encode_snapshot(content: SnapshotContent) -> tuple[bytes, SnapshotFile]:
+    """The content of a snapshot file, and the file as the log names it."""
     data = seal(SNAPSHOT, VERSION, ENCODER.encode(content))
     snapshot = content.snapshot
     return data, SnapshotFile(content.number, snapshot.index, snapshot.term, len(data), crc32(data))
--- a/loftweir/replication/line.py
+++ b/loftweir/replication/line.py
@@ -40,9 +40,10 @@
         self.waiting_writable = False  # the coroutine waits until the socket is writable
         self.closed = False
 
-    # ---- out ----
+    # ---- sending ----
 
     def put(self, frame: Frame, may_drop: bool = False) -> None:
+        """Sends a message. `may_drop`: it may be dropped if the peer does not read."""
         self.write(encode_frame(frame), may_drop)
 
     def write(self, data: bytes, may_drop: bool = False) -> None:
@@ -109,10 +110,11 @@
                 self.task.wake()
 
     def close(self) -> None:
+        """Aborts the connection and closes the socket."""
         self.abort()
         self.loop.close(self.sock)
 
-    # ---- in ----
+    # ---- receiving ----
 
     def next(self, until: int | None) -> Coroutine[Frame]:
         """The next frame. Raises one of `CONNECTION_ERRORS` if the connection ends, or at `until`."""
--- a/loftweir/replication/links.py
+++ b/loftweir/replication/links.py
@@ -50,6 +50,7 @@
         self.task: Task = loop.spawn(self._run(), urgent=True)
 
     def put(self, message: AnyMessage) -> None:
+        """Sends a message, or queues it while there is no connection."""
         self.last_used_at = self.loop.now()
         if self.connection is None:
             self.queue.append(message)
@@ -59,6 +60,7 @@
             self.connection.put(message, isinstance(message, AppendEntries | InstallSnapshot))
 
     def close(self) -> None:
+        """Stops sending and closes the connection."""
         self.task.cancel()
 
     def _run(self) -> Coroutine[None]:
--- a/loftweir/replication/part.py
+++ b/loftweir/replication/part.py
@@ -58,7 +58,7 @@
 
     Invariants: it is either a voter or an observer. `on_overrides` has been called with all of `overrides`, which are
     those of the state machine at `index` and those acknowledged here since. A state before `index` is reported only if
-    all its members differ, which means that the cluster was founded anew.
+    all its members differ, which means that the cluster was founded again.
     """
 
     def __init__(
@@ -217,8 +217,8 @@
             self._update_from(self.observer.machine, self.observer.members)
 
     def _update_from(self, machine: Machine, members: frozenset[str]) -> None:
-        anew = bool(self.members and members) and not self.members & members
-        if anew:
+        refounded = bool(self.members and members) and not self.members & members
+        if refounded:
             self.index, self.acknowledged_ahead = 0, {}
         self.members = members or self.members
         if machine.index < self.index:
@@ -227,7 +227,7 @@
         self.index, self.cached_at, self.machine = machine.index, None, machine
         for listener in self.machine_listeners:
             listener(machine)
-        if not commands and not complete and not anew:
+        if not commands and not complete and not refounded:
             return
         changed = {name: Override(command.at, command.out) for name, command in commands.items()}
         self.acknowledged_ahead = {
@@ -235,9 +235,9 @@
         }
         # Acknowledged commands are not overwritten by an older state that arrives late.
         changed |= {name: self.overrides[name] for name in self.acknowledged_ahead}
-        self.overrides = changed if complete or anew else {**self.overrides, **changed}
+        self.overrides = changed if complete or refounded else {**self.overrides, **changed}
         emit(REPLICATION_WORDS, out=self.disabled_providers(), index=self.index)
-        self.on_overrides(changed, complete or anew)
+        self.on_overrides(changed, complete or refounded)
         if self.folder is not None and not self.save_scheduled:
             self.save_scheduled = True
             self.loop.after(max(0, self.saved_at + MIN_SAVE_INTERVAL - self.loop.now()), self._save)
--- a/loftweir/replication/raft/election.py
+++ b/loftweir/replication/raft/election.py
@@ -10,7 +10,7 @@
     """Who becomes a candidate, who gets this member's vote, and who wins."""
 
     def _start_pre_vote(self) -> None:
-        """No leader was heard of: asks the voters for pre-votes, without entering a new term (diss. 9.6)."""
+        """No leader sent a message in time: asks the voters for pre-votes, without entering a term (diss. 9.6)."""
         self.role, self.leader, self._transfer_election = Role.PRE_CANDIDATE, "", False
         self._reset_election_timer()
         self._votes = {self.me}
--- a/loftweir/replication/raft/follower.py
+++ b/loftweir/replication/raft/follower.py
@@ -83,12 +83,12 @@
             self._incoming = None
             self._respond_to_snapshot(m, m.size, self._batch_covering(m.index))
             return
-        held = self._collect_chunk(m)
-        if len(held) < m.size:
-            self._respond_to_snapshot(m, len(held))
+        data = self._collect_chunk(m)
+        if len(data) < m.size:
+            self._respond_to_snapshot(m, len(data))
             return
         self._incoming = None
-        self._install_snapshot(Snapshot(m.index, m.index_term, m.members, bytes(held)))
+        self._install_snapshot(Snapshot(m.index, m.index_term, m.members, bytes(data)))
         self._respond_to_snapshot(m, m.size, self._batch + 1)
 
     def _collect_chunk(self, m: InstallSnapshot) -> bytearray:
@@ -96,10 +96,10 @@
         key = (m.sender, m.term, m.index, m.size)
         if self._incoming is None or self._incoming.key != key:
             self._incoming = IncomingSnapshot(key)
-        held = self._incoming.data
-        if m.at == len(held) and m.at + len(m.data) <= m.size:
-            held += m.data
-        return held
+        data = self._incoming.data
+        if m.at == len(data) and m.at + len(m.data) <= m.size:
+            data += m.data
+        return data
 
     def _respond_to_snapshot(self, m: InstallSnapshot, upto: int, after: int = 0) -> None:
         self._send(
--- a/loftweir/replication/wire.py
+++ b/loftweir/replication/wire.py
@@ -302,6 +302,7 @@
         return len(self.data) > self.at
 
     def feed(self, data: bytes) -> None:
+        """Adds received bytes, and discards those of the returned frames."""
         del self.data[: self.at]
         self.at = 0
         self.data += data
@@ -329,6 +330,7 @@
         return frame
 
     def all(self) -> Iterator[Frame]:
+        """The complete frames that were not returned yet."""
         while (frame := self.next()) is not None:
             yield frame
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -205,7 +205,7 @@
 def check_flapping():
     """A service appears and disappears every second: the log gets one entry, the name stays, and the loser stays
     reachable."""
-    damping, table, writes = Damping(away=30, withdrawn=20, settle=5), Claims(), []
+    damping, table, writes = Damping(away=30, withdrawn=20, min_unchanged=5), Claims(), []
     table.apply(1, PutClaim("shop@bb", Declaration(FREE)))
     table.apply(2, PutClaim("shop@cc", Declaration(FREE)))
     catalog = Catalog(LOCAL_SITE, CatalogState({}, {"shop@cc": make_used_route("shop@cc")}, {}, table.table))
