--- a/loftweir/lease/holder.py
+++ b/loftweir/lease/holder.py
@@ -25,7 +25,7 @@
 - It writes in HELD and RENEWING only, under `token` and before `until`.
 - An expired token is never used again: it is released, whatever late responses say. A lease whose grant arrived too
   late, or not at all, is not used either: it is released and acquired again.
-- The holder's name includes 64 random bits and identifies one life of one process. No other process can be taken for
+- The holder's name includes 64 random bits and identifies one run of one process. No other process can be taken for
   it, nor it for an earlier one.
 """
 
--- a/loftweir/replication/disk.py
+++ b/loftweir/replication/disk.py
@@ -61,28 +61,28 @@
             initialized = folder.is_uninitialized()
             if not initialized:
                 try:
-                    found = read_folder(folder, cluster)
+                    recovered = read_folder(folder, cluster)
                 except StorageDamaged as error:
                     damage, old_id, set_aside_path, initialized = error, folder.last_id(), folder.set_aside(), True
             if initialized:
                 folder.initialize(cluster)
-                found = read_folder(folder, cluster)
-            disk = Disk(folder, found, segment_bytes)
+                recovered = read_folder(folder, cluster)
+            disk = Disk(folder, recovered, segment_bytes)
     except BaseException:
         folder.close()
         raise
-    return disk, found.kept, OpenReport(disk.member, initialized, found.torn, damage, old_id, set_aside_path)
+    return disk, recovered.state, OpenReport(disk.member, initialized, recovered.torn, damage, old_id, set_aside_path)
 
 
 class Disk:
     """One voter's storage; called from the loop's thread only."""
 
-    def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
-        self.member = found.log_state.identity.member
+    def __init__(self, folder: Folder, recovered: RecoveredFolder, segment_bytes: int) -> None:
+        self.member = recovered.log_state.identity.member
         self.state_may_be_lost = folder.has_set_aside()
         self.failure: StorageFailed | None = None  # set before its `StorageBroken` is reported
         self._folder = folder
-        self._writer = _Writer(folder, found, segment_bytes)
+        self._writer = _Writer(folder, recovered, segment_bytes)
         self._closing = False
         self._batches: SimpleQueue[PersistBatch | None] = SimpleQueue()
         self._reports: deque[BatchSynced | StorageBroken] = deque()
@@ -168,11 +168,11 @@
 class _Writer:
     """The files, as used by the thread."""
 
-    def __init__(self, folder: Folder, found: RecoveredFolder, segment_bytes: int) -> None:
+    def __init__(self, folder: Folder, recovered: RecoveredFolder, segment_bytes: int) -> None:
         self._folder, self._log_state, self._size, self._segment_bytes = (
             folder,
-            found.log_state,
-            found.size,
+            recovered.log_state,
+            recovered.size,
             segment_bytes,
         )
         self._buffer = bytearray()  # for the next write
--- a/loftweir/replication/machine.py
+++ b/loftweir/replication/machine.py
@@ -70,7 +70,7 @@
 
 
 class AcquireLease(StrictStruct, frozen=True, tag="acquire"):
-    """Acquires a lease if it is free. The holder's name identifies one life of one process and is never reused."""
+    """Acquires a lease if it is free. The holder's name identifies one run of one process and is never reused."""
 
     duty: str
     holder: str
--- a/loftweir/replication/reading.py
+++ b/loftweir/replication/reading.py
@@ -32,7 +32,7 @@
     """The content of a folder, and where to continue."""
 
     log_state: LogState
-    kept: PersistentState
+    state: PersistentState
     size: int  # of the last segment, in bytes
     torn: int  # bytes that were cut off
 
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -20,7 +20,7 @@
 FAST_OPTIONS = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
 command_decoder = msgspec.msgpack.Decoder(Command)
-USED_PORTS = set()  # ports that a test already got
+USED_PORTS = set()  # ports that tests of this process use
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
 
@@ -169,7 +169,7 @@
     def fenced_writes(self, lease_name):
         """The lease's fenced writes in log order: token, key, value, and whether the state machine rejected it."""
         host, port = self.seats[self.leader().name].split(":")
-        machine, found, reader = Machine(), [], wire.FrameReader()
+        machine, writes, reader = Machine(), [], wire.FrameReader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             sock.sendall(
                 wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "id", "observer", wire.ConnectionKind.FOLLOWER))
@@ -180,14 +180,14 @@
                     if response is None:
                         reader.feed(sock.recv(65536))
                 if not response.entries:
-                    return found
+                    return writes
                 for entry in response.entries:
                     if not entry.data:
                         machine.skip(entry.index)
                         continue
                     command, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
                     if isinstance(command, FencedWrite) and command.duty == lease_name:
-                        found.append((command.token, command.key, command.value, not isinstance(result, Ok)))
+                        writes.append((command.token, command.key, command.value, not isinstance(result, Ok)))
 
     def stored_keys(self, lease_name):
         """The keys that exist under a lease."""
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -111,13 +111,13 @@
     assert a.meet(b) == b.meet(a) and a.meet(a) == a and a.meet(b.meet(c)) == a.meet(b).meet(c)
     met = three[order[0]].meet(three[order[1]]).meet(three[order[2]])
     assert met == a.meet(b).meet(c) == clause(met.effect, met.scope, met.window, met.deadline)  # in canonical form
-    assert (met.effect is Effect.ONCE) == any(one.effect is Effect.ONCE for one in three)
-    assert (met.effect is Effect.REPEATABLE) == all(one.effect is Effect.REPEATABLE for one in three)
-    keyed = [one for one in three if one.effect is Effect.BY_KEY]
+    assert (met.effect is Effect.ONCE) == any(declared.effect is Effect.ONCE for declared in three)
+    assert (met.effect is Effect.REPEATABLE) == all(declared.effect is Effect.REPEATABLE for declared in three)
+    keyed = [declared for declared in three if declared.effect is Effect.BY_KEY]
     if met.effect is Effect.BY_KEY:
-        assert met.window == min(one.window for one in keyed)
-        assert (met.scope is Scope.ALL) == all(one.scope is Scope.ALL for one in keyed)
-    assert met.deadline == min(one.deadline for one in three)
+        assert met.window == min(declared.window for declared in keyed)
+        assert (met.scope is Scope.ALL) == all(declared.scope is Scope.ALL for declared in keyed)
+    assert met.deadline == min(declared.deadline for declared in three)
     both = strictest([one, other])
     assert set(both) == set(one) & set(other) and list(both) == list(strictest([other, one]))
     cls = RequestClass("read", Effect.BY_KEY, 1, 2, Scope.ALL, 5)
@@ -151,11 +151,16 @@
     for number in range(6):
         some = contenders(*declared)
         random.Random(number).shuffle(some)
-        found = resolve("shop", some, view)
-        assert found.leader == f"shop@{leader}" and found.joined == tuple(f"shop@{c}{c}" for c in joined)
-        assert dict(found.lost) == {f"shop@{m}": collisions.RULES[n].name for m, n in lost.items()}
-        assert all(collisions.RULES[n].remedy in found.text for n in lost.values()) and "shop is shop@" in found.text
-    tie = resolve("shop", [one._replace(age=collisions.NO_CLAIM, declared=None) for one in some], SiteView("zz", ""))
+        collision = resolve("shop", some, view)
+        assert collision.leader == f"shop@{leader}" and collision.joined == tuple(f"shop@{c}{c}" for c in joined)
+        assert dict(collision.lost) == {f"shop@{m}": collisions.RULES[n].name for m, n in lost.items()}
+        assert (
+            all(collisions.RULES[n].remedy in collision.text for n in lost.values())
+            and "shop is shop@" in collision.text
+        )
+    tie = resolve(
+        "shop", [contender._replace(age=collisions.NO_CLAIM, declared=None) for contender in some], SiteView("zz", "")
+    )
     assert tie.leader == "shop@aa" and {rule for _, rule in tie.lost} == {"the mesh's name"}
 
 
@@ -166,9 +171,9 @@
         assert table.apply(n + 1, PutClaim(f"s{n}@bb", Declaration(FREE))) == ClaimAccepted(n + 1)
     for n in range(300):
         answers.append(table.apply(100 + n, PutClaim(f"s{n}@evil", Declaration(FREE, (f"s{n}@bb", f"s{n}@aa")))))
-    assert [type(one) for one in answers] == [ClaimAccepted] * 100 + [ClaimRejected] * 200 and "let some" in answers[
-        -1
-    ].text
+    assert [type(answer) for answer in answers] == [ClaimAccepted] * 100 + [
+        ClaimRejected
+    ] * 200 and "let some" in answers[-1].text
     routes = {f"s{n}@evil": make_used_route(f"s{n}@evil") for n in range(300)} | {
         f"s{n}@bb": make_used_route(f"s{n}@bb") for n in range(10)
     }
@@ -196,7 +201,7 @@
     assert shop.members == ("shop@bb", "shop@cc") and changed.moved == {"shop": ("shop@bb", shop.key)}
     assert shop.contract["read"].scope is Scope.ZONE and catalog.find("shop@bb").contract == KEYED
     assert [event.joined for event in changed.events] == [("shop@cc",)]
-    assert len({one.zone for one in catalog.providers(shop).endpoints.values()}) == 2
+    assert len({endpoint.zone for endpoint in catalog.providers(shop).endpoints.values()}) == 2
     changed = catalog.update(CatalogState(claims={"shop@cc": claim(1, ONCE, same)}))
     assert changed.ended == {shop.key} and catalog.find("shop").key == "shop@bb"
     assert changed.moved["shop"] == (shop.key, "shop@bb")
@@ -218,8 +223,8 @@
         catalog.update(
             CatalogState(used={"shop@bb": make_used_route("shop@bb") if there else None}, claims=table.table)
         )
-        found = catalog.find("shop")
-        assert found.key == "shop@bb" if there else found.reason is UnknownReason.STALE
+        entry = catalog.find("shop")
+        assert entry.key == "shop@bb" if there else entry.reason is UnknownReason.STALE
         assert catalog.find("shop.cc").key == "shop@cc"
     assert not writes and table.table["shop@bb"].index == 1
     away = {"shop@bb": ObservedService(None, 100, True)}
@@ -246,9 +251,9 @@
         PutClaim("b@bb", Declaration({}, s)) for s in wrong[1]
     ]:
         assert isinstance(table.apply(10, act), ClaimRejected), act
-    kept = msgspec.msgpack.decode(msgspec.msgpack.encode(table.dump()), type=list[tuple[str, Claim]])
-    again = Claims.load(kept, table.limits)
-    assert (again.table, again.counts) == (table.table, table.counts) == (dict(kept), {"bb": 1})
+    dump = msgspec.msgpack.decode(msgspec.msgpack.encode(table.dump()), type=list[tuple[str, Claim]])
+    again = Claims.load(dump, table.limits)
+    assert (again.table, again.counts) == (table.table, table.counts) == (dict(dump), {"bb": 1})
 
 
 def test_a_renamed_service_keeps_both_names_until_the_old_claim_is_released():
@@ -274,11 +279,16 @@
     assert list(catalog.providers(catalog.find("web")).endpoints) == ["p0", "p1", "p0@s2", "p1@s2"]
     routes = {"far@bb": make_used_route("far@bb", share=0.1)}
     there = catalog.update(CatalogState({"far@bb": own(1, zone="z2")}, routes, {}, {"far@bb": claim(1)}))
-    found = catalog.providers(catalog.find("far"))
-    assert there.keys == {"far@bb"} and list(found.endpoints) == ["p0", "p0@bb", "p1@bb"] and found.fraction == 1.0
-    home, *abroad = (one.weight for one in found.endpoints.values())
-    assert sum(abroad) <= 0.1 * (home + sum(abroad)) and found.shares == {"bb": 0.1}
-    assert len({one.cell for one in found.endpoints.values()}) == 3 and found.endpoints["p0@bb"].zone == "z1@bb"
+    providers = catalog.providers(catalog.find("far"))
+    assert (
+        there.keys == {"far@bb"} and list(providers.endpoints) == ["p0", "p0@bb", "p1@bb"] and providers.fraction == 1.0
+    )
+    home, *abroad = (endpoint.weight for endpoint in providers.endpoints.values())
+    assert sum(abroad) <= 0.1 * (home + sum(abroad)) and providers.shares == {"bb": 0.1}
+    assert (
+        len({endpoint.cell for endpoint in providers.endpoints.values()}) == 3
+        and providers.endpoints["p0@bb"].zone == "z1@bb"
+    )
 
 
 @FEW_EXAMPLES
@@ -290,16 +300,16 @@
         for n, (c, s) in enumerate(partners)
     ]
     ends = [({"p": Endpoint("p", "z1", "plain", 1, Lifecycle.READY)}, {"p": "h:1"})] if ready else []
-    found = build_provider_set(ends, routes, True, "z1", classes)
-    assert found == build_provider_set(ends, routes[::-1], True, "z1", classes) and set(found.addresses) >= set(
-        found.endpoints
+    providers = build_provider_set(ends, routes, True, "z1", classes)
+    assert providers == build_provider_set(ends, routes[::-1], True, "z1", classes) and set(providers.addresses) >= set(
+        providers.endpoints
     )
-    whole = sum(one.weight for one in found.endpoints.values())
-    for one in routes:
-        weights = [end.weight for end in found.endpoints.values() if end.address.endswith(f"@{one.partner}")]
-        assert not weights or found.classes <= set(one.route.classes) & classes
-        assert found.fraction * sum(weights) <= (one.route.share or 1.0) * whole + 1e-9
-    assert found.classes == classes if ready else found.classes or not any(c & classes for c, _ in partners)
+    whole = sum(endpoint.weight for endpoint in providers.endpoints.values())
+    for used_route in routes:
+        weights = [end.weight for end in providers.endpoints.values() if end.address.endswith(f"@{used_route.partner}")]
+        assert not weights or providers.classes <= set(used_route.route.classes) & classes
+        assert providers.fraction * sum(weights) <= (used_route.route.share or 1.0) * whole + 1e-9
+    assert providers.classes == classes if ready else providers.classes or not any(c & classes for c, _ in partners)
 
 
 def test_updates_are_incremental_and_removed_providers_drain_first():
@@ -380,7 +390,11 @@
 
 
 def loosest(contracts):
-    return {"read": max((one["read"] for one in contracts), key=lambda one: contract.STRICTNESS[one.effect])}
+    return {
+        "read": max(
+            (declared["read"] for declared in contracts), key=lambda declared: contract.STRICTNESS[declared.effect]
+        )
+    }
 
 
 def put_without_age(self, index, command):
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -135,14 +135,14 @@
         self.assertEqual(send_request(f0, "both")[0], 200)
         self.assertEqual(len(a.seen) + len(b.seen), 2)
         # Concurrent requests with one id under two names are one request.
-        held = threading.Event()
-        a.answer = lambda head, body: held.wait(2) and ok(head, body)
+        may_respond = threading.Event()
+        a.answer = lambda head, body: may_respond.wait(2) and ok(head, body)
         first = threading.Thread(target=send_request, args=(f0, "orders", READ, 8, "one"))
         a.seen.clear()
         first.start()
         site.wait(lambda: a.seen)
         status, body, _ = send_request(f0, "bills", READ, 8, "one")
-        held.set()
+        may_respond.set()
         first.join()
         self.assertEqual((status, "in use" in body), (400, True))
 
@@ -163,10 +163,10 @@
             one.start()
         site.wait(lambda: {("orders", 200), ("stock.shop", 200)} <= set(statuses))
         # A request in flight ends at its provider, although its name no longer refers to a service.
-        site.providers[0].answer = lambda head, body: go_on.wait(5) and ok(head, body)
-        go_on, ended = threading.Event(), []
-        held = threading.Thread(target=lambda: ended.append(send_request(f0, "orders", KEYED)[0]))
-        held.start()
+        site.providers[0].answer = lambda head, body: may_respond.wait(5) and ok(head, body)
+        may_respond, ended = threading.Event(), []
+        request = threading.Thread(target=lambda: ended.append(send_request(f0, "orders", KEYED)[0]))
+        request.start()
         site.wait(lambda: any(KEYED in head for head, *_ in site.providers[0].seen))
         # The operators rename the service; the partner withdraws its service, offers it again and moves it to another
         # provider.
@@ -174,8 +174,8 @@
         site.write_services()
         site.reload("f0")
         site.wait(lambda: send_request(f0, "orders")[0] == 404)
-        go_on.set()
-        held.join(10)
+        may_respond.set()
+        request.join(10)
         self.assertEqual(ended, [200])
         site.reload()
         site.wait(lambda: send_request(f0, "goods")[0] == 200)
--- a/tests/test_partner_parts.py
+++ b/tests/test_partner_parts.py
@@ -187,15 +187,15 @@
         with pytest.raises(NotActing):
             yield from leased_task.put("head", b"x", SECOND)
         events.append(leased_task.valid_token())
-        leased_task.machine_changed(held)
+        leased_task.machine_changed(other_holds)
         yield Wait(None, 0, loop.now() + SECOND // 5)
         loop.stopped = True
 
     leased_task = LeasedTask(
         loop, "n0", LEASE_NAME, SECOND, (FakeCluster(), FakeCluster()), events.append, lambda: events.append("end")
     )
-    held = Machine()
-    held.leases[LEASE_NAME] = Lease("n1~0", 6, SECOND, 6)
+    other_holds = Machine()
+    other_holds.leases[LEASE_NAME] = Lease("n1~0", 6, SECOND, 6)
     loop.after(10 * SECOND, setattr, loop, "stopped", True)
     loop.spawn(run())
     leased_task.set_wanted(True)
@@ -240,8 +240,8 @@
                 own_endpoints |= {e.address: e for e in endpoints}
                 listed = listed or kind is not UpdateKind.REMEMBERED or bool(endpoints)
         else:
-            found = standby.use(border_providers(used(), 5) if kind else {}) if what == "use" else standby.end_drain()
-            update, addresses = found or (MembershipUpdate(UpdateKind.FAILED), {})
+            result = standby.use(border_providers(used(), 5) if kind else {}) if what == "use" else standby.end_drain()
+            update, addresses = result or (MembershipUpdate(UpdateKind.FAILED), {})
         if update.kind is not UpdateKind.FAILED:  # the view of the balancer
             announced = announced if update.kind is UpdateKind.CHANGES else {}
             announced |= {e.address: e for e in update.endpoints}
@@ -307,8 +307,8 @@
     providers = [{name = "g", address = "127.0.0.1:1", zone = "a", type = "m"}]
     terms = {use = "all", show = {only = ["bergen"]}, passes = 0, until = 2030-01-01T00:00:00Z}
     """
-    (found,) = load(tmp_path, text, "partners.toml").routes.values()
-    assert (found.share, found.valid_for, found.terms.until) == (0.5, 120 * SECOND, 1893456000 * SECOND)
+    (route,) = load(tmp_path, text, "partners.toml").routes.values()
+    assert (route.share, route.valid_for, route.terms.until) == (0.5, 120 * SECOND, 1893456000 * SECOND)
 
 
 def test_all_faults_of_the_file_are_reported_with_their_places(tmp_path):
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -283,12 +283,12 @@
         self.assertEqual(request_routes(at[0], "trondheim"), (403, "127.0.0.1 is none of its addresses\n"))
         answers = [request_routes(address, "bergen")[1] for address in at]
         self.assertEqual(answers, [answers[0]] * 3)
-        held = position(answers[0])
+        known_position = position(answers[0])
         # Without changes a request waits and then confirms the table; with changes it ends at once, at whichever
         # sidecar.
         began = time.monotonic()
-        status, answer = request_routes(at[1], "bergen", held, 400)
-        self.assertEqual((status, answer["snapshot"], position(answer)), (200, False, held))
+        status, answer = request_routes(at[1], "bergen", known_position, 400)
+        self.assertEqual((status, answer["snapshot"], position(answer)), (200, False, known_position))
         self.assertGreater(time.monotonic() - began, 0.35)
         site.offer_routes(make_route("own@shop", terms={"use": {"only": ["bergen"]}}))
         writer = [s for s in site.running() if s.logged("partners.offers_here")][-1]
@@ -299,10 +299,10 @@
         self.assertIn("not what this sidecar may show", request_routes(site.listens[others[0].name], "bergen")[1])
         site.reload()
         for address, wait_ms in ((at[2], 5000), (at[0], 300), (at[1], 300), (at[2], 300)):
-            status, answer = request_routes(address, "bergen", held, wait_ms)
+            status, answer = request_routes(address, "bergen", known_position, wait_ms)
             self.assertEqual((status, answer["snapshot"]), (200, False), answer)
-            self.assertGreaterEqual(index_of(answer), tuple(map(int, held.split("."))))
-            held = position(answer)
+            self.assertGreaterEqual(index_of(answer), tuple(map(int, known_position.split("."))))
+            known_position = position(answer)
         site.wait(lambda: [shown(address, "bergen") for address in at] == [{"own@shop"}] * 3)
         # A position that this site never had gets no older table; an invalid request gets an error.
         self.assertEqual(request_routes(at[0], "bergen", "99999999999.1", 300)[0], 503)
@@ -323,12 +323,12 @@
         site.wait(lambda: shown(site.listens[writer.name], "bergen") == {"own@shop"})
         site.wait(lambda: site.freshness(writer, "bergen") == "fresh")
         # A restarted sidecar continues with the common index.
-        held = position(request_routes(site.listens[writer.name], "bergen")[1])
+        known_position = position(request_routes(site.listens[writer.name], "bergen")[1])
         others[0].start()
         address = site.listens[others[0].name]
-        site.wait(lambda: request_routes(address, "bergen", held)[0] == 200)
-        answer = request_routes(address, "bergen", held)[1]
-        self.assertEqual((position(answer), answer["snapshot"]), (held, False))
+        site.wait(lambda: request_routes(address, "bergen", known_position)[0] == 200)
+        answer = request_routes(address, "bergen", known_position)[1]
+        self.assertEqual((position(answer), answer["snapshot"]), (known_position, False))
 
     def test_the_example_of_two_sites_runs_to_its_end(self):
         program = [sys.executable, str(ROOT / "examples" / "two-sites" / "run.py")]
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -109,11 +109,11 @@
     good = terms_to_json(OPEN)
     bad = [("price", 3), ("use", {"near": ["aa"]}), ("use", {"only": [1]}), ("passes", True), ("until", "soon")]
     for name, value in [*bad, ("show", None), ("passes", -1)]:
-        found = parse_terms({**good, name: value})
-        assert found.unknown == {name} and not found.may_use("aa", 0) and not found.may_show("aa", 0), name
+        parsed = parse_terms({**good, name: value})
+        assert parsed.unknown == {name} and not parsed.may_use("aa", 0) and not parsed.may_show("aa", 0), name
     assert parse_terms(None).unknown == {"terms"} and parse_terms({}).unknown == set(terms_module.FIELDS)
-    held = {"bb": fresh("bb", {SERVICE: make_route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
-    assert str(merge(held, Policy("aa"), 0).left[SERVICE]["bb"]) == "unknown term price"
+    states = {"bb": fresh("bb", {SERVICE: make_route(SERVICE, "bb", terms(unknown=frozenset(("price",))))})}
+    assert str(merge(states, Policy("aa"), 0).left[SERVICE]["bb"]) == "unknown term price"
 
 
 def test_a_leak_is_attributed_to_the_site_that_showed_the_route():
@@ -130,9 +130,9 @@
 
 
 def offer(site="bb", epoch=1, number=3):
-    found = Offer(site, epoch)
-    found.replace({f"s{n}@{site}": make_route(f"s{n}@{site}", site, OPEN) for n in range(number)})
-    return found
+    offered = Offer(site, epoch)
+    offered.replace({f"s{n}@{site}": make_route(f"s{n}@{site}", site, OPEN) for n in range(number)})
+    return offered
 
 
 def fresh(site, routes, epoch=1, index=1, now=0):
@@ -189,9 +189,9 @@
         parse_response(json.dumps(data).encode(), "bb")
     assert [fault.place for fault in caught.value.faults] == ["routes.0.share", "routes.2.path"]
     many, three = offer(number=3), Limits(routes=3)
-    held = apply_response(None, parse_response(many.response(None), "bb"))
+    current = apply_response(None, parse_response(many.response(None), "bb"))
     many.replace({**many.routes, "x@bb": make_route("x@bb", "bb", OPEN)})
-    for rejected in (lambda: apply_response(held, parse_response(many.response(held.position), "bb"), three),
+    for rejected in (lambda: apply_response(current, parse_response(many.response(current.position), "bb"), three),
                     lambda: parse_response(many.response(None), "bb", three),
                     lambda: parse_response(many.response(None), "bb", Limits(bytes=100))):  # fmt: skip
         with pytest.raises(BadTable, match="at most"):
@@ -203,7 +203,7 @@
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.lists(st.lists(st.tuples(st.integers(0, 5), st.booleans(), st.integers(0, 3)), max_size=4), max_size=8))
 def test_changes_give_the_same_table_as_a_snapshot_and_truncated_or_replayed_ones_are_rejected(steps):
-    source, held, before, routes = offer(number=2), None, [], {}
+    source, current, before, routes = offer(number=2), None, [], {}
     for step in steps:
         for number, there, passes in step:
             name = f"s{number}@bb"
@@ -211,18 +211,18 @@
             if there:
                 routes[name] = make_route(name, "bb", terms(passes=passes))
         source.replace(dict(routes))
-        data = source.response(held.position if held else None, "q")
+        data = source.response(current.position if current else None, "q")
         for at in range(0, len(data), 97):
             with pytest.raises(BadTable):
                 parse_response(data[:at], "bb")
-        held = apply_response(held, parse_response(data, "bb"))
-        whole = apply_response(None, parse_response(source.response(None), "bb"))
-        assert (held.etag, held.routes) == (whole.etag, whole.routes) == (held.etag, source.routes)
-        assert decode_table(encode_table(held)) == held
+        current = apply_response(current, parse_response(data, "bb"))
+        full = apply_response(None, parse_response(source.response(None), "bb"))
+        assert (current.etag, current.routes) == (full.etag, full.routes) == (current.etag, source.routes)
+        assert decode_table(encode_table(current)) == current
         before.append(source.response(None))
         for old in before:
             with pytest.raises(OldTable):
-                apply_response(held, parse_response(old, "bb"))
+                apply_response(current, parse_response(old, "bb"))
     assert not source.replace(dict(source.routes))
 
 
@@ -275,11 +275,11 @@
 
 
 def routes_of(partner, drawn):
-    found = {}
+    routes = {}
     for number, (declared, path, valid) in drawn.items():
         partner_route = make_route(f"s{number}@m", partner, declared)
-        found[partner_route.service] = msgspec.structs.replace(partner_route, path=(partner, *path), valid_for=valid)
-    return found
+        routes[partner_route.service] = msgspec.structs.replace(partner_route, path=(partner, *path), valid_for=valid)
+    return routes
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -296,7 +296,7 @@
         since = before.since if freshness is before.freshness else now
         confirmed = now if freshness is Freshness.FRESH else before.confirmed_at
         partner_states[partner] = PartnerState(table, freshness, since, confirmed)
-        was = {to: dict(found) for to, found in merger.merged.shown.items()}
+        was = {to: dict(routes) for to, routes in merger.merged.shown.items()}
         changed = merger.update_partner(partner, partner_states[partner], now)
         assert merger.merged == merge(partner_states, policy, now)
         assert {to for to in was if was[to] != merger.merged.shown[to]} <= changed.shown
@@ -471,8 +471,8 @@
 
 
 def used_path(simulation, site):
-    found = simulation.sites[site].merger.merged.used.get(SERVICE)
-    return found.route.path if found else None
+    used = simulation.sites[site].merger.merged.used.get(SERVICE)
+    return used.route.path if used else None
 
 
 def tightened_while_a_link_is_down(new_terms=CLOSED):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -21,21 +21,23 @@
 class FleetTest(FleetScene):
     def remembered(self, name):
         """The overrides in the cache with which the sidecar's next process would start."""
-        found = remembered.load(self.folder / name / "tmp", "loftweir")
-        return found.words if found else {}
+        cache = remembered.load(self.folder / name / "tmp", "loftweir")
+        return cache.words if cache else {}
 
     def test_an_override_given_to_an_observer_applies_at_every_sidecar_within_a_second(self):
         sidecars = self.fleet()
         # with it, a response that waits for the end of the poll arrives too late
         self.keys = self.keys | {"follow_wait": "30s"}
         self.start_sidecars()
-        self.wait(lambda: {s.send_request() for s in sidecars.values()} and all(party.seen for party in self.providers))
+        self.wait(
+            lambda: {s.send_request() for s in sidecars.values()} and all(provider.seen for provider in self.providers)
+        )
         answer = sidecars["f0"].call("FLEET-DISABLE s0")
         self.assertRegex(answer, "^OK disabled, at index [0-9]+$")
-        said_at = time.monotonic()
+        sent_at = time.monotonic()
         for sidecar in sidecars.values():
             self.wait(lambda sidecar=sidecar: sidecar.fleet_status()["out"] == "s0", 1)
-        self.assertLess(time.monotonic() - said_at, 1)
+        self.assertLess(time.monotonic() - sent_at, 1)
         before = len(self.providers[0].seen)
         self.assertIn(200, {s.send_request() for s in sidecars.values() for _ in range(4)})
         self.assertEqual(len(self.providers[0].seen), before)
@@ -53,9 +55,9 @@
             sidecar.kill()
         alone = sidecars["n2"].start()
         self.wait(alone.ready)
-        stands = alone.fleet_status()
-        self.assertEqual((stands["out"], stands["leader"]), ("s9", "-"))
-        self.assertGreater(int(stands["age_ms"]), 0)
+        status = alone.fleet_status()
+        self.assertEqual((status["out"], status["leader"]), ("s9", "-"))
+        self.assertGreater(int(status["age_ms"]), 0)
 
     def test_writes_continue_without_the_leader_and_acknowledged_overrides_remain(self):
         sidecars = self.fleet(followers=1)
@@ -125,7 +127,7 @@
         )
         self.assertEqual(leader.logged("replication.ended")[0]["why"].split(":")[0], leader.name)
         self.assertRegex(leader.call("FLEET-ENABLE s1"), "^OK")
-        # A listed member that starts anew joins again.
+        # A listed member that starts again after its removal joins again.
         killed.start()
         self.wait(lambda: killed.fleet_status().get("role") in ("follower", "leader"))
         self.wait(lambda: stopped.logged("replication.role")[-1]["members"] == [stopped.name, killed.name])
@@ -160,11 +162,11 @@
         self.assertIn("segment", damaged["why"])
         self.wait(lambda: damaged["id"] in [r["id"] for r in sidecars["n1"].logged("replication.joined")], 20)
         # A sidecar of another cluster, or a client with another protocol, gets the reason.
-        foreign = sidecars["f1"] = Sidecar(self, "f1")
-        foreign.start(cluster="other")
-        self.wait(lambda: foreign.logged("replication.lost"))
-        self.wait(lambda: any("another cluster" in r["why"] for r in foreign.logged("replication.lost")))
-        self.assertIn("another cluster", foreign.call("FLEET-DISABLE s1"))
+        other_cluster = sidecars["f1"] = Sidecar(self, "f1")
+        other_cluster.start(cluster="other")
+        self.wait(lambda: other_cluster.logged("replication.lost"))
+        self.wait(lambda: any("another cluster" in r["why"] for r in other_cluster.logged("replication.lost")))
+        self.assertIn("another cluster", other_cluster.call("FLEET-DISABLE s1"))
         # A second process with the name of a running member does not replace it.
         double = sidecars["double"] = Sidecar(self, "double")
         double.name, self.address_overrides["n2", "n2"] = "n2", self.free()
@@ -172,13 +174,13 @@
         self.wait(lambda: any("heard from just now" in r["why"] for r in double.logged("replication.waits")))
         self.assertIn(sidecars["n2"].fleet_status()["role"], ("leader", "follower"))
         host, port = self.seats["n0"].split(":")
-        for said in (
+        for data in (
             b"GET / HTTP/1.1\r\n\r\n",
             wire.encode_frame(wire.FollowRequest(0, 0)),
             wire.encode_frame(hello(version=99)),
         ):
             with socket.create_connection((host, int(port)), timeout=5) as sock:
-                sock.sendall(said)
+                sock.sendall(data)
                 reader = wire.FrameReader()
                 reader.feed(b"".join(iter(lambda sock=sock: sock.recv(4096), b"")))
                 self.assertIsInstance(reader.next(), wire.ConnectionRejected)
--- a/tests/test_replication_core.py
+++ b/tests/test_replication_core.py
@@ -22,31 +22,31 @@
 
 def cluster_with_leader(make=Core, member_count=3, **plan):
     """A simulated cluster with a leader and without faults, and its members, the leader's first."""
-    world = Simulation(1, Plan(member_count, **plan), make)
-    until(world, lambda: (leader := world.leader()) and leader.can_change_members and world.converged())
-    first = member_at(world, world.leader().me)
-    return world, [first, *(seat for seat in world.slots.values() if seat is not first)]
+    sim = Simulation(1, Plan(member_count, **plan), make)
+    until(sim, lambda: (leader := sim.leader()) and leader.can_change_members and sim.converged())
+    first = member_at(sim, sim.leader().me)
+    return sim, [first, *(member for member in sim.slots.values() if member is not first)]
 
 
-def member_at(world, id):
-    return world.slots[id.split(".")[0]]
+def member_at(sim, id):
+    return sim.slots[id.split(".")[0]]
 
 
-def until(world, over, within=2 * SECOND):
-    assert world.run_until(world.now + within, over), [world.describe(seat) for seat in world.slots.values()]
+def until(sim, over, within=2 * SECOND):
+    assert sim.run_until(sim.now + within, over), [sim.describe(member) for member in sim.slots.values()]
 
 
-def cut_both_ways(world, a, b, by=1):
-    world.cut([(a.name, b.name), (b.name, a.name)], by)
+def cut_both_ways(sim, a, b, by=1):
+    sim.cut([(a.name, b.name), (b.name, a.name)], by)
 
 
-def write_and_wait(world, seat, count=1):
+def write_and_wait(sim, member, count=1):
     """Makes writes one after the other and returns their outcomes."""
     outcomes = []
     for _ in range(count):
-        token = world.write(seat)
-        until(world, lambda token=token: token in world.outcomes)
-        outcomes.append(world.outcomes[token])
+        token = sim.write(member)
+        until(sim, lambda token=token: token in sim.outcomes)
+        outcomes.append(sim.outcomes[token])
     return outcomes
 
 
@@ -55,128 +55,126 @@
 
 def figure_eight(make=Core):
     """Paper, figure 8: an entry of an old term is on a majority, and another leader may still overwrite it."""
-    world, (a, b, c) = cluster_with_leader(make, timing=Timing(10 * MS, 50 * MS, max_append_bytes=1))
+    sim, (a, b, c) = cluster_with_leader(make, timing=Timing(10 * MS, 50 * MS, max_append_bytes=1))
     for other in (b, c):
-        cut_both_ways(world, a, other)
-    world.write(a)
+        cut_both_ways(sim, a, other)
+    sim.write(a)
     old = a.core.last_index
-    until(world, lambda: a.disk.last_index == old)
-    world.crash(a)
-    until(world, lambda: Role.LEADER in (b.core.role, c.core.role))
+    until(sim, lambda: a.disk.last_index == old)
+    sim.crash(a)
+    until(sim, lambda: Role.LEADER in (b.core.role, c.core.role))
     p, q = (b, c) if b.core.role is Role.LEADER else (c, b)
-    cut_both_ways(world, p, q)
-    until(world, lambda: p.disk.last_index == old)  # another entry at the same index, only on its own disk
-    world.crash(p)
-    cut_both_ways(world, a, q, -1)
-    world.start(a)
-    until(world, lambda: a.core.match(q.id) == old)  # in a later term of the leader, on two disks of three
-    cut_both_ways(world, a, q)
-    world.crash(a)
-    cut_both_ways(world, p, q, -1)
-    world.start(p)
-    until(world, lambda: p.core.role is Role.LEADER and p.core.can_change_members)
+    cut_both_ways(sim, p, q)
+    until(sim, lambda: p.disk.last_index == old)  # another entry at the same index, only on its own disk
+    sim.crash(p)
+    cut_both_ways(sim, a, q, -1)
+    sim.start(a)
+    until(sim, lambda: a.core.match(q.id) == old)  # in a later term of the leader, on two disks of three
+    cut_both_ways(sim, a, q)
+    sim.crash(a)
+    cut_both_ways(sim, p, q, -1)
+    sim.start(p)
+    until(sim, lambda: p.core.role is Role.LEADER and p.core.can_change_members)
     assert q.core.entries(old, old)[0].kind is EntryKind.NOOP
 
 
 def stale_read(make=Core):
-    """A leader that is cut off and whose clock nearly stands still answers no read, although it still believes that it
+    """A leader that is cut off and whose clock nearly stops answers no read, although it still believes that it
     leads.
     """
-    world, (a, b, c) = cluster_with_leader(make)
-    world.set_clock_rate(a, 20)
+    sim, (a, b, c) = cluster_with_leader(make)
+    sim.set_clock_rate(a, 20)
     for other in (b, c):
-        cut_both_ways(world, a, other)
-    until(world, lambda: world.leader() not in (None, a.core))
-    write_and_wait(world, member_at(world, world.leader().me))
+        cut_both_ways(sim, a, other)
+    until(sim, lambda: sim.leader() not in (None, a.core))
+    write_and_wait(sim, member_at(sim, sim.leader().me))
     assert a.core.role is Role.LEADER
-    token = world.read(a)
-    world.run_until(world.now + 100 * MS)
-    assert token not in world.outcomes
+    token = sim.read(a)
+    sim.run_until(sim.now + 100 * MS)
+    assert token not in sim.outcomes
     for other in (b, c):
-        cut_both_ways(world, a, other, -1)
-    until(world, lambda: token in world.outcomes)
-    assert world.outcomes[token] == RequestRejected(token, RejectionReason.NOT_LEADER)
+        cut_both_ways(sim, a, other, -1)
+    until(sim, lambda: token in sim.outcomes)
+    assert sim.outcomes[token] == RequestRejected(token, RejectionReason.NOT_LEADER)
 
 
 def follower_without_incoming_messages(make=Core):
-    """A member that does not receive the leader's messages, but is heard by all, disturbs neither then nor
+    """A member that does not receive the leader's messages, but whose own messages reach all, disturbs neither then nor
     afterwards.
     """
-    world, (a, b, c) = cluster_with_leader(make)
+    sim, (a, b, c) = cluster_with_leader(make)
     term = a.core.term
-    world.cut([(a.name, b.name)], 1)
-    until(world, lambda: b.core.role is not Role.FOLLOWER)
-    world.run_until(world.now + 300 * MS)
-    world.cut([(a.name, b.name)], -1)
-    world.run_until(world.now + 300 * MS)
-    assert [s.core.term for s in (a, b, c)] == [term] * 3 and world.leader() is a.core
+    sim.cut([(a.name, b.name)], 1)
+    until(sim, lambda: b.core.role is not Role.FOLLOWER)
+    sim.run_until(sim.now + 300 * MS)
+    sim.cut([(a.name, b.name)], -1)
+    sim.run_until(sim.now + 300 * MS)
+    assert [s.core.term for s in (a, b, c)] == [term] * 3 and sim.leader() is a.core
 
 
 def uninformed_removed_voter(make=Core):
     """A removed voter that was not informed does not disturb (diss. 4.2.3), and neither does its later term."""
-    world, (a, b, c) = cluster_with_leader(make)
+    sim, (a, b, c) = cluster_with_leader(make)
     term = a.core.term
-    cut_both_ways(world, a, b)
-    world.submit(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != b.id)))
-    world.run_until(world.now + 20 * MS)
-    world.crash(b)
+    cut_both_ways(sim, a, b)
+    sim.submit(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != b.id)))
+    sim.run_until(sim.now + 20 * MS)
+    sim.crash(b)
     b.disk.hard = api.HardState(term + 1, b.id)  # as if it had started an election
-    world.start(b)
-    cut_both_ways(world, a, b, -1)
-    world.run_until(world.now + 500 * MS)
+    sim.start(b)
+    cut_both_ways(sim, a, b, -1)
+    sim.run_until(sim.now + 500 * MS)
     assert b.core.role is not Role.OUT and (c.core.leader, c.core.term) == (a.id, term) == (a.id, a.core.term)
 
 
 def truncated_members(make=Core):
     """The members of a truncated entry are not effective any more."""
-    world, (a, b, c) = cluster_with_leader(make)
+    sim, (a, b, c) = cluster_with_leader(make)
     before = a.core.members
     for other in (b, c):
-        cut_both_ways(world, a, other)
-    token = world.submit(a, lambda token: api.MembershipChange(token, before[:2]))
+        cut_both_ways(sim, a, other)
+    token = sim.submit(a, lambda token: api.MembershipChange(token, before[:2]))
     assert a.core.members == before[:2]
-    until(world, lambda: world.leader() not in (None, a.core))
+    until(sim, lambda: sim.leader() not in (None, a.core))
     for other in (b, c):
-        cut_both_ways(world, a, other, -1)
-    until(world, world.converged)
-    assert a.core.members == before and world.outcomes[token] == RequestRejected(token, RejectionReason.LOST)
+        cut_both_ways(sim, a, other, -1)
+    until(sim, sim.converged)
+    assert a.core.members == before and sim.outcomes[token] == RequestRejected(token, RejectionReason.LOST)
 
 
 def snapshot_in_chunks(make=Core):
     """A snapshot is sent in chunks while writes continue, and memory stays bounded; a window that was full before does
     not prevent it.
     """
-    world, (a, b, _) = cluster_with_leader(make, sync=200_000)
-    world.crash(b)
-    write_and_wait(world, a, 100)
-    world.start(b)
+    sim, (a, b, _) = cluster_with_leader(make, sync=200_000)
+    sim.crash(b)
+    write_and_wait(sim, a, 100)
+    sim.start(b)
     sent_messages, most = [], 0
-    send = world._send
-    world._send = lambda source, m: (sent_messages.append(m), send(source, m))
+    send = sim._send
+    sim._send = lambda source, m: (sent_messages.append(m), send(source, m))
     for _ in range(200):
-        write_and_wait(world, a)
+        write_and_wait(sim, a)
         most = max(most, a.core.last_index - a.core.first_index, b.core.last_index - b.core.first_index)
     pieces = [m for m in sent_messages if isinstance(m, api.InstallSnapshot)]
-    assert (
-        len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= world.plan.timing.snapshot_chunk_bytes
-    )
+    assert len({m.at for m in pieces}) > 2 and max(len(m.data) for m in pieces) <= sim.plan.timing.snapshot_chunk_bytes
     assert len({m.index for m in pieces}) == 1, "one snapshot was enough, and the log continued from there"
-    assert b.core.applied >= a.core.last_index - 5 and most < 5 * world.plan.timing.snapshot_after_entries
-    until(world, world.converged)
+    assert b.core.applied >= a.core.last_index - 5 and most < 5 * sim.plan.timing.snapshot_after_entries
+    until(sim, sim.converged)
 
 
 def needed_after_its_removal(make=Core):
     """A member that alone has the entry which removes it has to lead once more (diss. 4.2.2)."""
-    world, (a, b) = cluster_with_leader(make, member_count=2)
-    cut_both_ways(world, a, b)
-    world.submit(a, lambda token: api.MembershipChange(token, (b.member(),)))
-    world.wanted_slots.discard(a.name)
-    until(world, lambda: a.disk.last_index == a.core.last_index)
-    world.crash(a)
-    world.start(a)
-    cut_both_ways(world, a, b, -1)
-    until(world, lambda: world.converged() and a.core.role is Role.OUT)
-    assert world.leader() is b.core
+    sim, (a, b) = cluster_with_leader(make, member_count=2)
+    cut_both_ways(sim, a, b)
+    sim.submit(a, lambda token: api.MembershipChange(token, (b.member(),)))
+    sim.wanted_slots.discard(a.name)
+    until(sim, lambda: a.disk.last_index == a.core.last_index)
+    sim.crash(a)
+    sim.start(a)
+    cut_both_ways(sim, a, b, -1)
+    until(sim, lambda: sim.converged() and a.core.role is Role.OUT)
+    assert sim.leader() is b.core
 
 
 def chunks_of_two_snapshots(make=Core):
@@ -198,8 +196,8 @@
     assert upto(piece("c", 3, 0, b"CC")) == [2]
     actions = piece("c", 3, 2, b"CC")
     assert [a.snapshot.data for a in actions if isinstance(a, api.RestoreSnapshot)] == [b"CCCC"]
-    keep, say = (next(a for a in actions if isinstance(a, kind)) for kind in (api.PersistBatch, api.SendMessage))
-    assert say.after == keep.batch and keep.all_gone and say.message.upto == 4
+    persist, send = (next(a for a in actions if isinstance(a, kind)) for kind in (api.PersistBatch, api.SendMessage))
+    assert send.after == persist.batch and persist.all_gone and send.message.upto == 4
     again = piece("c", 3, 0, b"CC", index=4)
     assert upto(again) == [4] and not any(isinstance(a, (api.PersistBatch, api.RestoreSnapshot)) for a in again)
 
@@ -224,73 +222,73 @@
 
 @pytest.mark.parametrize("member_count", [1, 2, 3, 5])
 def test_a_cluster_is_founded_and_serves_writes_and_reads(member_count):
-    world, (a, *others) = cluster_with_leader(member_count=member_count)
-    outcomes = write_and_wait(world, a, 20)
+    sim, (a, *others) = cluster_with_leader(member_count=member_count)
+    outcomes = write_and_wait(sim, a, 20)
     assert [type(o) for o in outcomes] == [api.RequestCompleted] * 20
     assert [o.index for o in outcomes] == list(range(outcomes[0].index, outcomes[0].index + 20))
-    token = world.read(a)
-    until(world, lambda: token in world.outcomes)
-    assert world.outcomes[token] == api.RequestCompleted(token, outcomes[-1].index)
+    token = sim.read(a)
+    until(sim, lambda: token in sim.outcomes)
+    assert sim.outcomes[token] == api.RequestCompleted(token, outcomes[-1].index)
     for other in others:
-        assert write_and_wait(world, other)[0].why is RejectionReason.NOT_LEADER
-    for seat in world.slots.values():
-        world.crash(seat)
-        world.start(seat)
-    until(world, lambda: world.leader() and world.converged())
+        assert write_and_wait(sim, other)[0].why is RejectionReason.NOT_LEADER
+    for member in sim.slots.values():
+        sim.crash(member)
+        sim.start(member)
+    until(sim, lambda: sim.leader() and sim.converged())
 
 
 def test_a_leadership_transfer_takes_no_election_timeout_and_loses_no_write():
-    world, (a, *_) = cluster_with_leader()
-    tokens = [world.write(a) for _ in range(10)]
-    began = world.now
-    world.deliver(a, a.core, api.TransferLeadership())
-    late = world.write(a)
-    assert world.outcomes[late].why is RejectionReason.BUSY
-    until(world, lambda: world.leader() not in (None, a.core))
-    assert world.now - began < 20 * MS and all(type(world.outcomes[t]) is api.RequestCompleted for t in tokens)
+    sim, (a, *_) = cluster_with_leader()
+    tokens = [sim.write(a) for _ in range(10)]
+    began = sim.now
+    sim.deliver(a, a.core, api.TransferLeadership())
+    late = sim.write(a)
+    assert sim.outcomes[late].why is RejectionReason.BUSY
+    until(sim, lambda: sim.leader() not in (None, a.core))
+    assert sim.now - began < 20 * MS and all(type(sim.outcomes[t]) is api.RequestCompleted for t in tokens)
 
 
 def test_a_leadership_transfer_to_an_unreachable_member_is_given_up():
-    world, (a, b, c) = cluster_with_leader()
+    sim, (a, b, c) = cluster_with_leader()
     for _ in range(5):
-        world.write(a)
-    cut_both_ways(world, a, b)
-    cut_both_ways(world, a, c)
-    world.deliver(a, a.core, api.TransferLeadership())
-    cut_both_ways(world, a, b, -1)
-    cut_both_ways(world, a, c, -1)
+        sim.write(a)
+    cut_both_ways(sim, a, b)
+    cut_both_ways(sim, a, c)
+    sim.deliver(a, a.core, api.TransferLeadership())
+    cut_both_ways(sim, a, b, -1)
+    cut_both_ways(sim, a, c, -1)
     a.core._transfer_target = "nobody"
-    world.run_until(world.now + 100 * MS)
-    assert type(write_and_wait(world, a)[0]) is api.RequestCompleted
+    sim.run_until(sim.now + 100 * MS)
+    assert type(write_and_wait(sim, a)[0]) is api.RequestCompleted
 
 
 def test_a_leader_that_removes_itself_steps_down_once_that_is_committed():
-    world, (a, *_) = cluster_with_leader()
-    token = world.submit(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != a.id)))
-    world.wanted_slots.discard(a.name)
-    until(world, lambda: token in world.outcomes)
-    assert type(world.outcomes[token]) is api.RequestCompleted and a.core.role is Role.OUT
-    began = world.now
-    until(world, world.converged)
-    assert world.now - began < 40 * MS, "it let another member start an election"
-    world.run_until(world.now + 500 * MS)
-    assert a.core.role is Role.OUT and max(world.oracle.leaders) == world.leader().term
+    sim, (a, *_) = cluster_with_leader()
+    token = sim.submit(a, lambda token: api.MembershipChange(token, tuple(m for m in a.core.members if m.id != a.id)))
+    sim.wanted_slots.discard(a.name)
+    until(sim, lambda: token in sim.outcomes)
+    assert type(sim.outcomes[token]) is api.RequestCompleted and a.core.role is Role.OUT
+    began = sim.now
+    until(sim, sim.converged)
+    assert sim.now - began < 40 * MS, "it let another member start an election"
+    sim.run_until(sim.now + 500 * MS)
+    assert a.core.role is Role.OUT and max(sim.oracle.leaders) == sim.leader().term
 
 
 def test_a_member_with_a_wiped_disk_returns_under_another_id_as_a_learner_first():
-    world, (a, b, _) = cluster_with_leader()
-    write_and_wait(world, a, 30)
-    world._inject_wipe(b, 50 * MS)
-    until(world, lambda: b.core is not None)
+    sim, (a, b, _) = cluster_with_leader()
+    write_and_wait(sim, a, 30)
+    sim._inject_wipe(b, 50 * MS)
+    until(sim, lambda: b.core is not None)
     assert b.core.role is Role.OUT and not b.core.members
     seen = set()
-    world.call_later(0, world.administer)
-    until(world, lambda: seen.add(b.core.role) or seen.add(b.id in a.core._ids - a.core.voters) or world.converged())
+    sim.call_later(0, sim.administer)
+    until(sim, lambda: seen.add(b.core.role) or seen.add(b.id in a.core._ids - a.core.voters) or sim.converged())
     assert seen >= {Role.OUT, Role.FOLLOWER, True} and b.id in a.core.voters and b.id.endswith(".2")
 
 
 def test_membership_changes_of_more_than_one_step_are_rejected():
-    world, (a, b, c) = cluster_with_leader()
+    sim, (a, b, c) = cluster_with_leader()
     core, members = a.core, a.core.members
     learners = tuple(Member(f"x{i}", f"x{i}", "", False) for i in range(14))
     for unfit in ((), members[:1], (*members, members[0]), (*members, Member("d", b.name, "")), (*members, *learners)):
@@ -310,36 +308,36 @@
 
 def test_a_member_far_behind_catches_up_on_10_000_entries_quickly():
     timing = Timing(10 * MS, 50 * MS, snapshot_after_entries=1 << 30)
-    world, (a, b, _) = cluster_with_leader(timing=timing, check=1 << 30)
-    world.crash(b)
+    sim, (a, b, _) = cluster_with_leader(timing=timing, check=1 << 30)
+    sim.crash(b)
     for _ in range(10):
-        tokens = [world.write(a) for _ in range(1000)]
-        until(world, lambda tokens=tokens: tokens[-1] in world.outcomes)
-    world.start(b)
-    began, real = world.now, time.perf_counter()
-    until(world, lambda: b.core.applied == a.core.last_index >= 10_000)
-    assert world.now - began < 200 * MS and time.perf_counter() - real < 5
+        tokens = [sim.write(a) for _ in range(1000)]
+        until(sim, lambda tokens=tokens: tokens[-1] in sim.outcomes)
+    sim.start(b)
+    began, real = sim.now, time.perf_counter()
+    until(sim, lambda: b.core.applied == a.core.last_index >= 10_000)
+    assert sim.now - began < 200 * MS and time.perf_counter() - real < 5
 
 
 def test_what_the_core_reports_about_other_members():
-    world, (a, b, c) = cluster_with_leader()
-    write_and_wait(world, a, 3)
-    world.crash(c)
-    world.run_until(world.now + 200 * MS)
-    now = a.clock_at(world.now)
+    sim, (a, b, c) = cluster_with_leader()
+    write_and_wait(sim, a, 3)
+    sim.crash(c)
+    sim.run_until(sim.now + 200 * MS)
+    now = a.clock_at(sim.now)
     assert a.core.match(b.id) == a.core.last_index == a.core.match(a.id) and a.core.match("nobody") == 0
     assert now - a.core.last_response_at(b.id) < 20 * MS < 150 * MS < now - a.core.last_response_at(c.id)
     assert 0 <= now - a.core.quorum_confirmed_at < 20 * MS and now <= a.core.next_at <= now + 10 * MS
-    assert 0 <= b.clock_at(world.now) - b.core.quorum_confirmed_at < 20 * MS
+    assert 0 <= b.clock_at(sim.now) - b.core.quorum_confirmed_at < 20 * MS
 
 
 def test_a_step_takes_little_cpu_time():
-    world, (a, b, c) = cluster_with_leader(check=1 << 30)
+    sim, (a, b, c) = cluster_with_leader(check=1 << 30)
     for _ in range(5):
-        began, steps = time.process_time(), world.steps
-        tokens = [world.write(a) for _ in range(30)]
-        until(world, lambda tokens=tokens: tokens[-1] in world.outcomes)
-        each = (time.process_time() - began) / (world.steps - steps)
+        began, steps = time.process_time(), sim.steps
+        tokens = [sim.write(a) for _ in range(30)]
+        until(sim, lambda tokens=tokens: tokens[-1] in sim.outcomes)
+        each = (time.process_time() - began) / (sim.steps - steps)
         if each < 200e-6:
             return
     raise AssertionError(f"{each * 1e6:.0f} us a step, simulation included")
--- a/tests/test_replication_disk.py
+++ b/tests/test_replication_disk.py
@@ -47,31 +47,31 @@
     return Snapshot(index, 1, MEMBERS, data)
 
 
-def possible_states(batches, stable, kept=PersistentState()):  # noqa: B008
+def possible_states(batches, stable, state=PersistentState()):  # noqa: B008
     """All states that a disk may have once batch `stable` is stable, by a simple model; the last one: with
     all batches.
     """
-    found = [kept]
+    states = [state]
     for batch in batches:
-        hard, remaining, snapshot_ = batch.hard or kept.hard, kept.entries, batch.snapshot or kept.snapshot
-        found.append(PersistentState(hard, kept.snapshot, remaining))
+        hard, remaining, snapshot_ = batch.hard or state.hard, state.entries, batch.snapshot or state.snapshot
+        states.append(PersistentState(hard, state.snapshot, remaining))
         remaining = tuple(e for e in remaining if batch.cut is None or e.index < batch.cut)
-        found.append(PersistentState(hard, kept.snapshot, remaining))
+        states.append(PersistentState(hard, state.snapshot, remaining))
         if batch.snapshot:
             remaining = tuple(e for e in remaining if e.index > snapshot_.index and not batch.all_gone)
-        found += [
+        states += [
             PersistentState(hard, snapshot_, remaining + batch.entries[:n]) for n in range(len(batch.entries) + 1)
         ]
-        kept = found[-1]
-        found = [kept] if batch.batch <= stable else found
-    return found
+        state = states[-1]
+        states = [state] if batch.batch <= stable else states
+    return states
 
 
 def reports_until(disk, batch, seconds=20):
     """The reports up to the one for this batch, or up to a failure."""
     reports = []
     while not reports or (reports[-1] != BatchSynced(batch) and not isinstance(reports[-1], StorageBroken)):
-        assert select.select([disk], [], [], seconds)[0], "nothing was told"
+        assert select.select([disk], [], [], seconds)[0], "there was no report"
         reports += disk.take_reports()
     return reports
 
@@ -85,9 +85,9 @@
 
 
 def reopen(path, cluster="c"):
-    disk, kept, report = open_disk(path, cluster)
+    disk, state, report = open_disk(path, cluster)
     disk.close()
-    return kept, report
+    return state, report
 
 
 BATCHES = (
@@ -110,8 +110,8 @@
     with pytest.raises(FolderInUse):
         open_disk(folder, "c")
     disk.close()
-    kept, report = reopen(folder)
-    assert kept == PersistentState(HardState(2), snapshot(3), entries(4, 11) + entries(15, 17, term=2))
+    state, report = reopen(folder)
+    assert state == PersistentState(HardState(2), snapshot(3), entries(4, 11) + entries(15, 17, term=2))
     assert not report.begun and report.damage is None and report.torn == 0
     assert sorted(os.listdir(folder))[2:] == [FIRST, SECOND, THIRD, LAST, COPY]
 
@@ -143,8 +143,8 @@
         "a record has a wrong checksum",
     ),
     "another snapshot": (COPY, lambda d: seal(KIND, 1, unseal(KIND, 1, d)[:-1] + b"!"), COPY, "not the snapshot"),
-    "foreign version": (LAST, lambda d: d.replace(b"log 1\n", b"log 2\n"), LAST, "version 2, this one reads 1"),
-    "foreign identity": ("identity", lambda d: d.replace(b" 1 ", b" 2 "), "identity", "version 2"),
+    "other version": (LAST, lambda d: d.replace(b"log 1\n", b"log 2\n"), LAST, "version 2, this one reads 1"),
+    "other identity": ("identity", lambda d: d.replace(b" 1 ", b" 2 "), "identity", "version 2"),
     "another cluster's": (LAST, f"../d/{LAST}", LAST, "another cluster, 'd'"),
     "another member's": (LAST, f"../c/{LAST}", LAST, "another member"),
     "another's mark": ("mark", "../c/mark", "mark", "another member"),
@@ -168,26 +168,26 @@
     else:
         (folder / file).write_bytes(how((folder / file).read_bytes()))
     before = {f.name: f.read_bytes() for f in folder.iterdir()}
-    kept, report = reopen(folder)
+    state, report = reopen(folder)
     assert report.damage.file == folder / name and why in report.damage.what, report.damage
-    assert kept == PersistentState() and report.begun and report.member != report.before
+    assert state == PersistentState() and report.begun and report.member != report.before
     assert report.before == own or how == "../c/identity"
     assert {f.name: f.read_bytes() for f in report.aside.iterdir()} == before
     assert reopen(folder)[1] == (report.member, False, 0, None, "", None)
 
 
 def test_every_changed_byte_is_detected(folder):
-    held, seeded = Folder(folder), random.Random(7)
+    locked_folder, seeded = Folder(folder), random.Random(7)
     for file in sorted(folder.iterdir()):
         whole = file.read_bytes()
         for at in range(seeded.randrange(3), len(whole), 3):
             file.write_bytes(whole[:at] + bytes([whole[at] ^ 1 << seeded.randrange(8)]) + whole[at + 1 :])
             with pytest.raises(StorageDamaged) as caught:
-                read_folder(held, "c")
+                read_folder(locked_folder, "c")
             assert caught.value.file == file and 0 <= caught.value.at <= len(whole)
         file.write_bytes(whole)
-    assert read_folder(held, "c").kept.hard == HardState(2)
-    held.close()
+    assert read_folder(locked_folder, "c").state.hard == HardState(2)
+    locked_folder.close()
 
 
 def test_the_last_three_damaged_folders_are_kept_and_other_clusters_are_rejected(folder):
@@ -200,12 +200,12 @@
 def test_a_torn_record_after_the_mark_is_cut_off_and_complete_ones_are_used(folder, remaining):
     """As after a loss of power, which may leave an older mark and the end of a write that was never synced."""
     mark = (folder / "mark").read_bytes()
-    disk, kept, _ = open_disk(folder, "c")
+    disk, state, _ = open_disk(folder, "c")
     persist_all(disk, PersistBatch(1, entries=entries(32, 2, term=2))).close()
     os.truncate(folder / LAST, record_ends((folder / LAST).read_bytes())[-2] + remaining)
     (folder / "mark").write_bytes(mark)
     again, report = reopen(folder)
-    assert again.entries == kept.entries + entries(32, 1, term=2) and report.torn == remaining and not report.damage
+    assert again.entries == state.entries + entries(32, 1, term=2) and report.torn == remaining and not report.damage
     assert reopen(folder) == (again, report._replace(torn=0))
 
 
@@ -213,13 +213,13 @@
     "data", [b"", journal.FIRST_LINE[:7], journal.FIRST_LINE, journal.FIRST_LINE + b"\x40\0\0\0\0"]
 )
 def test_a_segment_without_its_header_after_the_mark_is_removed(folder, data):
-    kept, report = reopen(folder)
+    state, report = reopen(folder)
     (folder / "segment-0000000005").write_bytes(data)
-    assert reopen(folder) == (kept, report._replace(torn=len(data)))
+    assert reopen(folder) == (state, report._replace(torn=len(data)))
     persist_all(
         open_disk(folder, "c", 300)[0], PersistBatch(1, entries=entries(32, 1)), PersistBatch(2, entries=entries(33, 1))
     ).close()
-    assert reopen(folder)[0].entries == kept.entries + entries(32, 2)
+    assert reopen(folder)[0].entries == state.entries + entries(32, 2)
 
 
 class FailingCalls:
@@ -274,8 +274,8 @@
         assert bool(failure) == (failing.left <= 0) and (number > 60 or failure) and (number < 80 or not failure)
         assert not failure or (os.strerror(failing.code) in failure.what and str(path) in failure.where)
         stable = max((r.batch for r in reports if isinstance(r, BatchSynced)), default=0)
-        kept, report = reopen(path)
-        assert report.damage is None and kept in possible_states(MORE_BATCHES, stable), (number, stable)
+        state, report = reopen(path)
+        assert report.damage is None and state in possible_states(MORE_BATCHES, stable), (number, stable)
         assert not [*path.glob("*.new"), *list(path.glob("snapshot-*"))[1:]]
 
 
@@ -300,8 +300,8 @@
         for name, inode in dict(listing[str(tmp_path / "m")]).items():
             (remaining / name).write_bytes(contents.get(inode, b""))
         damaged = shutil.copytree(remaining, tmp_path / f"damaged-{batch.batch}")
-        kept, report = reopen(remaining)
-        assert report.damage is None and kept == possible_states(MORE_BATCHES, batch.batch)[0], batch.batch
+        state, report = reopen(remaining)
+        assert report.damage is None and state == possible_states(MORE_BATCHES, batch.batch)[0], batch.batch
         if batch.batch == 3:
             # after the old mark, but not at the end
             os.truncate(damaged / SECOND, (damaged / SECOND).stat().st_size - 1)
@@ -332,19 +332,19 @@
             with suppress(StorageFailed):
                 open_disk(folder, "c")[0].close()
                 break
-    kept, report = reopen(folder)
-    assert number > 9 and kept == PersistentState() and report.member != old
+    state, report = reopen(folder)
+    assert number > 9 and state == PersistentState() and report.member != old
 
 
 def test_a_batch_that_can_not_follow_is_not_written(folder):
-    kept, _ = reopen(folder)
+    state, _ = reopen(folder)
     for wrong in (entries(33, 1), entries(31, 1), 3, snapshot(2), HardState(1, "a")):
         name = {tuple: "entries", int: "cut", Snapshot: "snapshot", HardState: "hard"}[type(wrong)]
         disk, _, _ = open_disk(folder, "c")
         disk.persist(PersistBatch(1, **{name: wrong}))
         assert "can't follow" in reports_until(disk, 1)[-1].why
         disk.close()
-        assert reopen(folder)[0] == kept
+        assert reopen(folder)[0] == state
 
 
 CHILD_PROGRAM = """
@@ -352,8 +352,8 @@
 from pathlib import Path
 from loftweir.replication.api import Entry, EntryKind, PersistBatch, Snapshot
 from loftweir.replication.disk import open_disk
-disk, kept, report = open_disk(Path(sys.argv[1]), "c", 4000)
-first = kept.entries[-1].index + 1 if kept.entries else 1
+disk, state, report = open_disk(Path(sys.argv[1]), "c", 4000)
+first = state.entries[-1].index + 1 if state.entries else 1
 for batch in range(1, 100_000):
     at = first + 5 * batch - 5
     copy = Snapshot(at - 10, 1, (), b"machine") if batch % 7 == 0 else None
@@ -372,26 +372,26 @@
             printed = [process.stdout.readline() for _ in range(lines)]
             process.kill()
             printed += process.stdout.read().splitlines()
-        kept, report = reopen(tmp_path / "m")
-        assert report.damage is None and kept.entries[-1].index >= int(printed[-1])
-        assert [e.index for e in kept.entries] == list(range(kept.entries[0].index, kept.entries[-1].index + 1))
+        state, report = reopen(tmp_path / "m")
+        assert report.damage is None and state.entries[-1].index >= int(printed[-1])
+        assert [e.index for e in state.entries] == list(range(state.entries[0].index, state.entries[-1].index + 1))
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.tuples(st.sampled_from("eeeecchsgr"), st.integers(0, 12)), max_size=40))
 def test_any_batches_are_recovered_as_a_simple_model_predicts(tmp_path_factory, steps):
-    path, kept = tmp_path_factory.mktemp("model") / "m", PersistentState()
+    path, state = tmp_path_factory.mktemp("model") / "m", PersistentState()
     disk, _, _ = open_disk(path, "c", 200)
     for batch_number, (what, number) in enumerate(steps, 1):
-        first = kept.snapshot.index + 1 if kept.snapshot else 1
-        end = first + len(kept.entries)
+        first = state.snapshot.index + 1 if state.snapshot else 1
+        end = first + len(state.entries)
         at = max(first, end - number) if what == "c" else end
         batch = {
             "e": PersistBatch(
-                batch_number, cut=end + number, entries=entries(end, number, kept.hard.term, size=number)
+                batch_number, cut=end + number, entries=entries(end, number, state.hard.term, size=number)
             ),
-            "c": PersistBatch(batch_number, hard=HardState(kept.hard.term + 2), cut=at, entries=entries(at, number)),
-            "h": PersistBatch(batch_number, hard=HardState(kept.hard.term + 1, "x" * number)),
+            "c": PersistBatch(batch_number, hard=HardState(state.hard.term + 2), cut=at, entries=entries(at, number)),
+            "h": PersistBatch(batch_number, hard=HardState(state.hard.term + 1, "x" * number)),
             "s": PersistBatch(batch_number, snapshot=snapshot(first - 1 + number, bytes(number))),
             "g": PersistBatch(
                 batch_number, snapshot=snapshot(first - 1 + number), all_gone=True, entries=entries(first + number, 2)
@@ -399,13 +399,13 @@
             "r": PersistBatch(batch_number),
         }[what]
         disk.persist(batch)
-        kept = possible_states([batch], batch_number, kept)[0]
+        state = possible_states([batch], batch_number, state)[0]
         if what == "r":
             disk.close()
-            disk, found, report = open_disk(path, "c", 200)
-            assert (found, report.damage, report.torn) == (kept, None, 0)
+            disk, recovered, report = open_disk(path, "c", 200)
+            assert (recovered, report.damage, report.torn) == (state, None, 0)
     disk.close()
-    assert reopen(path)[0] == kept
+    assert reopen(path)[0] == state
 
 
 def test_obsolete_files_are_removed_and_disk_space_is_bounded(tmp_path):
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -73,11 +73,11 @@
         return self.part.voter
 
     def connect(self, hello):
-        found = run(self.loop, dial(self.loop, self.address, hello, self.loop.now() + SECOND))
-        if isinstance(found, Exception):
-            raise found
-        self.connections.append(found[0])
-        return found[0]
+        result = run(self.loop, dial(self.loop, self.address, hello, self.loop.now() + SECOND))
+        if isinstance(result, Exception):
+            raise result
+        self.connections.append(result[0])
+        return result[0]
 
     def request(self, connection, frame):
         connection.put(frame)
@@ -147,7 +147,7 @@
 def test_before_the_founding_only_the_last_id_that_asked_for_a_slot_is_accepted(harness):
     voter = harness.start()
     status = None
-    for id in ("id-n1", "id-n1-anew"):  # n1 has lost its disk in between
+    for id in ("id-n1", "id-n1-new"):  # n1 has lost its disk in between
         status = harness.request(
             harness.connect(harness.hello(id, "n1", ConnectionKind.CALLER)), StatusRequest(tuple(voter.slots))
         )
@@ -158,7 +158,7 @@
     harness.connect(harness.hello("id-n1", "n1")).put(request_vote(voter, "id-n1", 3))
     harness.wait()
     assert voter.core.term == 0
-    harness.connect(harness.hello("id-n1-anew", "n1")).put(request_vote(voter, "id-n1-anew", 4))
+    harness.connect(harness.hello("id-n1-new", "n1")).put(request_vote(voter, "id-n1-new", 4))
     assert run_until(harness.loop, lambda: voter.core.term == 4)
     assert not harness.request(
         harness.connect(harness.hello("x", "n2", ConnectionKind.CALLER)), StatusRequest(tuple(voter.slots))
@@ -213,7 +213,7 @@
     behind.apply(override_command(1, "s7", True))
     fresh._update_from(behind.machine, frozenset({"b"}))
     assert len(outcomes) == 1 and fresh.disabled_providers() == ["s0"] and fresh.index == 3
-    fresh._update_from(behind.machine, frozenset({"x"}))  # another cluster: founded anew
+    fresh._update_from(behind.machine, frozenset({"x"}))  # another cluster: founded again
     assert outcomes[1][1] and fresh.disabled_providers() == ["s7"]
     other = ReplicationAgent(harness.loop, "f0", msgspec.structs.replace(part.options, cluster="other"), print)
     other.recall()
@@ -222,8 +222,8 @@
 
 def test_a_command_that_can_not_be_acknowledged_reports_the_reason_and_a_remedy(harness):
     harness.start()
-    found = run(harness.loop, harness.part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0")))
-    assert isinstance(found, No) and str(found).startswith("OutcomeUnknown: ") and "Ask `FLEET`" in str(found)
+    answer = run(harness.loop, harness.part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0")))
+    assert isinstance(answer, No) and str(answer).startswith("OutcomeUnknown: ") and "Ask `FLEET`" in str(answer)
 
 
 def test_a_member_whose_files_were_set_aside_founds_no_cluster_and_is_not_part_of_a_founding(harness, tmp_path):
@@ -311,8 +311,8 @@
     run_for(cluster.loop, SECOND)
     leader = cluster.leader()  # under load the leader may have changed
     (alive,) = (part for part in cluster.others(leader) if part is not dead)
-    found = cluster.do(alive, Verb.FLEET_REMOVE, alive.name)
-    assert isinstance(found, No) and "NotTaken" in str(found) and "majority" in str(found)
+    answer = cluster.do(alive, Verb.FLEET_REMOVE, alive.name)
+    assert isinstance(answer, No) and "NotTaken" in str(answer) and "majority" in str(answer)
     assert str(cluster.do(alive, Verb.FLEET_DISABLE, "s1")).startswith("disabled"), "there still is a majority"
     assert cluster.do(alive, Verb.FLEET_REMOVE, dead.name) == "removed"
     assert str(cluster.do(leader, Verb.FLEET_DISABLE, "s2")).startswith("disabled")
@@ -429,15 +429,15 @@
         with suppress(FolderInUse):
             return open_disk(tmp_path / "copies", "loftweir")
 
-    disk, kept, _ = run_until_found(harness.loop, opens)
-    assert disk.member == voter.me and kept.entries, "the batch was written before the folder was released"
+    disk, state, _ = run_until_result(harness.loop, opens)
+    assert disk.member == voter.me and state.entries, "the batch was written before the folder was released"
     disk.close()
 
 
-def run_until_found(loop, find):
-    found = []
-    assert run_until(loop, lambda: found or ((it := find()) and (found.append(it) or True)))
-    return found[0]
+def run_until_result(loop, find):
+    results = []
+    assert run_until(loop, lambda: results or ((it := find()) and (results.append(it) or True)))
+    return results[0]
 
 
 def test_the_disk_is_not_read_while_the_address_is_in_use(harness, monkeypatch):
--- a/tests/test_replication_wire.py
+++ b/tests/test_replication_wire.py
@@ -65,13 +65,13 @@
 @settings(derandomize=True, deadline=None)
 @given(FRAMES, st.lists(st.integers(1, 200), min_size=1))
 def test_frames_are_decoded_however_the_bytes_are_split(frames, cuts):
-    data, reader, found, at = b"".join(map(wire.encode_frame, frames)), FrameReader(), [], 0
+    data, reader, decoded, at = b"".join(map(wire.encode_frame, frames)), FrameReader(), [], 0
     while at < len(data):
         cut = cuts[at % len(cuts)]
         reader.feed(data[at : at + cut])
         at += cut
-        found += reader.all()
-    assert found == frames
+        decoded += reader.all()
+    assert decoded == frames
 
 
 @settings(derandomize=True, deadline=None)
@@ -80,12 +80,12 @@
     data = bytearray(b"".join(map(wire.encode_frame, frames)))
     at = draw.draw(st.integers(0, len(data) - 1))
     data[at] ^= draw.draw(st.integers(1, 255))
-    reader, found = FrameReader(), []
+    reader, decoded = FrameReader(), []
     reader.feed(bytes(data))
     with suppress(BadFrame):
         for frame in reader.all():
-            found.append(frame)
-    assert found == frames[: len(found)] and len(found) < len(frames)
+            decoded.append(frame)
+    assert decoded == frames[: len(decoded)] and len(decoded) < len(frames)
 
 
 def test_invalid_frames_are_rejected_before_they_are_buffered():
@@ -116,16 +116,16 @@
         if n == 40:
             connection.put(TimeoutNow(sender="a", to="b", term=1))
         assert connection.unsent_bytes <= connection.max_unsent_bytes
-    reader, found = FrameReader(), []
+    reader, decoded = FrameReader(), []
     reader.first = False
     far.setblocking(False)
     while connection.unsent_bytes or select.select([far], [], [], 0)[0]:
         reader.feed(far.recv(1024 * 1024))
-        found += reader.all()
+        decoded += reader.all()
         connection._flush()
-    rounds = [frame.round for frame in found if isinstance(frame, AppendEntries)]
+    rounds = [frame.round for frame in decoded if isinstance(frame, AppendEntries)]
     assert rounds == sorted(rounds) and rounds[-1] == 79 and len(rounds) < 80
-    assert sum(isinstance(frame, TimeoutNow) for frame in found) == 1
+    assert sum(isinstance(frame, TimeoutNow) for frame in decoded) == 1
     for _ in range(40):  # too much that must not be dropped: the connection is aborted
         connection.put(FollowRequest(0, 0))
         connection.write(bytes(64 * 1024))
@@ -272,20 +272,20 @@
 
 def run(loop, coroutine, seconds=10):
     """Runs the loop until a coroutine ends; returns its result, or the error that it raised."""
-    found = []
+    results = []
 
     def chunk():
         try:
-            found.append((yield from coroutine))
+            results.append((yield from coroutine))
         except Exception as error:
-            found.append(error)
+            results.append(error)
         loop.stopped = True
 
     loop.spawn(chunk())
     loop.after(seconds * SECOND, lambda: setattr(loop, "stopped", True))
     loop.stopped = False
     loop.run()
-    return found[0]
+    return results[0]
 
 
 def run_until(loop, check):
@@ -365,9 +365,9 @@
     made = voters(answer, answer)
     loop = Loop()
     began = time.monotonic()
-    found = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 600 * MS))
-    assert type(found) is error and found.remedy and time.monotonic() - began < 2
-    assert len(made[0].seen + made[1].seen) > 1 or isinstance(found, OutcomeUnknown)
+    error_raised = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 600 * MS))
+    assert type(error_raised) is error and error_raised.remedy and time.monotonic() - began < 2
+    assert len(made[0].seen + made[1].seen) > 1 or isinstance(error_raised, OutcomeUnknown)
 
 
 def test_a_write_that_could_not_be_sent_is_known_to_have_no_effect(voters):
@@ -375,8 +375,8 @@
         lambda frame: None, lambda frame: None, hello=wire.ConnectionRejected(wire.RejectReason.CLUSTER, "other")
     )
     loop = Loop()
-    found = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 300 * MS))
-    assert type(found) is NoMajority and "another cluster other" in str(found)
+    error_raised = run(loop, make_proposer(loop, made).write(SetOverride("s", True, 1), 300 * MS))
+    assert type(error_raised) is NoMajority and "another cluster other" in str(error_raised)
 
 
 def test_an_evicted_session_is_replaced_only_if_the_command_can_not_have_been_applied(voters):
@@ -481,7 +481,7 @@
         and observer.machine.index == 5
         and not any(isinstance(f, wire.FetchSnapshot) for f in made[0].seen)
     )
-    made[0].answer = voter_with_entries(other, members=("x", "y"))  # founded anew: all members differ
+    made[0].answer = voter_with_entries(other, members=("x", "y"))  # founded again: all members differ
     assert run_until(loop, lambda: set(observer.machine.overrides) == {f"t{n}" for n in range(1, 8)})
     made[0].answer = made[1].answer = voter_with_entries(
         committed_commands(1, "u"), members=("x", "y")
