--- a/tests/fleet_scene.py
+++ b/tests/fleet_scene.py
@@ -31,7 +31,7 @@
         self.folder.mkdir()
         (self.folder / "tmp").mkdir()
         self.replication_folder = self.folder / "copies"  # a voter's folder
-        self.listen, self.operator_address = fleet.free(), fleet.free()
+        self.listen, self.operator_address = fleet.unused_address(), fleet.unused_address()
         self.program = None
         self.startup_code = ""  # code that runs before the program
         self.extra_config = ""  # additional text for the operator's file
@@ -40,7 +40,7 @@
         """`replication`: further keys of that section in the operator's file."""
         keys = {"members": self.fleet.members_of(self.name), "folder": str(self.replication_folder)}
         keys |= self.fleet.keys | replication
-        if not self.fleet.on:
+        if not self.fleet.replication_on:
             keys = {}
         lines = ["[log]", 'level = "debug"', "[replication]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())]
         (self.folder / "loftweir.toml").write_text("\n".join([*lines, self.extra_config, ""]), encoding="utf-8")
@@ -70,9 +70,11 @@
         return self
 
     def ready(self):
+        """Whether the sidecar reports that it is ready."""
         return self.call("READY") == "OK"
 
     def signal(self, number):
+        """Sends a signal to the process."""
         self.program.send_signal(number)
 
     def kill(self):
@@ -90,9 +92,11 @@
         return code
 
     def stop(self):
+        """Stops the process until `resume`."""
         self.signal(signal.SIGSTOP)
 
     def resume(self):
+        """Continues a stopped process."""
         self.signal(signal.SIGCONT)
 
     def wipe(self):
@@ -116,9 +120,11 @@
         return dict(pair.split("=", 1) for pair in answer.split()[1:]) if answer.startswith("OK ") else {}
 
     def log(self):
+        """The text that the sidecar has logged."""
         return (self.folder / "log").read_text()
 
     def logged(self, event):
+        """The records of an event in the log."""
         records = [json.loads(line) for line in self.log().splitlines() if line.endswith("}")]
         return [record for record in records if record["event"] == event]
 
@@ -135,11 +141,12 @@
 class FleetScene(unittest.TestCase):
     """`fleet` makes the sidecars by name; a test starts those that it needs. All of them end with the test."""
 
-    on = True  # off: the operator's file names no members
+    replication_on = True  # False: the operator's file names no members
     sockets = 512
     keys = {"beat": "100ms", "election": "800ms"}  # long, as a loaded machine starves processes
 
     def fleet(self, voters=3, followers=2, providers=2):
+        """Makes the sidecars, the stub discovery and the stub providers; `followers` is the number of observers."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -152,7 +159,7 @@
             self.addCleanup(stub.close)
         self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
         self.voters = [f"n{n}" for n in range(voters)]
-        self.seats = {name: self.free() for name in self.voters}
+        self.seats = {name: self.unused_address() for name in self.voters}
         # By (sidecar, member): the address by which one reaches the other, if it is not the member's own.
         self.address_overrides = {}
         self.sidecars = {n: Sidecar(self, n) for n in [*self.voters, *(f"f{n}" for n in range(followers))]}
@@ -163,7 +170,7 @@
         """The answer of one sidecar to an operator's command."""
         return self.sidecars[name].call(line)
 
-    def free(self):
+    def unused_address(self):
         """An unused address. It is on a loopback address of this process and fleet, so that no other process takes it
         meanwhile.
         """
@@ -188,6 +195,7 @@
         return chosen
 
     def knows_leader(self, sidecar):
+        """Whether the sidecar knows of a leader."""
         return sidecar.fleet_status().get("leader", "-") != "-"
 
     def leader(self, seconds=10):
@@ -200,6 +208,7 @@
         return self.wait(find, seconds)[0]
 
     def wait(self, check, seconds=20):
+        """Waits until the check returns a true value, and returns that; fails with the logs of all sidecars."""
         result = eventually(check, seconds)
         if not result:
             for sidecar in self.sidecars.values():
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -97,10 +97,10 @@
         test.addCleanup(site.doCleanups)
         site.name, site.neighbours, site.own_routes, site.options = name, {}, [], FAST_OPTIONS
         site.fleet(**({"voters": 3, "followers": 1, "providers": 1} | shape))
-        site.listens = {n: site.free() for n in site.voters}
+        site.listens = {n: site.unused_address() for n in site.voters}
         return site
 
-    def free(self):
+    def unused_address(self):
         """An address with a port below the range for outgoing connections, which any of them could take before it is
         listened on."""
         while True:
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -390,6 +390,7 @@
 
 
 def loosest(contracts):
+    """In place of `strictest`."""
     return {
         "read": max(
             (declared["read"] for declared in contracts), key=lambda declared: contract.STRICTNESS[declared.effect]
@@ -398,21 +399,23 @@
 
 
 def put_without_age(self, index, command):
+    """A claim gets the index of its last declaration as its age."""
     REAL_PUT(self, index, command)
     self.table[command.name] = Claim(index, command.declared)
     return ClaimAccepted(index)
 
 
-def unqualified(one):
-    ends, at = REAL_PARTNER_ENDPOINTS(one)
+def endpoints_in_unqualified_zones(used_route):
+    ends, at = REAL_PARTNER_ENDPOINTS(used_route)
     return {name: replace(end, zone=end.zone.partition("@")[0]) for name, end in ends.items()}, at
 
 
-def by_rules(*rules):
+def with_rules(*rules):
+    """Catalogs that decide about short names by these rules."""
     return mock.patch.object(Catalog.__init__, "__defaults__", (CatalogState(), rules))
 
 
-def agree(one, other):
+def declare_anything(one, other):
     return one.declared is not None and other.declared is not None
 
 
@@ -425,18 +428,24 @@
         check_simulations,
     ),
     "a new declaration resets the age of a claim": ([(Claims, "_put", put_without_age)], check_simulations),
-    "services with different contracts join": ([(collisions, "is_same_service", agree)], check_changing_contracts),
-    "a partner's zones are not qualified": ([(providers, "partner_endpoints", unqualified)], check_changing_contracts),
+    "services with different contracts join": (
+        [(collisions, "is_same_service", declare_anything)],
+        check_changing_contracts,
+    ),
+    "a partner's zones are not qualified": (
+        [(providers, "partner_endpoints", endpoints_in_unqualified_zones)],
+        check_changing_contracts,
+    ),
     "claims of one mesh are not limited": ([(claims.LIMITS.__class__, "per_mesh", 10**9)], check_hostile_mesh),
     "any site gets requests for any mesh": (
         [(Catalog, "_usable_route", lambda self, name: self.used.get(name))],
         check_hostile_mesh,
     ),
     "claims are not damped": ([(Damping, "withdrawn", 0)], check_flapping),
-    "the rule of the own mesh is missing": (by_rules(*RULES[:1], *RULES[2:]), check_hostile_mesh),
-    "the rule of pins is missing": (by_rules(*RULES[1:]), check_hostile_mesh),
+    "the rule of the own mesh is missing": (with_rules(*RULES[:1], *RULES[2:]), check_hostile_mesh),
+    "the rule of pins is missing": (with_rules(*RULES[1:]), check_hostile_mesh),
     "the rule of age is reversed": (
-        by_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)),
+        with_rules(*RULES[:2], RULES[3]._replace(key=lambda c, v: -c.age)),
         check_hostile_mesh,
     ),
 }
--- a/tests/test_partner_sites.py
+++ b/tests/test_partner_sites.py
@@ -56,7 +56,7 @@
         bergen, trondheim = self.fake_partner("bergen", routes, make_route("b@shop")), self.fake_partner("trondheim")
         site = PartnerSite.of(self, "oslo")
         site.options = site.options | {"lease": "10s", "hold": "20s"}
-        site.add_neighbour("bergen", site.free(), bergen.address)  # nothing listens at the first address
+        site.add_neighbour("bergen", site.unused_address(), bergen.address)  # nothing listens at the first address
         site.add_neighbour("trondheim", trondheim.address)
         site.offer_routes(make_route("own@shop", terms={"show": {"only": ["trondheim"]}}))
         site.start_sidecars()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -169,7 +169,7 @@
         self.assertIn("another cluster", other_cluster.call("FLEET-DISABLE s1"))
         # A second process with the name of a running member does not replace it.
         double = sidecars["double"] = Sidecar(self, "double")
-        double.name, self.address_overrides["n2", "n2"] = "n2", self.free()
+        double.name, self.address_overrides["n2", "n2"] = "n2", self.unused_address()
         double.start()
         self.wait(lambda: any("heard from just now" in r["why"] for r in double.logged("replication.waits")))
         self.assertIn(sidecars["n2"].fleet_status()["role"], ("leader", "follower"))
@@ -214,7 +214,7 @@
 
 
 class OffTest(FleetScene):
-    on = False
+    replication_on = False
 
     def test_without_members_nothing_is_imported_and_commands_report_that_it_is_off(self):
         (sidecar,) = self.fleet(voters=0, followers=1).values()
@@ -241,7 +241,7 @@
         self.start_sidecars()
         self.assertRegex(sidecars["n0"].call("FLEET-DISABLE s0"), "^OK")
         leader = self.leader()
-        old, leader.operator_address, leader.listen = leader.program, self.free(), self.free()
+        old, leader.operator_address, leader.listen = leader.program, self.unused_address(), self.unused_address()
         self.addCleanup(old.wait, 10)
         self.addCleanup(old.kill)
         leader.start()  # alongside the previous process, with the same folder and address
--- a/tests/test_replication_member.py
+++ b/tests/test_replication_member.py
@@ -60,17 +60,17 @@
         addresses = {"n0": self.address} | {n: stub.address for n, stub in self.stubs.items()}
         members = ", ".join(f"{n}={a}" for n, a in addresses.items())
         options = Replication(members=members, folder=str(folder / "copies"), callers=4, write_within=300 * MS)
-        self.part = ReplicationAgent(
-            self.loop, "n0", options, lambda words, whole: self.notified.append((words, whole))
+        self.agent = ReplicationAgent(
+            self.loop, "n0", options, lambda overrides, complete: self.notified.append((overrides, complete))
         )
 
     def hello(self, id, name, kind=ConnectionKind.MEMBER, **changes):
         return msgspec.structs.replace(Hello(wire.VERSION, "loftweir", id, name, kind), **changes)
 
     def start(self):
-        self.part.recall()
-        self.part.start()
-        return self.part.voter
+        self.agent.recall()
+        self.agent.start()
+        return self.agent.voter
 
     def connect(self, hello):
         result = run(self.loop, dial(self.loop, self.address, hello, self.loop.now() + SECOND))
@@ -93,7 +93,7 @@
         return [frame for frame in self.received if isinstance(frame, RequestVoteResponse)]
 
     def close(self):
-        self.part.close()
+        self.agent.close()
         for stub in self.stubs.values():
             stub.close()
 
@@ -196,15 +196,15 @@
 
 
 def test_known_overrides_survive_a_restart_until_newer_state_arrives(harness):
-    state, part = ReplicatedState(), harness.part
+    state, agent = ReplicatedState(), harness.agent
     ids = frozenset({"a", "b"})
     for number, (name, out) in enumerate((("s0", True), ("s1", True), ("s1", False)), 1):
         state.apply(override_command(number, name, out))
-    part._update_from(state.machine, ids)
-    part.close()  # writes the cache, if this is still due
+    agent._update_from(state.machine, ids)
+    agent.close()  # writes the cache, if this is still due
     outcomes, fresh = (
         [],
-        ReplicationAgent(harness.loop, "f0", part.options, lambda *response_: outcomes.append(response_)),
+        ReplicationAgent(harness.loop, "f0", agent.options, lambda *response_: outcomes.append(response_)),
     )
     fresh.recall()
     assert [(sorted(words), whole) for words, whole in outcomes] == [(["s0", "s1"], True)]
@@ -215,14 +215,14 @@
     assert len(outcomes) == 1 and fresh.disabled_providers() == ["s0"] and fresh.index == 3
     fresh._update_from(behind.machine, frozenset({"x"}))  # another cluster: founded again
     assert outcomes[1][1] and fresh.disabled_providers() == ["s7"]
-    other = ReplicationAgent(harness.loop, "f0", msgspec.structs.replace(part.options, cluster="other"), print)
+    other = ReplicationAgent(harness.loop, "f0", msgspec.structs.replace(agent.options, cluster="other"), print)
     other.recall()
     assert other.index == 0
 
 
 def test_a_command_that_can_not_be_acknowledged_reports_the_reason_and_a_remedy(harness):
     harness.start()
-    answer = run(harness.loop, harness.part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0")))
+    answer = run(harness.loop, harness.agent.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0")))
     assert isinstance(answer, No) and str(answer).startswith("OutcomeUnknown: ") and "Ask `FLEET`" in str(answer)
 
 
@@ -234,19 +234,19 @@
         )
     begun = harness.start()
     assert run_until(harness.loop, lambda: begun.has_state), "all members are empty"
-    harness.part.close()
+    harness.agent.close()
     (tmp_path / "copies" / "identity").write_bytes(b"?")
     for _ in range(2):  # the second start finds intact files
-        harness.part = ReplicationAgent(harness.loop, "n0", harness.part.options, lambda words, whole: None)
+        harness.agent = ReplicationAgent(harness.loop, "n0", harness.agent.options, lambda overrides, complete: None)
         voter = harness.start()
         harness.wait(600 * MS)
         assert voter.me != begun.me and not voter.has_state and not voter.status(tuple(voter.slots)).empty
-        harness.part.close()
+        harness.agent.close()
 
 
 def test_only_a_leader_with_committed_members_can_report_a_removal(harness):
     voter, ended = harness.start(), []
-    voter.ended, voter.has_state, harness.part.joining.is_confirmed_voter = ended.append, True, True
+    voter.ended, voter.has_state, harness.agent.joining.is_confirmed_voter = ended.append, True, True
     response_ = StatusResponse(False, True, "127.0.0.1:1", "n1", "", (Member("id-n1", "n1", "127.0.0.1:1"),))
     harness.stubs["n1"].answer = lambda frame: response_ if isinstance(frame, StatusRequest) else None
     harness.wait(800 * MS)
@@ -269,30 +269,30 @@
                 addresses[name] = address_of(free)
         members = ", ".join(f"{n}={a}" for n, a in addresses.items())
         self.options = Replication(members=members, election=800 * MS, beat=40 * MS, **more)
-        self.parts = {n: self.part(n, folder / n) for n in addresses}
+        self.agents = {n: self.make_agent(n, folder / n) for n in addresses}
 
-    def part(self, name, folder):
-        part = ReplicationAgent(
+    def make_agent(self, name, folder):
+        agent = ReplicationAgent(
             self.loop, name, msgspec.structs.replace(self.options, folder=str(folder)), lambda *_: None
         )
-        part.start()
-        return part
+        agent.start()
+        return agent
 
     def leader(self):
         assert run_until(
-            self.loop, lambda: [p for p in self.parts.values() if p.voter and p.voter.core.can_change_members]
+            self.loop, lambda: [p for p in self.agents.values() if p.voter and p.voter.core.can_change_members]
         )
-        return next(p for p in self.parts.values() if p.voter and p.voter.core.can_change_members)
+        return next(p for p in self.agents.values() if p.voter and p.voter.core.can_change_members)
 
-    def others(self, part):
-        return [p for p in self.parts.values() if p is not part]
+    def others(self, agent):
+        return [p for p in self.agents.values() if p is not agent]
 
-    def do(self, part, word, id):
-        return run(self.loop, part.execute(OperatorCommand(word, id)))
+    def execute(self, agent, verb, id):
+        return run(self.loop, agent.execute(OperatorCommand(verb, id)))
 
     def close(self):
-        for part in self.parts.values():
-            part.close()
+        for agent in self.agents.values():
+            agent.close()
 
 
 @pytest.fixture
@@ -306,16 +306,16 @@
 def test_a_member_that_is_needed_for_the_majority_is_not_removed(cluster):
     leader = cluster.leader()
     dead, alive = cluster.others(leader)
-    assert str(cluster.do(alive, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
+    assert str(cluster.execute(alive, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
     dead.close()
     run_for(cluster.loop, SECOND)
     leader = cluster.leader()  # under load the leader may have changed
-    (alive,) = (part for part in cluster.others(leader) if part is not dead)
-    answer = cluster.do(alive, Verb.FLEET_REMOVE, alive.name)
+    (alive,) = (agent for agent in cluster.others(leader) if agent is not dead)
+    answer = cluster.execute(alive, Verb.FLEET_REMOVE, alive.name)
     assert isinstance(answer, No) and "NotTaken" in str(answer) and "majority" in str(answer)
-    assert str(cluster.do(alive, Verb.FLEET_DISABLE, "s1")).startswith("disabled"), "there still is a majority"
-    assert cluster.do(alive, Verb.FLEET_REMOVE, dead.name) == "removed"
-    assert str(cluster.do(leader, Verb.FLEET_DISABLE, "s2")).startswith("disabled")
+    assert str(cluster.execute(alive, Verb.FLEET_DISABLE, "s1")).startswith("disabled"), "there still is a majority"
+    assert cluster.execute(alive, Verb.FLEET_REMOVE, dead.name) == "removed"
+    assert str(cluster.execute(leader, Verb.FLEET_DISABLE, "s2")).startswith("disabled")
 
 
 def run_for(loop, time):
@@ -335,7 +335,7 @@
     connection.sock.setblocking(True)
     connection.sock.sendall(wire.encode_frame(wire.FollowRequest(0, 0)) * 500)
     harness.wait(400 * MS)
-    (served,) = harness.part.listener.clients
+    (served,) = harness.agent.listener.clients
     assert 1 < len(asked) < 100 and served.unsent_bytes <= wire.MAX_FRAME_SIZE // 4 and not served.closed
     connection.sock.setblocking(False)
     for _ in range(500):
@@ -353,13 +353,13 @@
 
 
 def test_connections_are_bounded_whatever_identity_they_claim(harness):
-    voter, part = harness.start(), harness.part
+    voter, agent = harness.start(), harness.agent
     newest = [harness.connect(harness.hello(f"id-{n}", "n1")) for n in range(4)][-1]
     for n in range(40):
         connection_of_stranger = harness.connect(harness.hello(f"stranger-{n}", f"s{n}"))
         connection_of_stranger.put(request_vote(voter, f"stranger-{n}", 10 + n))
         assert run_until(harness.loop, lambda n=n: voter.core.term == 10 + n)
-    assert len(part.listener.member_connections) <= 10 and len(voter.connected_names) <= 10 and len(voter.links) <= 32
+    assert len(agent.listener.member_connections) <= 10 and len(voter.connected_names) <= 10 and len(voter.links) <= 32
     newest.put(request_vote(voter, "id-3", 60))
     assert run_until(harness.loop, lambda: voter.core.term == 60)
     again = harness.connect(harness.hello("id-3", "n1"))
@@ -372,20 +372,20 @@
 
 
 def test_an_acknowledged_override_is_not_undone_by_older_state(harness):
-    state, part = ReplicatedState(), harness.part
+    state, agent = ReplicatedState(), harness.agent
     seen = []
-    part.on_overrides = lambda words, whole: seen.append({n: w.active for n, w in words.items()})
+    agent.on_overrides = lambda overrides, complete: seen.append({n: w.active for n, w in overrides.items()})
     state.apply(override_command(1, "s0", True))
-    part._update_from(state.machine, frozenset({"a"}))
-    part.proposer.write = lambda act, within: coroutine_returning(Ok(3))
-    assert run(harness.loop, part.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
+    agent._update_from(state.machine, frozenset({"a"}))
+    agent.proposer.write = lambda operation, within: coroutine_returning(Ok(3))
+    assert run(harness.loop, agent.execute(OperatorCommand(Verb.FLEET_DISABLE, "s0"))) == "disabled, at index 3"
     state.apply(override_command(2, "s0", False))  # another sidecar's command, between the two in the log
-    part._update_from(state.machine, frozenset({"a"}))
-    assert part.disabled_providers() == ["s0"] and not any(response_.get("s0") is False for response_ in seen)
+    agent._update_from(state.machine, frozenset({"a"}))
+    assert agent.disabled_providers() == ["s0"] and not any(response_.get("s0") is False for response_ in seen)
     state.apply(override_command(3, "s0", True))
     state.apply(override_command(4, "s0", False))
-    part._update_from(state.machine, frozenset({"a"}))
-    assert part.disabled_providers() == [] and seen[-1] == {"s0": False}
+    agent._update_from(state.machine, frozenset({"a"}))
+    assert agent.disabled_providers() == [] and seen[-1] == {"s0": False}
 
 
 def coroutine_returning(value):
@@ -414,13 +414,13 @@
     monkeypatch.setattr(os, "fdatasync", lambda fd: (gate.wait(10), sync(fd))[1])
     voter.found((Member(voter.me, "n0", "127.0.0.1:1"),))
     harness.wait(50 * MS)
-    harness.part.leave()
+    harness.agent.leave()
     began, turns = time.monotonic(), []
     while len(turns) < 10:
         harness.wait(20 * MS)
         turns.append(time.monotonic() - began)
         began = time.monotonic()
-    assert max(turns) < 0.35 and harness.part.voter is None
+    assert max(turns) < 0.35 and harness.agent.voter is None
     with pytest.raises(FolderInUse):
         open_disk(tmp_path / "copies", "loftweir")
     gate.set()
@@ -445,23 +445,23 @@
     monkeypatch.setattr(part_module, "open_disk", lambda *a: (opened.append(a), open_disk(*a))[1])
     host, port = harness.address.split(":")
     with socket.create_server((host, int(port))):
-        assert harness.start() is None and harness.part.observer is not None
+        assert harness.start() is None and harness.agent.observer is not None
         harness.wait(800 * MS)
         assert not opened
-    assert run_until(harness.loop, lambda: harness.part.voter) and len(opened) == 1
+    assert run_until(harness.loop, lambda: harness.agent.voter) and len(opened) == 1
 
 
 def test_enabling_is_skipped_only_if_a_linearizable_read_shows_no_override(harness):
-    written, part = [], harness.part
-    part.proposer.write = lambda act, within: (written.append(act), coroutine_returning(Ok(9)))[1]
+    written, agent = [], harness.agent
+    agent.proposer.write = lambda operation, within: (written.append(operation), coroutine_returning(Ok(9)))[1]
     for sure, value in ((False, None), (False, [False, 3, 4]), (True, [True, 3, 4])):
-        part.proposer.read = lambda query, within, it=(sure, value): coroutine_returning(
+        agent.proposer.read = lambda query, within, it=(sure, value): coroutine_returning(
             ReadResult(it[0], 5, None, it[1])
         )
-        assert run(harness.loop, part.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
+        assert run(harness.loop, agent.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 9"
     assert [act.out for act in written] == [False] * 3
-    part.proposer.read = lambda query, within: coroutine_returning(ReadResult(True, 5, 0, None))
-    assert run(harness.loop, part.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 5"
+    agent.proposer.read = lambda query, within: coroutine_returning(ReadResult(True, 5, 0, None))
+    assert run(harness.loop, agent.execute(OperatorCommand(Verb.FLEET_ENABLE, "s0"))) == "enabled, at index 5"
     assert len(written) == 3
 
 
@@ -497,13 +497,13 @@
         patched.setattr(member_module, "MAX_FOLLOW_BYTES", 1000)
         assert sum(len(e.data) for e in leader.voter.follow_response(0).entries) < 1200
     assert not response.whole and all(bool(e.data) == (e.index > 2) for e in response.entries)
-    cluster.parts["f0"] = first = cluster.part("f0", None)
+    cluster.agents["f0"] = first = cluster.make_agent("f0", None)
     assert run_until(cluster.loop, lambda: first.index == voter.machine.index) and first.overrides == leader.overrides
-    for part in cluster.others(first):  # all of them, as an observer may use any
-        assert run_until(cluster.loop, lambda part=part: part.voter.machine.index == voter.machine.index)
-        part.voter.process(CompactLog(part.voter.machine.index, part.voter.machine.dump()))
+    for agent in cluster.others(first):  # all of them, as an observer may use any
+        assert run_until(cluster.loop, lambda agent=agent: agent.voter.machine.index == voter.machine.index)
+        agent.voter.process(CompactLog(agent.voter.machine.index, agent.voter.machine.dump()))
     assert voter.follow_response(0).whole and not voter.follow_response(voter.core.first_index - 1).whole
-    cluster.parts["f1"] = second = cluster.part("f1", None)
+    cluster.agents["f1"] = second = cluster.make_agent("f1", None)
     assert run_until(cluster.loop, lambda: second.index == voter.machine.index) and second.overrides == leader.overrides
     connection, snapshot = [], voter.core.snapshot
     line_ = type("Line", (), {"put": lambda self, frame: connection.append(frame)})()
@@ -514,7 +514,7 @@
 
 def test_a_leaving_leader_transfers_the_leadership_and_its_next_process_has_what_it_acknowledged(cluster):
     leader = cluster.leader()
-    assert str(cluster.do(leader, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
+    assert str(cluster.execute(leader, Verb.FLEET_DISABLE, "s0")).startswith("disabled")
     term, voter = leader.voter.core.term, leader.voter
     leader.leave()
     heirs = cluster.others(leader)
@@ -526,7 +526,7 @@
         "it continues as an observer"
     )
     assert voter.age() is not None and voter.age() < 10 * SECOND
-    cluster.parts["again"] = again = cluster.part(leader.name, Path(voter.options.folder))
+    cluster.agents["again"] = again = cluster.make_agent(leader.name, Path(voter.options.folder))
     assert run_until(cluster.loop, lambda: again.voter is not None and again.disabled_providers() == ["s0"])
     assert again.voter.me == voter.me
 
@@ -575,7 +575,7 @@
 
 def test_a_member_at_another_address_joins_again_and_one_without_a_leader_checks_its_membership(harness):
     voter, ended = harness.start(), []
-    voter.ended, voter.has_state, harness.part.joining.is_confirmed_voter = ended.append, True, True
+    voter.ended, voter.has_state, harness.agent.joining.is_confirmed_voter = ended.append, True, True
     own, asked = Member(voter.me, "n0", "127.0.0.1:1"), []
     members = [(own, Member("id-n1", "n1", "127.0.0.1:2"))]
     voter.member = lambda id: own
