--- a/benchmarks/faults/fleet.py
+++ b/benchmarks/faults/fleet.py
@@ -80,9 +80,9 @@
             for voter, address in self.seats.items():
                 if name != voter:
                     self.link[name, voter] = link = self.links.add(address)
-                    self.reach[name, voter] = link.address
+                    self.address_overrides[name, voter] = link.address
         for sidecar in self.sidecars.values():
-            sidecar.fault = SYNC_HOOKS
+            sidecar.startup_code = SYNC_HOOKS
         self.lives = dict.fromkeys(self.sidecars, 0)
         self.down: set[str] = set()  # voters whose process does not run
         self.unconfirmed: set[str] = set()  # voters whose process runs, and whose last known role has no vote
@@ -134,11 +134,11 @@
             (self.sidecars[name].folder / flag).unlink(missing_ok=True)
         self.sidecars[name].start(**keys)
 
-    def begin(self, *names):
+    def start_sidecars(self, *names):
         """Starts the named sidecars, or all, and waits until they serve and know a leader."""
         for name in names or self.sidecars:
             self.lives[name] += 1
-        return super().begin(*names)
+        return super().start_sidecars(*names)
 
     def kill(self, *names: str) -> None:
         """Kills all of them at once: each gets its signal before the first is waited for."""
@@ -170,7 +170,7 @@
         for name in names:
             if self.sidecars[name].program is not None:
                 self._mark_up(name)
-                self.sidecars[name].go_on()
+                self.sidecars[name].resume()
 
     # ---- links ----------------------------------------------------------------------------------
 
@@ -209,11 +209,11 @@
 
     def stored_files(self, name: str, pattern: str) -> list[Path]:
         """The files of a voter's folder that match a pattern, in order of their names."""
-        return sorted(self.sidecars[name].copies.glob(pattern))
+        return sorted(self.sidecars[name].replication_folder.glob(pattern))
 
     def synced_end(self, name: str) -> tuple[Path, int]:
         """The segment that the voter's mark names, and how many bytes of it are known to be synced."""
-        copies = self.sidecars[name].copies
+        copies = self.sidecars[name].replication_folder
         identity = journal.decode_identity((copies / folder.IDENTITY).read_bytes())
         mark = journal.decode_mark((copies / folder.MARK).read_bytes(), identity)
         return copies / folder.segment_name(mark.segment), mark.at
@@ -244,7 +244,7 @@
                 other = self.sidecars[name].folder / "foreign"
                 disk, _, _ = open_disk(other, "another")
                 disk.close()
-                (other / "identity").replace(self.sidecars[name].copies / "identity")
+                (other / "identity").replace(self.sidecars[name].replication_folder / "identity")
             case _:
                 raise ValueError(how)
         return segment, at
@@ -357,7 +357,7 @@
         """Whether within the time every voter votes and every sidecar shows one index and a leader."""
 
         def same() -> bool:
-            statuses = [sidecar.stands() for sidecar in self.sidecars.values()]
+            statuses = [sidecar.fleet_status() for sidecar in self.sidecars.values()]
             return len({s.get("index") for s in statuses}) == 1 and all(s.get("leader", "-") != "-" for s in statuses)
 
         return bool(eventually(self.all_voting, seconds) and eventually(same, seconds))
--- a/benchmarks/faults/holder.py
+++ b/benchmarks/faults/holder.py
@@ -100,7 +100,7 @@
         token = holder.valid_token(now)
         if token is not None:
             count += 1
-            submit(client, FencedWrite(holder.duty, token, "last", f"{holder.name} {count}".encode()), now)
+            submit(client, FencedWrite(holder.lease_name, token, "last", f"{holder.name} {count}".encode()), now)
 
 
 if __name__ == "__main__":
--- a/benchmarks/faults/schedule.py
+++ b/benchmarks/faults/schedule.py
@@ -148,7 +148,7 @@
         return target if target in free else free[int(fault.share * len(free))] if free else ""
 
     def _leads(self, name: str) -> bool:
-        return self.fleet.sidecars[name].stands().get("role") == "leader"
+        return self.fleet.sidecars[name].fleet_status().get("role") == "leader"
 
     # ---- choices ----
 
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -59,8 +59,8 @@
         """Starts the fleet, without the hooks of its disks, and acquires a lease to write under."""
         self.fleet(3, followers)
         for sidecar in self.sidecars.values():
-            sidecar.fault = ""
-        self.begin()
+            sidecar.startup_code = ""
+        self.start_sidecars()
         self.client = ClusterClient(self.seats, Random(1))
         granted = self.client.write(AcquireLease("pen", "bench", HOUR), 10)
         assert isinstance(granted, Ok)
@@ -160,7 +160,7 @@
             shown: dict[str, float] = {}
 
             def wait_for_override(sidecar, name: str, shown: dict[str, float]) -> None:
-                if eventually(lambda: name in sidecar.stands().get("out", "").split(","), 30):
+                if eventually(lambda: name in sidecar.fleet_status().get("out", "").split(","), 30):
                     shown[sidecar.name] = time.perf_counter()
 
             answer = followers[n % len(followers)].call(f"FLEET-DISABLE s{n}")
--- a/benchmarks/replication_news.py
+++ b/benchmarks/replication_news.py
@@ -30,7 +30,7 @@
 
     def runTest(self):
         self.fleet(followers=0)
-        self.begin()
+        self.start_sidecars()
         leader = self.leader().name
         for voter in (leader, next(n for n in self.seats if n != leader)):
             self.measure(voter, "the leader" if voter == leader else "another voter")
@@ -47,7 +47,7 @@
             sock.recv(4096)
         firsts, lasts, calls = [], [], []
         for n in range(OVERRIDES):
-            index = int(self.sidecars[voter].stands()["index"])
+            index = int(self.sidecars[voter].fleet_status()["index"])
             for sock in socks:
                 sock.sendall(wire.encode_frame(wire.FollowRequest(index, 30 * 10**9)))
             time.sleep(0.1)
--- a/loftweir/emulator/meshes.py
+++ b/loftweir/emulator/meshes.py
@@ -121,7 +121,7 @@
         """A sidecar that assumes it has a mesh's session proposes commands. If it is cut off, they are mostly lost,
         and the others are based on an old state."""
         observed = {f"shop@{mesh}": ObservedService(self._declaration(mesh) if mesh in self.up else None, now - 9)}
-        damping = Damping(away=0 if self.random.random() < 0.1 else 10**6, settle=0)
+        damping = Damping(away=0 if self.random.random() < 0.1 else 10**6, min_unchanged=0)
         for command in pending_commands(self.sidecars[number].claims.table, observed, now, damping):
             if number in self.cut_off and self.random.random() < 0.8:
                 continue
--- a/loftweir/partners/part.py
+++ b/loftweir/partners/part.py
@@ -58,9 +58,11 @@
 class Catalog(Protocol):
     """The catalog of services, if the operator's file names one: it uses the routes in place of `standby`."""
 
-    def update_routes(self, merged: MergeResult) -> None: ...
+    def update_routes(self, merged: MergeResult) -> None:
+        """Uses the routes of this result from now on."""
 
-    def update_claims(self, claims: Any) -> None: ...
+    def update_claims(self, claims: Any) -> None:
+        """Uses these replicated claims of names from now on."""
 
 
 class Partners:
@@ -76,7 +78,7 @@
         name: str,
         options: Options,
         sites: PartnersConfig,
-        fleet: ReplicationAgent,
+        replication: ReplicationAgent,
         notify_balancer: NotifyBalancer,
         settings: Callable[[], Settings],
     ) -> None:
@@ -88,13 +90,14 @@
         self.catalog: Catalog | None = None
         self.timing = timing(self.options, self.options.hold)
         self.sites = sites
-        self.fleet = fleet
+        self.replication = replication
         self.notify_balancer = notify_balancer
         self.settings = settings
-        self.seats = parse_members(options.replication.members)
+        self.member_addresses = parse_members(options.replication.members)
         id = secrets.token_hex(8)
         self.proposers = tuple(
-            Proposer(loop, name, id, options.replication, self.seats, lambda: fleet.index) for _ in range(2)
+            Proposer(loop, name, id, options.replication, self.member_addresses, lambda: replication.index)
+            for _ in range(2)
         )
         self.readers: dict[str, TableReader] = {}
         self.clients: dict[str, PartnerClient] = {}
@@ -103,20 +106,20 @@
         self.standby = Standby()
         self.unusable = "no route"  # why this sidecar can't use the route
         self.listener: Listener | None = None
-        self.shown = NeighbourOffers(loop, options, fleet, lambda: self.merger, self._wake_neighbour)
+        self.shown = NeighbourOffers(loop, options, replication, lambda: self.merger, self._wake_neighbour)
         self.task: Task | None = None  # advances the merger with time
         self.wakes_at = 0
         self.leaving = False
         if options.partners.listen:
             self.listener = Listener(loop, self.shown, options.partners.callers)
-        fleet.machine_listeners.append(self._on_state_change)
+        replication.machine_listeners.append(self._on_state_change)
 
     def _policy(self) -> Policy:
         neighbours = self.sites.neighbours.values()
         return Policy(
             self.site,
-            roles={one.name: one.role for one in neighbours},
-            preference={one.name: one.preference for one in neighbours},
+            roles={neighbour.name: neighbour.role for neighbour in neighbours},
+            preference={neighbour.name: neighbour.preference for neighbour in neighbours},
             offers=self.sites.routes,
             gone_after=self.options.gone,
             limits=limits(self.options),
@@ -128,7 +131,7 @@
         """Starts to listen, to bid for leases and to read."""
         if self.listener is not None:
             self.listener.listen(self.options.listen)
-            if self.name in self.seats:
+            if self.name in self.member_addresses:
                 self.shown.leased_task = self._leased_task(OFFERS_LEASE, self.shown.begin, self.shown.end)
         self.use(self.sites)
         self.task = self.loop.spawn(self._run(), self._crashed)
@@ -150,9 +153,9 @@
             client = self.clients.get(name)
             if client is not None:
                 client.neighbour = neighbour
-            elif self.name in self.seats:
+            elif self.name in self.member_addresses:
                 client = self.clients[name] = PartnerClient(
-                    self.loop, self.site, neighbour, self.options, self.fleet, reader
+                    self.loop, self.site, neighbour, self.options, self.replication, reader
                 )
                 leased_task = self.leased_tasks[name] = self._leased_task(reader.lease_name, client.begin, client.end)
                 client.attach(leased_task)
@@ -166,8 +169,8 @@
         self._update_standby()
         if self.catalog is not None:
             self.catalog.update_routes(self.merger.merged)
-        if self.fleet.machine is not None:
-            self._on_state_change(self.fleet.machine)
+        if self.replication.machine is not None:
+            self._on_state_change(self.replication.machine)
 
     def _forget(self, name: str) -> None:
         del self.readers[name]
@@ -180,10 +183,12 @@
     def _clear(self, leased_task: LeasedTask) -> Coroutine[None]:
         """Deletes the replicated table of a former neighbour, if this sidecar has its lease, and closes the lease."""
         until = self.loop.now() + CLEAR_TIMEOUT
-        machine = self.fleet.machine
+        machine = self.replication.machine
         try:
             if machine is not None and leased_task.valid_token() is not None:
-                for key in sorted(stored_keys(machine.fenced_values, leased_task.duty), key=lambda key: key != HEAD):
+                for key in sorted(
+                    stored_keys(machine.fenced_values, leased_task.lease_name), key=lambda key: key != HEAD
+                ):
                     yield from leased_task.put(key, b"", max(MS, until - self.loop.now()))
         except Exception:  # what is left has a bounded size and is not used
             pass
@@ -193,7 +198,7 @@
 
     def _leased_task(self, name: str, begin: Callable[[int], None], end: Callable[[], None]) -> LeasedTask:
         commands, reads = self.proposers
-        order = sorted(self.seats, key=lambda seat: blake2b(f"{seat} {name}".encode()).digest())
+        order = sorted(self.member_addresses, key=lambda member: blake2b(f"{member} {name}".encode()).digest())
         bid_delay = BID_INTERVAL * order.index(self.name)
         leased_task = LeasedTask(
             self.loop, self.name, name, self.options.lease, (commands, reads), begin, end, bid_delay
@@ -254,7 +259,7 @@
             self.task.wake()
         if before is None or before.freshness is not state.freshness or before.table is not state.table:
             table, left = state.table, self.merger.merged.left
-            used = sum(one.partner == name for one in self.merger.merged.used.values())
+            used = sum(used_route.partner == name for used_route in self.merger.merged.used.values())
             epoch, index = table.position if table is not None else (0, 0)
             freshness, routes = state.freshness.value, len(table.routes) if table is not None else 0
             emit(PARTNERS_TABLE, partner=name, standing=freshness, epoch=epoch, index=index, routes=routes, used=used)
--- a/tests/partner_scene.py
+++ b/tests/partner_scene.py
@@ -20,7 +20,7 @@
 FAST_OPTIONS = {"wait": "500ms", "silent_after": "300ms", "hold": "3s", "gone": "1500ms", "lease": "1500ms"}
 OPEN = {"use": "all", "show": "all", "passes": 3, "until": "forever"}
 command_decoder = msgspec.msgpack.Decoder(Command)
-USED_PORTS = set()  # ports that a test already got
+USED_PORTS = set()  # ports that tests of this process use
 CLASSES = ["status-read", "apply-submit", "place-confirm"]
 
 
@@ -97,10 +97,10 @@
         test.addCleanup(site.doCleanups)
         site.name, site.neighbours, site.own_routes, site.options = name, {}, [], FAST_OPTIONS
         site.fleet(**({"voters": 3, "followers": 1, "providers": 1} | shape))
-        site.listens = {n: site.free() for n in site.voters}
+        site.listens = {n: site.unused_address() for n in site.voters}
         return site
 
-    def free(self):
+    def unused_address(self):
         """An address with a port below the range for outgoing connections, which any of them could take before it is
         listened on."""
         while True:
@@ -125,15 +125,15 @@
         for name in names or self.sidecars:
             (self.sidecars[name].folder / "partners.json").write_text(text, encoding="utf-8")
 
-    def begin(self, *names):
+    def start_sidecars(self, *names):
         """Writes the configuration and starts the sidecars."""
         self.write_config()
         for name, sidecar in self.sidecars.items():
             keys = {"site": self.name, "file": "partners.json", "service": "orders@shop"} | self.options
             if name in self.listens:
                 keys["listen"] = self.listens[name]
-            sidecar.more = "\n".join(["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())])
-        return super().begin(*names)
+            sidecar.extra_config = "\n".join(["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())])
+        return super().start_sidecars(*names)
 
     def reload(self, *names):
         """Writes the partners' file and reloads it."""
@@ -169,7 +169,7 @@
     def fenced_writes(self, lease_name):
         """The lease's fenced writes in log order: token, key, value, and whether the state machine rejected it."""
         host, port = self.seats[self.leader().name].split(":")
-        machine, found, reader = Machine(), [], wire.FrameReader()
+        machine, writes, reader = Machine(), [], wire.FrameReader()
         with socket.create_connection((host, int(port)), timeout=5) as sock:
             sock.sendall(
                 wire.encode_frame(wire.Hello(wire.VERSION, "loftweir", "id", "observer", wire.ConnectionKind.FOLLOWER))
@@ -180,14 +180,14 @@
                     if response is None:
                         reader.feed(sock.recv(65536))
                 if not response.entries:
-                    return found
+                    return writes
                 for entry in response.entries:
                     if not entry.data:
                         machine.skip(entry.index)
                         continue
                     command, result = command_decoder.decode(entry.data).act, machine.apply(entry.index, entry.data)
                     if isinstance(command, FencedWrite) and command.duty == lease_name:
-                        found.append((command.token, command.key, command.value, not isinstance(result, Ok)))
+                        writes.append((command.token, command.key, command.value, not isinstance(result, Ok)))
 
     def stored_keys(self, lease_name):
         """The keys that exist under a lease."""
--- a/tests/test_catalog_serves.py
+++ b/tests/test_catalog_serves.py
@@ -63,7 +63,7 @@
         site.write_services()
         return site
 
-    def begin(self, site):
+    def start_sidecars(self, site):
         """Starts the sidecars with the sections for partners and the catalog in the operator's file."""
         site.write_config()
         for name, sidecar in site.sidecars.items():
@@ -71,8 +71,8 @@
             if name in site.listens:
                 keys["listen"] = site.listens[name]
             lines = ["[partners]", *(f"{k} = {json.dumps(v)}" for k, v in keys.items())]
-            sidecar.more = "\n".join([*lines, "[catalog]", 'file = "services.json"'])
-        super(PartnerSite, site).begin()
+            sidecar.extra_config = "\n".join([*lines, "[catalog]", 'file = "services.json"'])
+        super(PartnerSite, site).start_sidecars()
         return site.sidecars["f0"]
 
     def fake_partner(self, site, *rows):
@@ -97,7 +97,7 @@
         bergen = self.fake_partner("bergen", *rows, make_route("secret@shop", terms={"use": "nobody"}))
         services = [{"name": "orders", "types": ["a"]}, {"name": "bills", "types": ["b"]}, {"name": "both"}]
         site = self.site(services, [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         a, b = site.providers
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
 
@@ -135,14 +135,14 @@
         self.assertEqual(send_request(f0, "both")[0], 200)
         self.assertEqual(len(a.seen) + len(b.seen), 2)
         # Concurrent requests with one id under two names are one request.
-        held = threading.Event()
-        a.answer = lambda head, body: held.wait(2) and ok(head, body)
+        may_respond = threading.Event()
+        a.answer = lambda head, body: may_respond.wait(2) and ok(head, body)
         first = threading.Thread(target=send_request, args=(f0, "orders", READ, 8, "one"))
         a.seen.clear()
         first.start()
         site.wait(lambda: a.seen)
         status, body, _ = send_request(f0, "bills", READ, 8, "one")
-        held.set()
+        may_respond.set()
         first.join()
         self.assertEqual((status, "in use" in body), (400, True))
 
@@ -150,7 +150,7 @@
         gate = self.provider(lambda head, body: time.sleep(0.02) or ok(head, body))
         bergen = self.fake_partner("bergen", make_route("stock@shop", [gate.address]))
         site = self.site([{"name": "orders", "types": ["a"]}], [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         statuses, over = [], threading.Event()
 
@@ -163,10 +163,10 @@
             one.start()
         site.wait(lambda: {("orders", 200), ("stock.shop", 200)} <= set(statuses))
         # A request in flight ends at its provider, although its name no longer refers to a service.
-        site.providers[0].answer = lambda head, body: go_on.wait(5) and ok(head, body)
-        go_on, ended = threading.Event(), []
-        held = threading.Thread(target=lambda: ended.append(send_request(f0, "orders", KEYED)[0]))
-        held.start()
+        site.providers[0].answer = lambda head, body: may_respond.wait(5) and ok(head, body)
+        may_respond, ended = threading.Event(), []
+        request = threading.Thread(target=lambda: ended.append(send_request(f0, "orders", KEYED)[0]))
+        request.start()
         site.wait(lambda: any(KEYED in head for head, *_ in site.providers[0].seen))
         # The operators rename the service; the partner withdraws its service, offers it again and moves it to another
         # provider.
@@ -174,8 +174,8 @@
         site.write_services()
         site.reload("f0")
         site.wait(lambda: send_request(f0, "orders")[0] == 404)
-        go_on.set()
-        held.join(10)
+        may_respond.set()
+        request.join(10)
         self.assertEqual(ended, [200])
         site.reload()
         site.wait(lambda: send_request(f0, "goods")[0] == 200)
@@ -221,7 +221,7 @@
             "bergen", make_route("orders@shop", [gate.address]), make_route("stock@shop", [gate.address])
         )
         site = self.site([{"name": "orders", "types": ["a"]}], [("bergen", bergen)])
-        f0 = self.begin(site)
+        f0 = self.start_sidecars(site)
         site.wait_everywhere(lambda s: site.freshness(s, "bergen") == "fresh")
         self.assertEqual([send_request(f0, host)[0] for host in ("orders", "stock.shop")], [200, 200])
         # The short name refers to the partner's service once the replicated state has its claim.
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -42,7 +42,7 @@
         """Starts a fleet with additional keys of `[replication]`, and returns the leader."""
         self.keys = self.keys | keys
         self.fleet(voters, followers)
-        self.begin()
+        self.start_sidecars()
         return self.leader()
 
     def client(self, voter=""):
@@ -71,7 +71,7 @@
         return [name for name in self.voters if name != sidecar.name]
 
     def another_leads(self, sidecar):
-        return any(self.sidecars[name].stands()["role"] == "leader" for name in self.others(sidecar))
+        return any(self.sidecars[name].fleet_status()["role"] == "leader" for name in self.others(sidecar))
 
     def finish(self, load):
         load.finish()
@@ -112,7 +112,7 @@
         silent.send(SubmitCommand(1, first))
         self.wait(lambda: self.stored_value() == b"first")
         self.assertIsInstance(self.client().write(FencedWrite(VALUES_LEASE, token, "k", b"second"), 10), Ok)
-        index = int(leader.stands()["index"])
+        index = int(leader.fleet_status()["index"])
         self.kill(leader.name)
         after = self.connection(self.leader().name)
         after.send(SubmitCommand(1, first))
@@ -142,7 +142,7 @@
             for k in (ConnectionKind.CALLER, ConnectionKind.CALLER, ConnectionKind.FOLLOWER)
         )
         self.wait(lambda: follow(observer, 1 << 40).leads)  # it claims to lead only after a majority has confirmed it
-        term = int(leader.stands()["term"])
+        term = int(leader.fleet_status()["term"])
         self.stop(leader.name)
         self.wait(lambda: self.another_leads(leader))
         self.assertIsInstance(self.client().write(FencedWrite(VALUES_LEASE, token, "k", b"new"), 10), Ok)
@@ -157,7 +157,7 @@
         self.assertIsInstance(outcome, CommandOutcome)
         self.assertIn(outcome.how, (OutcomeCode.NOT_LEADER, OutcomeCode.LOST))
         self.assertFalse(response.leads)
-        self.wait(lambda: int(leader.stands()["term"]) > term and leader.stands()["role"] == "follower")
+        self.wait(lambda: int(leader.fleet_status()["term"]) > term and leader.fleet_status()["role"] == "follower")
         self.assertEqual(self.stored_value(), b"new")
 
 
@@ -173,28 +173,28 @@
             self.wait(lambda leader=leader: self.another_leads(leader))
             self.command("f0", f"FLEET-DISABLE s{out:d}")
             self.assertLess(time.monotonic() - began, 10)
-            self.wait(lambda leader=leader: leader.stands()["role"] != "leader")
+            self.wait(lambda leader=leader: leader.fleet_status()["role"] != "leader")
             self.heal()
             self.assertTrue(self.settled())
-        self.assertEqual({s.stands()["out"] for s in self.sidecars.values()}, {"s0,s1"})
+        self.assertEqual({s.fleet_status()["out"] for s in self.sidecars.values()}, {"s0,s1"})
 
     def test_a_member_that_was_isolated_or_flaps_deposes_no_leader(self):
         leader = self.start_fleet(**SLOW_ELECTIONS)
-        term, isolated = leader.stands()["term"], self.sidecars[self.others(leader)[0]]
+        term, isolated = leader.fleet_status()["term"], self.sidecars[self.others(leader)[0]]
         self.isolate(isolated.name)
-        self.wait(lambda: isolated.stands()["role"] == "asking")
+        self.wait(lambda: isolated.fleet_status()["role"] == "asking")
         self.command("f0", "FLEET-DISABLE s0")
-        self.assertEqual(isolated.stands()["out"], "-")
-        self.assertGreater(int(isolated.stands()["age_ms"]), 500)
+        self.assertEqual(isolated.fleet_status()["out"], "-")
+        self.assertGreater(int(isolated.fleet_status()["age_ms"]), 500)
         for _ in range(4):
             self.heal()
             time.sleep(0.1)
             self.isolate(isolated.name)
             time.sleep(0.3)
         self.heal()
-        self.wait(lambda: isolated.stands()["out"] == "s0" and isolated.stands()["role"] == "follower")
-        self.assertEqual((leader.stands()["role"], leader.stands()["term"]), ("leader", term))
-        self.assertEqual(isolated.stands()["term"], term)
+        self.wait(lambda: isolated.fleet_status()["out"] == "s0" and isolated.fleet_status()["role"] == "follower")
+        self.assertEqual((leader.fleet_status()["role"], leader.fleet_status()["term"]), ("leader", term))
+        self.assertEqual(isolated.fleet_status()["term"], term)
 
     def test_frames_that_are_cut_or_corrupted_on_a_link_are_sent_again(self):
         leader, load = self.start_fleet(), Load(self, 2).start()
@@ -211,17 +211,17 @@
     def test_without_a_majority_reads_report_their_age_and_writes_fail_in_time(self):
         leader = self.start_fleet(write_within="500ms")
         self.command("f0", "FLEET-DISABLE s0")
-        self.wait(lambda: {s.stands()["out"] for s in self.sidecars.values()} == {"s0"})
+        self.wait(lambda: {s.fleet_status()["out"] for s in self.sidecars.values()} == {"s0"})
         self.split(*({name} for name in self.voters))
         for name in (leader.name, *self.others(leader)[:1], "f0"):
             began = time.monotonic()
             self.assertRegex(self.sidecars[name].call("FLEET-DISABLE s1"), "^ERR (NoMajority|OutcomeUnknown): ")
             self.assertLess(time.monotonic() - began, 3)
-        self.wait(lambda: min(int(s.stands()["age_ms"]) for s in self.sidecars.values()) > 1000)
+        self.wait(lambda: min(int(s.fleet_status()["age_ms"]) for s in self.sidecars.values()) > 1000)
         # It takes two election timeouts until no voter names a leader.
-        self.wait(lambda: {self.sidecars[name].stands()["leader"] for name in self.voters} == {"-"})
+        self.wait(lambda: {self.sidecars[name].fleet_status()["leader"] for name in self.voters} == {"-"})
         for name in [*self.voters, "f0"]:
-            stands = self.sidecars[name].stands()
+            stands = self.sidecars[name].fleet_status()
             self.assertEqual((stands["out"], name == "f0" or stands["leader"]), ("s0", name == "f0" or "-"))
             self.assertEqual(self.sidecars[name].call("READY"), "OK")
         self.heal()
@@ -232,12 +232,12 @@
         load = Load(self, 3, operators=3).start()
         for name in ("f0", "f1", "f2"):
             sidecar = self.sidecars[name]
-            voter = self.wait(lambda s=sidecar: s.stands().get("follows", "-").strip("-"))
+            voter = self.wait(lambda s=sidecar: s.fleet_status().get("follows", "-").strip("-"))
             if name == "f2":
                 self.link[name, voter].block()
             else:
                 self.kill(voter)
-            self.wait(lambda s=sidecar, voter=voter: s.stands().get("follows", "-") not in ("-", voter), 20)
+            self.wait(lambda s=sidecar, voter=voter: s.fleet_status().get("follows", "-") not in ("-", voter), 20)
             before = len(self.oracle.promises)
             self.wait(lambda before=before: len(self.oracle.promises) > before + 10, 20)
             self.restore()
@@ -248,15 +248,15 @@
         follower = self.sidecars["f0"]
         followed = []
         for _ in range(4):  # with three voters it follows at least one for the second time
-            voter = self.wait(lambda: follower.stands().get("follows", "-").strip("-"))
+            voter = self.wait(lambda: follower.fleet_status().get("follows", "-").strip("-"))
             followed.append(voter)
             self.link["f0", voter].refuse()
-            self.wait(lambda voter=voter: follower.stands().get("follows", "-") not in ("-", voter))
+            self.wait(lambda voter=voter: follower.fleet_status().get("follows", "-") not in ("-", voter))
             self.link["f0", voter].heal()
         self.assertLess(len(set(followed)), len(followed))
         for voter in self.voters:
             self.link["f0", voter].refuse()
-        self.wait(lambda: follower.stands().get("follows") == "-")
+        self.wait(lambda: follower.fleet_status().get("follows") == "-")
 
 
 class DiskTest(FaultTest):
@@ -267,15 +267,15 @@
         self.command(leader.name, "FLEET-DISABLE s0")
         wiped, old = self.sidecars[self.others(leader)[0]], {m.name: m.id for m in self.members()}
         self.kill(wiped.name)
-        shutil.copytree(wiped.copies, wiped.folder / "old")
+        shutil.copytree(wiped.replication_folder, wiped.folder / "old")
         wiped.wipe()
         self.start(wiped.name)
         self.wait(self.all_voting, 20)
         new = {m.name: m.id for m in self.members()}
         self.assertEqual([n for n in new if new[n] != old[n]], [wiped.name])
-        self.wait(lambda: wiped.stands()["out"] == "s0")
+        self.wait(lambda: wiped.fleet_status()["out"] == "s0")
         # The voter rejects messages for its old id, and the others reject messages from that id.
-        term = int(leader.stands()["term"])
+        term = int(leader.fleet_status()["term"])
         to_old_id = self.connection(wiped.name, ConnectionKind.MEMBER, id="x")
         from_old_id = self.connection(leader.name, ConnectionKind.MEMBER, id=old[wiped.name])
         common = {"sender": "x", "to": old[wiped.name], "term": term + 100, "round": 1}
@@ -289,7 +289,7 @@
             from_old_id.send(message)
         time.sleep(0.3)
         for name in self.voters:
-            self.assertEqual(int(self.sidecars[name].stands()["term"]), term)
+            self.assertEqual(int(self.sidecars[name].fleet_status()["term"]), term)
         rejections = [r for n in self.others(wiped) for r in self.sidecars[n].logged("replication.turned_away")]
         self.assertTrue(any("another id is here" in record["why"] for record in rejections))
 
@@ -302,13 +302,13 @@
         self.command("f0", "FLEET-DISABLE s0")
         self.start(removed)
         self.wait(self.all_voting, 20)
-        self.wait(lambda: self.sidecars[removed].stands()["out"] == "s0")
+        self.wait(lambda: self.sidecars[removed].fleet_status()["out"] == "s0")
 
     def test_a_damaged_folder_is_set_aside_with_file_and_byte_logged_and_the_voter_catches_up(self):
         leader = self.start_fleet(followers=0)
         for n in range(8):
             self.command(leader.name, f"FLEET-DISABLE s{n}")
-        self.wait(lambda: len({s.stands()["index"] for s in self.sidecars.values()}) == 1)
+        self.wait(lambda: len({s.fleet_status()["index"] for s in self.sidecars.values()}) == 1)
         damaged = self.sidecars[self.others(leader)[0]]
         for n, how in enumerate(("flip", "tail", "lost", "version", "foreign")):
             self.kill(damaged.name)
@@ -316,12 +316,12 @@
             self.start(damaged.name)
             self.wait(lambda n=n: len(damaged.logged("replication.damaged")) == n + 1)
             record = damaged.logged("replication.damaged")[-1]
-            named = str(damaged.copies / "identity") if how == "foreign" else str(file)
+            named = str(damaged.replication_folder / "identity") if how == "foreign" else str(file)
             self.assertRegex(record["why"], f"^{re.escape(named)}: .*, at byte [0-9]+$")
-            self.assertTrue(record["aside"].startswith(str(damaged.copies)))
+            self.assertTrue(record["aside"].startswith(str(damaged.replication_folder)))
             self.wait(self.all_voting, 20)
-            self.wait(lambda: damaged.stands()["out"] == ",".join(f"s{n}" for n in range(8)))
-            self.assertEqual(damaged.stands()["role"], "follower")
+            self.wait(lambda: damaged.fleet_status()["out"] == ",".join(f"s{n}" for n in range(8)))
+            self.assertEqual(damaged.fleet_status()["role"], "follower")
 
     def test_no_write_is_acknowledged_on_a_full_disk_or_a_failed_sync_and_the_others_go_on(self):
         token = self.start_fleet() and self.acquire_lease()
@@ -330,9 +330,9 @@
             inject(leader.name)
             for number in range(10):  # the disk has no room for the last ones
                 client.write(FencedWrite(VALUES_LEASE, token, "big", bytes([number]) * 128 * 1024), 10)
-                if leader.stands()["role"] == "follows":
+                if leader.fleet_status()["role"] == "follows":
                     break
-            self.wait(lambda leader=leader: leader.stands()["role"] == "follows")
+            self.wait(lambda leader=leader: leader.fleet_status()["role"] == "follows")
             (ended,) = leader.logged("replication.ended")
             self.assertRegex(ended["why"], "File too large|Input/output error")
             self.assertIn("Free space on the volume or replace the disk", ended["remedy"])
