--- a/loftweir/operations/address.py
+++ b/loftweir/operations/address.py
@@ -90,7 +90,7 @@
                 if len(data) > MAX_LINE_BYTES:
                     parse_command(data)
                 if not (yield Wait(sock, READABLE, until)):
-                    raise No("timed out waiting for the end of the line")
+                    raise No("no end of the line came")
                 read = sock.recv(4096)
                 if not read:
                     if data:
--- a/loftweir/operations/calls.py
+++ b/loftweir/operations/calls.py
@@ -71,7 +71,7 @@
     try:
         verb = Verb(name)
     except ValueError:
-        raise No(f"unknown command, known are {', '.join(verb.value for verb in Verb)}") from None
+        raise No(f"no such call, known are {', '.join(verb.value for verb in Verb)}") from None
     expected = ARGUMENTS[verb]
     required = sum(not argument.startswith("[") for argument in expected)
     if not required <= len(arguments) <= len(expected):
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -176,7 +176,7 @@
             except OSError as error:
                 if not isinstance(error, BlockingIOError) or self.loop.now() >= until:
                     emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
-                    raise No(f"it can't be stored: {error.strerror}") from None
+                    raise No(f"it can't be kept: {error.strerror}") from None
             yield Wait(None, 0, self.loop.now() + LOCK_RETRY_INTERVAL)
         return record
 
@@ -193,7 +193,7 @@
             return self.partners.execute(command)
         if command.verb is Verb.READY:
             if self.life.ends:
-                raise No("this process is stopping")
+                raise No("this process comes to its end")
             if not self.begun or not self.takes_clients():
                 raise No("not yet")
             return ""
