--- a/loftweir/cli/attempt.py
+++ b/loftweir/cli/attempt.py
@@ -41,13 +41,13 @@
     """Start a sidecar with stand-in providers and discovery, and print curl commands to try."""
     signal.signal(signal.SIGTERM, interrupt)
     providers_by_name = {f"toy-{n}": start_provider(f"toy-{n}") for n in range(1, providers + 1)}
-    members = ProviderList((name, toy.address) for name, toy in providers_by_name.items())
-    catalog = start_discovery(members)
+    members = ProviderList((name, provider.address) for name, provider in providers_by_name.items())
+    discovery = start_discovery(members)
     with socket.create_server(("127.0.0.1", 0)) as free:
         listen = f"127.0.0.1:{free.getsockname()[1]}"
     with tempfile.TemporaryDirectory() as folder:
         config, operator = Path(folder, "config.json"), Path(folder, "loftweir.toml")
-        config.write_text(json.dumps(platform_config(listen, members, catalog.address)), encoding="utf-8")
+        config.write_text(json.dumps(platform_config(listen, members, discovery.address)), encoding="utf-8")
         operator.write_text(f'[log]\naccess = "{"all" if access else "off"}"\n', encoding="utf-8")
         arguments = ["run", "--config", str(config), "--operator", str(operator), "--log-format", log_format]
         sidecar = subprocess.Popen([sys.executable, "-m", "loftweir", *arguments])
@@ -55,13 +55,13 @@
             if not wait_until_ready(sidecar, listen):
                 click.echo("the sidecar did not become ready", err=True)
                 sys.exit(1)
-            click.echo(INSTRUCTIONS.format(providers=providers, listen=listen, discovery=catalog.address))
+            click.echo(INSTRUCTIONS.format(providers=providers, listen=listen, discovery=discovery.address))
             sys.exit(sidecar.wait())
         except KeyboardInterrupt:
             click.echo("stopping")
         finally:
             stop(sidecar)
-            for server in (*providers_by_name.values(), catalog):
+            for server in (*providers_by_name.values(), discovery):
                 server.close()
 
 
--- a/loftweir/cli/config.py
+++ b/loftweir/cli/config.py
@@ -67,8 +67,8 @@
 
     Both are the operator's files, or both the platform's (named *.json).
     """
-    found = platform_changes(a, b) if a.endswith(".json") and b.endswith(".json") else operator_changes(a, b)
-    rows = [(path, old, new, "live" if live else "restart") for path, (old, new, live) in found.items()]
+    differences = platform_changes(a, b) if a.endswith(".json") and b.endswith(".json") else operator_changes(a, b)
+    rows = [(path, old, new, "live" if live else "restart") for path, (old, new, live) in differences.items()]
     if as_json:
         print_json([dict(zip(("key", "old", "new", "takes"), row, strict=True)) for row in rows])
     elif rows:
--- a/loftweir/cli/explain.py
+++ b/loftweir/cli/explain.py
@@ -34,6 +34,7 @@
     name = "duration"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
+        """Convert the text of the option to nanoseconds."""
         if isinstance(value, int):
             return value
         try:
@@ -94,7 +95,7 @@
         if isinstance(error, LoftweirError):
             click.echo(error.remedy, err=True)
         sys.exit(2)
-    found = run_explanation(
+    explanation = run_explanation(
         of_platform.settings,
         as_full(known),
         Traffic(class_name or next(iter(classes)), requests, gap, answer),
@@ -103,9 +104,9 @@
         time.time_ns(),
     )
     if as_json:
-        print_json(found.as_dict())
+        print_json(explanation.as_dict())
     else:
-        show(found, each)
+        show(explanation, each)
 
 
 def as_full(update: MembershipUpdate) -> MembershipUpdate:
@@ -115,15 +116,15 @@
 
 def behaviours(options: tuple[str, ...], names: set[str]) -> dict[str, str]:
     """Parses the options NAME=HOW to the behaviour of each provider."""
-    found = {}
+    by_name = {}
     for option in options:
         name, _, how = option.partition("=")
         if name not in names:
             raise click.UsageError(f"--behaves: {name!r} is not on the list")
         if how not in BEHAVIOURS:
             raise click.UsageError(f"--behaves: {how!r} is none of {', '.join(BEHAVIOURS)}")
-        found[name] = how
-    return found
+        by_name[name] = how
+    return by_name
 
 
 def fetch_list(address: str) -> MembershipUpdate:
@@ -140,31 +141,31 @@
         client.close()
 
 
-def show(found: Explanation, each: bool) -> None:
+def show(explanation: Explanation, each: bool) -> None:
     """Prints an explanation as tables; `each`: with a line for every decision."""
     if each:
         print_table(
             ("request", "at", "what", "provider", "not used"),
             [
                 (d.request, f"{d.at_ms:.0f} ms", d.what, d.provider or "-", reasons(d.others) or "-")
-                for d in found.decisions
+                for d in explanation.decisions
             ],
         )
         click.echo()
-    why: dict[str, Counter[str]] = {name: Counter() for name in found.attempts}
-    for decision in found.decisions:
-        for name, given in decision.others.items():
-            why[name].update(given or ["usable, another was dealt"])
+    reason_counts: dict[str, Counter[str]] = {name: Counter() for name in explanation.attempts}
+    for decision in explanation.decisions:
+        for name, exclusions in decision.others.items():
+            reason_counts[name].update(exclusions or ["usable, another was dealt"])
     print_table(
         ("provider", "attempts", "when not chosen"),
         [
-            (name, number, ", ".join(f"{reason} {times}" for reason, times in why[name].most_common()) or "-")
-            for name, number in found.attempts.items()
+            (name, number, ", ".join(f"{reason} {times}" for reason, times in reason_counts[name].most_common()) or "-")
+            for name, number in explanation.attempts.items()
         ],
     )
-    click.echo(f"\n{', '.join(f'{what} {number}' for what, number in found.outcomes.items())}")
+    click.echo(f"\n{', '.join(f'{outcome} {number}' for outcome, number in explanation.outcomes.items())}")
 
 
-def reasons(others: dict[str, list[str]]) -> str:
+def reasons(excluded: dict[str, list[str]]) -> str:
     """Formats why the other providers were not chosen."""
-    return "; ".join(f"{name}: {', '.join(given)}" for name, given in others.items() if given)
+    return "; ".join(f"{name}: {', '.join(exclusions)}" for name, exclusions in excluded.items() if exclusions)
--- a/loftweir/cli/logs.py
+++ b/loftweir/cli/logs.py
@@ -22,10 +22,11 @@
     name = "time"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        found = parse_time(str(value))
-        if found is None:
+        """Convert the text of the option to Unix seconds."""
+        seconds = parse_time(str(value))
+        if seconds is None:
             self.fail(f"{value!r} is not a time such as 2026-12-01T08:00:00Z", param, ctx)
-        return found
+        return seconds
 
 
 def check_event_names(ctx: click.Context, param: click.Parameter, values: tuple[str, ...]) -> tuple[str, ...]:
@@ -111,7 +112,7 @@
       loftweir log sidecar.log --count --every 1min
       loftweir log --fleet --every 1s sidecar-*.log
     """
-    wanted = Filter(
+    record_filter = Filter(
         level,
         event,
         request_id,
@@ -121,7 +122,7 @@
     )
     unreadable = 0
     records = []
-    for record, _ in read_records(lines(files or (click.open_file("-", errors="replace"),)), wanted):
+    for record, _ in read_records(lines(files or (click.open_file("-", errors="replace"),)), record_filter):
         if record is None:
             unreadable += 1
         elif count or of_fleet:
--- a/loftweir/cli/root.py
+++ b/loftweir/cli/root.py
@@ -28,9 +28,11 @@
     """A group of commands whose modules are imported when they are called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the names of all commands in the order of the help."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import a command's module and return the command; None if there is no such command."""
         if cmd_name not in COMMANDS:
             return None
         module, _, name = COMMANDS[cmd_name][0].partition(":")
@@ -39,6 +41,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
+        """Write the list of commands without importing their modules."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, about) for name, (_, about) in COMMANDS.items()])
 
--- a/loftweir/config/lists.py
+++ b/loftweir/config/lists.py
@@ -37,27 +37,27 @@
     faults: list[tuple[str, Any, str]] = []
     endpoints, addresses = [], {}
     for number, entry in enumerate(data["endpoints"]):
-        found: dict[str, Any] = {}
+        fields: dict[str, Any] = {}
         for name, read, expected in FIELDS:
             value = entry.get(name, MISSING) if isinstance(entry, dict) else MISSING
             try:
-                found[name] = read(value)
+                fields[name] = read(value)
             except (ValueError, KeyError, TypeError, OverflowError):
                 faults.append((f"endpoints.{number}.{name}", value, expected))
-        if len(found) < len(FIELDS):
+        if len(fields) < len(FIELDS):
             continue
         endpoints.append(
             Endpoint(
-                address=found["name"],
-                zone=found["zone"],
-                kind=found["type"],
-                cell=found["group"],
-                lifecycle=found["status"],
-                weight=found["weight"],
-                started_at=found["since_ms"] * MS,
+                address=fields["name"],
+                zone=fields["zone"],
+                kind=fields["type"],
+                cell=fields["group"],
+                lifecycle=fields["status"],
+                weight=fields["weight"],
+                started_at=fields["since_ms"] * MS,
             )
         )
-        addresses[found["name"]] = found["address"]
+        addresses[fields["name"]] = fields["address"]
     try:
         index = int(data["index"])
         if kind is None:
--- a/loftweir/config/operator.py
+++ b/loftweir/config/operator.py
@@ -58,8 +58,8 @@
     for path, expected in contradictions(options):
         if path not in wrong:
             section, _, name = path.partition(".")
-            got = getattr(getattr(options, section), name)
-            faults.append(Fault(file or "environment", path, format_quantity(known[path].spec.unit, got), expected))
+            value = getattr(getattr(options, section), name)
+            faults.append(Fault(file or "environment", path, format_quantity(known[path].spec.unit, value), expected))
     if faults:
         raise Faulty(faults)
     return Loaded(options, sources, file)
--- a/loftweir/config/platform.py
+++ b/loftweir/config/platform.py
@@ -128,8 +128,8 @@
             self.fault("settings", "an object, the sidecar's settings", value)
             return None
         settings, faults = settings_and_faults(JsonValues(value))
-        for path, got, expected in faults:
-            self.fault(f"settings.{path}" if path else "settings", expected, MISSING if got is None else got)
+        for path, value, expected in faults:
+            self.fault(f"settings.{path}" if path else "settings", expected, MISSING if value is None else value)
         return settings
 
     def known(self) -> tuple[MembershipUpdate, dict[str, str]]:
--- a/loftweir/config/units.py
+++ b/loftweir/config/units.py
@@ -31,10 +31,10 @@
 
     Durations and sizes must be whole in base units: "0.5ns" is rejected.
     """
-    found = QUANTITY.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = QUANTITY.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(unit.value)
-    number, suffix = found.groups()
+    number, suffix = match.groups()
     if unit is Unit.SHARE:
         if suffix != "%":
             raise ValueError(unit.value)
@@ -44,8 +44,8 @@
         raise ValueError(unit.value)
     whole, _, part = number.partition(".")
     # Computed in integers: with floats, 4.35 s could be one nanosecond less than 4350 ms.
-    value, rest = divmod(int(whole + part) * scale, int(10 ** len(part)))
-    if rest:
+    value, remainder = divmod(int(whole + part) * scale, int(10 ** len(part)))
+    if remainder:
         raise ValueError(f"{unit.value}, in whole {'nanoseconds' if unit is Unit.DURATION else 'bytes'}")
     return value
 
@@ -106,23 +106,23 @@
 
     An empty text means that there is no replication. A ValueError names the part that is wrong.
     """
-    found: dict[str, str] = {}
+    members: dict[str, str] = {}
     for part in text.split(",") if text.strip() else ():
         name, _, address = (piece.strip() for piece in part.partition("="))
         if not MEMBER_NAME.fullmatch(name):
             raise ValueError(f"name=host:port for each member, not {part.strip()[:40]!r}")
-        if name in found:
+        if name in members:
             raise ValueError(f"each member once, {name} is named twice")
         try:
             split_host_port(address)
         except ValueError:
             raise ValueError(f"host:port after {name}=, not {address[:40]!r}") from None
-        if address in found.values():
+        if address in members.values():
             raise ValueError(f"a separate address after {name}=, {address} belongs to another member")
-        found[name] = address
-    if found and not MIN_MEMBERS <= len(found) <= MAX_MEMBERS:
-        raise ValueError(f"{MIN_MEMBERS} to {MAX_MEMBERS} members as name=host:port, not {len(found)}")
-    return dict(sorted(found.items()))
+        members[name] = address
+    if members and not MIN_MEMBERS <= len(members) <= MAX_MEMBERS:
+        raise ValueError(f"{MIN_MEMBERS} to {MAX_MEMBERS} members as name=host:port, not {len(members)}")
+    return dict(sorted(members.items()))
 
 
 def check_plain_text(text: str) -> str:
--- a/loftweir/core/host.py
+++ b/loftweir/core/host.py
@@ -107,7 +107,7 @@
         self.handling = False
 
     def _broken(self, thing: api.Event | api.Action, error: Exception) -> None:
-        """Handle an exception from a decision or an action: the request concerned is answered, the rest goes on."""
+        """Handle an exception from a decision or an action: the request concerned is answered, all others continue."""
         emit(DECISION_BROKEN, about=type(thing).__name__, error=repr(error), at=traceback_location(error))
         invocation = self.invocations.get(getattr(thing, "request_id", getattr(thing, "id", "")))
         if invocation is not None and invocation.open:
--- a/loftweir/core/life.py
+++ b/loftweir/core/life.py
@@ -76,7 +76,7 @@
         return TRAITS[self.state]
 
     @property
-    def ends(self) -> bool:
+    def is_ending(self) -> bool:
         """Whether the process is ending."""
         return self.state in (State.ENDING, State.SHUT)
 
--- a/loftweir/daemon.py
+++ b/loftweir/daemon.py
@@ -102,21 +102,21 @@
 
 def changes(old: Options, new: Options) -> dict[str, tuple[Any, Any, bool]]:
     """Return the changed options by path: the old and the new value as in the file, and whether it applies at once."""
-    found = {}
+    changed = {}
     for key in keys():
         values = [getattr(getattr(options, key.section), key.name) for options in (old, new)]
         if values[0] != values[1]:
             before, after = (format_quantity(key.spec.unit, value) for value in values)
-            found[key.path] = before, after, key.spec.live
-    return found
+            changed[key.path] = before, after, key.spec.live
+    return changed
 
 
 def changed_settings(old: Settings, new: Settings) -> list[str]:
     """Return the names of the platform's settings that differ, for the log; changed classes are listed one by one."""
     names = [f.name for f in dataclasses.fields(Settings) if f.name != "classes"]
-    found = [name for name in names if getattr(old, name) != getattr(new, name)]
+    changed = [name for name in names if getattr(old, name) != getattr(new, name)]
     both = {**old.classes, **new.classes}
-    return found + [f"classes.{name}" for name in both if old.classes.get(name) != new.classes.get(name)]
+    return changed + [f"classes.{name}" for name in both if old.classes.get(name) != new.classes.get(name)]
 
 
 class Daemon:
--- a/loftweir/errors.py
+++ b/loftweir/errors.py
@@ -52,10 +52,10 @@
 
     import loftweir
 
-    for found in walk_packages(loftweir.__path__, "loftweir."):
+    for module in walk_packages(loftweir.__path__, "loftweir."):
         try:
-            if not found.name.endswith(".__main__"):
-                import_module(found.name)
+            if not module.name.endswith(".__main__"):
+                import_module(module.name)
         except ModuleNotFoundError as error:
             if (error.name or "").partition(".")[0] == "loftweir":
                 raise
--- a/loftweir/explain.py
+++ b/loftweir/explain.py
@@ -16,8 +16,8 @@
 from loftweir import interface as api
 from loftweir.balance import MAX_FAILURE_RATE, Balancer, ProviderState
 
-# Nanoseconds.
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 # From the list to the first request.
 FIRST_REQUEST_AFTER = 10 * SECOND
 
@@ -45,9 +45,9 @@
 
     request: int
     at_ms: float
-    what: str  # attempt, rejected or failed
+    what: str  # the kind of decision: attempt, rejected or failed
     provider: str
-    others: dict[str, list[str]]
+    others: dict[str, list[str]]  # by provider not chosen: the reasons against it, none if it was usable
 
 
 class Explanation(NamedTuple):
@@ -125,15 +125,15 @@
             self.record(now, action.request_id, "attempt", action.provider, cls)
             outcome, at_once = BEHAVIOURS.get(self.behaves.get(action.provider, ""), (api.Outcome.OK, False))
             silent = outcome is api.Outcome.TIMED_OUT
-            ends = action.give_up_at if silent else now + (MS if at_once else traffic.answer)
-            late = ends >= action.give_up_at
+            ends_at = action.give_up_at if silent else now + (MS if at_once else traffic.answer)
+            late = ends_at >= action.give_up_at
             number = self.attempts[action.request_id]
             self.attempts[action.request_id] += 1
             if late:
-                ends, outcome = action.give_up_at, api.Outcome.TIMED_OUT
+                ends_at, outcome = action.give_up_at, api.Outcome.TIMED_OUT
             served = outcome is api.Outcome.OK
-            ended = api.AttemptEnded(action.request_id, number, action.provider, outcome, ends - now, served)
-            self.schedule(ends, ended)
+            ended = api.AttemptEnded(action.request_id, number, action.provider, outcome, ends_at - now, served)
+            self.schedule(ends_at, ended)
             if served:
                 self.final_answers[action.request_id] = "served"
         elif isinstance(action, api.Reject | api.Fail):
--- a/loftweir/http1/back.py
+++ b/loftweir/http1/back.py
@@ -40,10 +40,10 @@
 # The outcome of an attempt, the response with OK, and whether the connection can be used again; None: the response owns
 # the connection.
 ExchangeResult = tuple[Outcome, HttpResponse | None, bool | None]
-# A response of unknown length is held, rather than forwarded, for this time from its first part on, or up to this many
-# times `limits.held`: if it is reset in that time, the client has not been sent a part of it.
-HELD_FOR = 200 * MS
-HELD_UNKNOWN = 4
+# A response of unknown length is buffered, rather than forwarded, for MAX_BUFFER_TIME from its first part on or up to
+# MAX_BUFFER_FACTOR times `limits.held`: if it is reset before that, the client has not been sent a part of it.
+MAX_BUFFER_TIME = 200 * MS
+MAX_BUFFER_FACTOR = 4
 
 
 class ProviderConnection:
@@ -417,21 +417,21 @@
     def _part(
         self, reader: H11Reader, body: Body, length: int | None, begun_at: int, until: int
     ) -> Coroutine[bytes | None]:
-        """Return the next part of a response; None if a long one of unknown length must not be held any longer."""
-        hold_until = until
+        """Return the next part of a response; None if a long one of unknown length must not be buffered any longer."""
+        buffer_until = until
         if length is None and body.size > self.pool.options.limits.held:
-            if not self._can_hold(body):
+            if not self._can_buffer(body):
                 return None
-            hold_until = min(until, begun_at + HELD_FOR)
+            buffer_until = min(until, begun_at + MAX_BUFFER_TIME)
         try:
-            return (yield from reader.part(hold_until))
+            return (yield from reader.part(buffer_until))
         except TimedOut:
-            if hold_until == until:
+            if buffer_until == until:
                 raise
             return None
 
-    def _can_hold(self, body: Body) -> bool:
-        """Whether a long response can be held further.
+    def _can_buffer(self, body: Body) -> bool:
+        """Whether a long response can be buffered further.
 
         If so, memory for its next part is reserved, and half of the budget is left for other responses.
         """
@@ -444,15 +444,15 @@
         return True
 
     def _is_forwarded(self, body: Body, length: int | None, begun_at: int) -> bool:
-        """Whether a response is forwarded as it arrives instead of being held until it is complete.
+        """Whether a response is forwarded as it arrives instead of being buffered until it is complete.
 
-        One of unknown length may be reset at any time. It is held for a while, so that a reset early on can still be
-        answered with an error.
+        One of unknown length may be reset at any time. It is buffered for a while, so that a reset early on can still
+        be answered with an error.
         """
-        held = self.pool.options.limits.held
+        buffer_limit = self.pool.options.limits.held
         if length is not None:
-            return length > held
-        return self.loop.time - begun_at > HELD_FOR or body.size > HELD_UNKNOWN * held
+            return length > buffer_limit
+        return self.loop.time - begun_at > MAX_BUFFER_TIME or body.size > MAX_BUFFER_FACTOR * buffer_limit
 
     def _forwarded(
         self,
--- a/loftweir/http1/client.py
+++ b/loftweir/http1/client.py
@@ -262,7 +262,7 @@
             return Exchange(rejection(max(1, after // MS)), None, limits.body)
         response = client_error(error, limits.body)
         if response is None:
-            # A fault of this program: this request fails, and the process goes on.
+            # A fault of this program: this request fails, and the process continues.
             emit(INVOCATION_BROKEN, error=repr(error), at=traceback_location(error))
             response = text_response(500, "failed")
         return Exchange(response, None, limits.linger_bytes)
@@ -270,8 +270,8 @@
     def _is_last(self, exchange: Exchange) -> bool:
         """Whether the connection is closed after this response.
 
-        It is after a client error: such a client may have sent more invalid requests, or go on at full speed, and each
-        one then costs it a new connection.
+        It is after a client error: such a client may have sent more invalid requests, or continue at full speed, and
+        each one then costs it a new connection.
         """
         return exchange.rest is None or self.front.life.traits.last or 400 <= exchange.response.status < 500
 
--- a/loftweir/http1/discovery.py
+++ b/loftweir/http1/discovery.py
@@ -28,8 +28,8 @@
     DISCOVERY_CALL_FAILED,
     DISCOVERY_LIST_FAILED,
     DISCOVERY_NEW_WATCH,
+    DISCOVERY_WATCH_ESTABLISHED,
     DISCOVERY_WATCH_FAILED,
-    DISCOVERY_WATCH_STANDS,
 )
 from loftweir.telemetry.log import emit
 
@@ -37,9 +37,9 @@
 
 
 class CallFailed(LoftweirError):
-    """A call to discovery returned no list, for the reason given. The sidecar goes on with the list that it has."""
+    """A call to discovery returned no list, for the reason given. The sidecar continues with the list that it has."""
 
-    remedy = "If it goes on, see that discovery runs at the address that is named and answers `GET /catalog/members`."
+    remedy = "If it persists, check that discovery runs at the address named and answers `GET /catalog/members`."
 
 
 class ListResponse(NamedTuple):
@@ -64,7 +64,7 @@
 class Refused(CallFailed):
     """Discovery answered at once that it has too many calls to take this one. The sidecar calls again soon."""
 
-    remedy = "If it goes on, discovery has more callers than it can answer: see to its size."
+    remedy = "If it persists, discovery has more callers than it can answer: increase its capacity."
 
     def __init__(self, why: str, reusable: bool = False) -> None:
         super().__init__(why)
@@ -141,7 +141,7 @@
         # was fetched over and over, and every sidecar's calls queued behind these.
         self.version: int | None = None
         self.current_as_of = loop.now()
-        self.callers = 1  # sidecars that call discovery, this one included
+        self.sidecars = 1  # sidecars that call discovery, this one included
         self.late_calls: list[LateCall] = []  # calls given up whose responses are still accepted
         self.lateness = 0  # how far past their wait responses without a change have arrived recently
         self.established: int | None = None  # the source at which a watch is established: a call of it was answered
@@ -151,9 +151,9 @@
         # not. So it always watches the agent, whatever the balancer says, and a watch that fails is repeated at once.
         self.pushed = False
 
-    def apply_settings(self, pushed: bool, callers: int) -> None:
+    def apply_settings(self, pushed: bool, sidecars: int) -> None:
         """Use new settings: whether an agent pushes lists, and how many sidecars call discovery otherwise."""
-        self.pushed, self.callers = pushed, callers
+        self.pushed, self.sidecars = pushed, sidecars
         if pushed:
             self.watch(True)
 
@@ -161,7 +161,7 @@
         """Start or stop watching the list for changes."""
         on = on or self.pushed
         if on and self.watching is not None and not self.watching.over:
-            return  # a watch goes on, or begins at a new address: starting another one would delay a change
+            return  # a watch is running, or begins at a new address: starting another one would delay a change
         if not on:
             self._drop_previous()
             if self.watching is not None:
@@ -238,7 +238,7 @@
         """Return how long discovery may keep the next call open. An agent serves only this sidecar: no jitter."""
         if self.pushed:
             return timeouts.wait
-        return listclock.watch_wait(timeouts.wait, self.random.random(), self.callers)
+        return listclock.watch_wait(timeouts.wait, self.random.random(), self.sidecars)
 
     # ---- which list is newer --------------------------------------------------------------------
 
@@ -289,10 +289,10 @@
     def _fetch(self) -> Coroutine[None]:
         """Fetch the whole list; a call that falls silent is repeated at once, `FRESH_CALLS` times."""
         timeouts = self._timeouts()
-        for left in range(listclock.FRESH_CALLS, -1, -1):
+        for retries_left in range(listclock.FRESH_CALLS, -1, -1):
             call = self._new_call(self.source, None)._replace(version=None)
             address = self.address
-            until = self.loop.now() + (timeouts.first if left == listclock.FRESH_CALLS else timeouts.fresh)
+            until = self.loop.now() + (timeouts.first if retries_left == listclock.FRESH_CALLS else timeouts.fresh)
             try:
                 sock = yield from self._connect(address, until)
                 kept = False
@@ -307,7 +307,7 @@
             except CallFailed as error:
                 self._log_failed(call, str(error))
                 emit(DISCOVERY_LIST_FAILED, why=error, address=address)
-                if not left or (left == listclock.FRESH_CALLS and not isinstance(error, Silent)):
+                if not retries_left or (retries_left == listclock.FRESH_CALLS and not isinstance(error, Silent)):
                     self._fail()
                     return
                 yield Wait(None, 0, until)
@@ -336,7 +336,7 @@
             end = yield from self._watch(source, address, version, quiet, until, late)
             version, late = self.version, None
             if source != self.source:
-                return  # the address changed meanwhile, and another watch goes on
+                return  # the address changed meanwhile, and another watch is running
             if self.pushed:
                 quiet = not end.established
                 self._fail()
@@ -357,13 +357,13 @@
         """Return how a watch that ended in this way is re-established; None: that is left to the balancer."""
         if not end.silent and (end.established or not end.refused):
             return None
-        repeats = end.established or self.callers <= listclock.SMALL_FLEET
+        repeats = end.established or self.sidecars <= listclock.SMALL_FLEET
         if end.silent and not repeats:
             return None
         deadline, fresh_calls = self.current_as_of + listclock.READ_WITHIN, listclock.FRESH_CALLS if repeats else 0
         if end.silent:
             deadline = max(deadline, self.loop.now() + fresh_calls * timeouts.fresh)
-        return listclock.WatchRecovery(deadline, self.callers, fresh_calls, timeouts.first, self.random)
+        return listclock.WatchRecovery(deadline, self.sidecars, fresh_calls, timeouts.first, self.random)
 
     def _new_call(self, source: int, version: int | None) -> ListCall:
         """Return the data of a call that begins now; `version` is used for a source other than the current one."""
@@ -425,7 +425,7 @@
                     # The first response of a watch is passed on even without a change: the watch is established.
                     applied = self._apply(call, response, not established)
                     if applied and not established:
-                        emit(DISCOVERY_WATCH_STANDS, version=response.update.version, age_ms=age // MS)
+                        emit(DISCOVERY_WATCH_ESTABLISHED, version=response.update.version, age_ms=age // MS)
                     established = established or applied
                     if established:
                         self.established = source
@@ -436,7 +436,7 @@
                     timeouts = self._timeouts()
                     wait, continues = self._wait(timeouts), established and call.version is not None
                     until = response.received_at + (
-                        timeouts.silent_for(wait, self.lateness, self.callers) if continues else timeouts.first
+                        timeouts.silent_for(wait, self.lateness, self.sidecars) if continues else timeouts.first
                     )
                     if not response.reusable:
                         self.loop.close(sock)
--- a/loftweir/http1/flow.py
+++ b/loftweir/http1/flow.py
@@ -29,7 +29,7 @@
         self,
         loop: Loop,
         sock: socket,
-        held: Body,
+        received: Body,
         length: int | None,
         reader: H11Reader | None,
         budget: MemoryBudget,
@@ -38,13 +38,14 @@
         deadline: int,
         release: Callable[[bool], None],
     ) -> None:
-        """`held` is what has arrived so far. The body has `length` bytes, read from the socket, or `reader` reads it.
+        """`received` is what has arrived so far. The body has `length` bytes, read from the socket, or `reader` reads
+        it.
 
         `deadline` is that of its request. `release` is called with whether the connection can be used again.
         """
         self.loop = loop
         self.sock = sock
-        self.held: Body | None = held
+        self.received: Body | None = received
         self.length = length
         self.reader = reader
         self.budget = budget
@@ -56,9 +57,10 @@
 
     def pull(self) -> Coroutine[bytes]:
         """Return the next piece; see `BodyStream.pull`."""
-        held, self.held = self.held, None
-        if held is not None and held.size:  # the head may have arrived alone, and an empty piece would mean the end
-            piece = b"".join(held)
+        received, self.received = self.received, None
+        # The head may have arrived alone, and an empty piece would mean the end.
+        if received is not None and received.size:
+            piece = b"".join(received)
         else:
             piece = yield from self._next()
         self.returned += len(piece)
@@ -97,7 +99,7 @@
         """Release the connection, once; `reusable`: the body was read to its end."""
         release, self.release = self.release, None
         if release is not None:
-            self.held = None
+            self.received = None
             release(reusable)
 
     def __del__(self) -> None:
@@ -114,13 +116,13 @@
     Invariant: until `over` is set, only `pull` waits on the client's socket.
     """
 
-    def __init__(self, loop: Loop, sock: socket, held: Body, length: int, silent_for: int) -> None:
+    def __init__(self, loop: Loop, sock: socket, received: Body, length: int, silent_for: int) -> None:
         self.loop = loop
         self.sock = sock
-        self.held = held
-        self.budget = held.budget
+        self.received = received
+        self.budget = received.budget
         self.length: int | None = length
-        self.left = length - held.size
+        self.remaining = length - received.size
         self.silent_for = silent_for
         self.begun = False
         self.over = False
@@ -131,11 +133,11 @@
         """Return the next piece; see `BodyStream.pull`. Raises `UploadFailed` if the client did not send it all."""
         if not self.begun:
             self.begun = True
-            if self.held.size:  # none may have arrived with its head, and an empty piece would mean the end
-                return b"".join(self.held)
-        while self.left and self.error is None:
+            if self.received.size:  # none may have arrived with its head, and an empty piece would mean the end
+                return b"".join(self.received)
+        while self.remaining and self.error is None:
             try:
-                data = self.sock.recv(min(self.left, self.budget.piece()))
+                data = self.sock.recv(min(self.remaining, self.budget.piece()))
             except BlockingIOError:
                 if not (yield Wait(self.sock, READABLE, self.loop.time + self.silent_for)):
                     self._end(TimedOut())
@@ -146,7 +148,7 @@
             if not data:
                 self._end(ConnectionResetError("the client closed the connection inside its body"))
                 continue
-            self.left -= len(data)
+            self.remaining -= len(data)
             return data
         if self.error is not None:
             raise UploadFailed
--- a/loftweir/http1/named.py
+++ b/loftweir/http1/named.py
@@ -26,6 +26,7 @@
         __slots__ = ()
 
         def admit(self, request: HttpRequest) -> Invocation | None:
+            """Check a request's head as the base class does, and select the host by its Host field."""
             self.host = self.front.host
             invocation = super().admit(request)
             if invocation is not None:
--- a/loftweir/interface.py
+++ b/loftweir/interface.py
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client sent a request; it is owed exactly one final answer."""
+    """A client sent a request; the balancer owes exactly one final answer to it."""
 
     id: str
     class_name: str
--- a/loftweir/listclock.py
+++ b/loftweir/listclock.py
@@ -47,8 +47,8 @@
 from random import Random
 from typing import NamedTuple
 
-# Nanoseconds.
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 
 # A sidecar counts as notified this long after discovery had a change and could be reached.
 NOTIFIED_AFTER = 6 * SECOND
@@ -76,7 +76,7 @@
 WAIT_SPREAD = 0.5
 # The same share in a very large fleet, where the additional calls of all sidecars add up.
 WAIT_SPREAD_LARGE_FLEET = 0.2
-# Up to so many sidecars use WAIT_SPREAD and give up a silent watch as early as a single sidecar would.
+# A fleet of up to this many sidecars uses WAIT_SPREAD and gives up a silent watch as early as a single sidecar would.
 FULL_SPREAD_FLEET = 16
 # The larger the fleet beyond FULL_SPREAD_FLEET, the later a silent watch is given up: the exponent of the fleet's size.
 SILENCE_EXPONENT = 3
@@ -189,8 +189,8 @@
 
     A call that falls silent is followed by the next one at once, `fresh_calls` times. A refused call is followed by the
     next one after a pause, which is shorter the less time is left, down to this sidecar's part of
-    `FLEET_RETRIES_PER_SECOND`. It goes on at that pace for `OVERDUE` after the deadline: until then each moment is one
-    more in which clients may notice what was missed.
+    `FLEET_RETRIES_PER_SECOND`. It continues at that pace for `OVERDUE` after the deadline: until then each moment is
+    one more in which clients may notice what was missed.
     """
 
     def __init__(self, deadline: int, sidecars: int, fresh_calls: int, first_timeout: int, random: Random) -> None:
--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -265,16 +265,16 @@
         self._register(fd, watcher.mask)
         return fd
 
-    def _register(self, fd: int, wanted: int) -> None:
-        """Register at least the wanted events with epoll."""
-        have = self.registered.get(fd)
+    def _register(self, fd: int, events: int) -> None:
+        """Register at least these events with epoll."""
+        registered = self.registered.get(fd)
         try:
-            if have is None:
-                self.epoll.register(fd, wanted)
-                self.registered[fd] = wanted
-            elif have & wanted != wanted:
-                self.epoll.modify(fd, have | wanted)
-                self.registered[fd] = have | wanted
+            if registered is None:
+                self.epoll.register(fd, events)
+                self.registered[fd] = events
+            elif registered & events != events:
+                self.epoll.modify(fd, registered | events)
+                self.registered[fd] = registered | events
         except OSError as error:
             if error.errno not in (errno.ENOMEM, errno.ENOSPC):
                 self.watchers.pop(fd, None)
@@ -300,11 +300,11 @@
             except OSError:  # it can't be watched: the watcher finds out what is wrong with it
                 watcher.ready(ENDED)
 
-    def _narrow(self, fd: int, wanted: int) -> None:
+    def _narrow(self, fd: int, events: int) -> None:
         """Reduce the events that epoll reports for a descriptor to those that are waited for."""
         try:
-            self.epoll.modify(fd, wanted)
-            self.registered[fd] = wanted
+            self.epoll.modify(fd, events)
+            self.registered[fd] = events
         except OSError as error:
             self.epoll.unregister(fd)
             del self.registered[fd]
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -22,7 +22,7 @@
 from loftweir.telemetry.log import emit
 
 READ_SIZE = 64 * 1024  # bytes
-SMALL = 64 * 1024  # bytes: a body up to this size is held whole, and may use the whole memory budget
+SMALL = 64 * 1024  # bytes: a body up to this size is buffered whole, and may use the whole memory budget
 SMALL_RESERVE = 4  # one part in so many of the budget is for small bodies only
 PIECES = 64  # pieces of long bodies in memory at a time, among which the budget is divided
 LEAST_PIECE = 4 * 1024  # bytes: the smallest piece of a long body to read at a time
@@ -70,7 +70,7 @@
 
 
 class MemoryBudget:
-    """The bytes that all bodies together may hold at a time.
+    """The bytes that all bodies together may take at a time.
 
     A part is for small bodies only: however many long ones there are, small requests are still served.
     """
@@ -78,13 +78,13 @@
     def __init__(self, size: int) -> None:
         self.size = self.left = size
 
-    def has(self, wanted: int, held: int) -> bool:
-        """Whether a body that holds `held` bytes may take `wanted` more."""
-        reserve = self.size // SMALL_RESERVE if wanted + held > SMALL else 0
-        return self.left - wanted >= reserve
+    def has_room(self, additional: int, taken: int) -> bool:
+        """Whether a body that has taken `taken` bytes may take `additional` more."""
+        reserve = self.size // SMALL_RESERVE if additional + taken > SMALL else 0
+        return self.left - additional >= reserve
 
     def most(self) -> int:
-        """Return the most bytes that one long body may hold."""
+        """Return the most bytes that one long body may take."""
         return self.size - self.size // SMALL_RESERVE
 
     def piece(self) -> int:
@@ -95,7 +95,7 @@
 class Body(list[bytes]):
     """The parts of a body. They take from the memory budget until the object is freed.
 
-    Invariant: `taken` is the larger of the bytes that were reserved and the bytes that are held.
+    Invariant: `taken` is the larger of the bytes that were reserved and the bytes that are stored.
     """
 
     __slots__ = ("budget", "size", "taken")
@@ -108,11 +108,11 @@
 
     def reserve(self, size: int) -> None:
         """Take `size` bytes in all from the budget; raise `OutOfBudget` if it has too few left."""
-        wanted = size - self.taken
-        if wanted > 0:
-            if not self.budget.has(wanted, self.taken):
+        additional = size - self.taken
+        if additional > 0:
+            if not self.budget.has_room(additional, self.taken):
                 raise OutOfBudget
-            self.budget.left -= wanted
+            self.budget.left -= additional
             self.taken = size
 
     def append(self, part: bytes) -> None:
--- a/loftweir/operations/command_handler.py
+++ b/loftweir/operations/command_handler.py
@@ -1,4 +1,4 @@
-"""Carries out operators' commands: stores their overrides, tells the balancer, and drains the sidecar."""
+"""Carries out operators' commands: stores their overrides, updates the balancer, and drains the sidecar."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 LOCK_TIMEOUT = 500 * MS  # for the record's lock; a client waits 1 s for its answer
 REPAIR_TIMEOUT = 2 * SECOND  # for another process that knows a damaged record to write it again
 
-TellBalancer = Callable[[MembershipUpdate, dict[str, str]], None]
+UpdateBalancer = Callable[[MembershipUpdate, dict[str, str]], None]
 
 
 class Fleet(Protocol):
@@ -43,14 +43,14 @@
 
 
 class CommandHandler:
-    """Invariant: the balancer was told what `overlay.record` overrides, and `life` drains as the record says."""
+    """Invariant: the balancer knows all overrides of `overlay.record`, and `life` drains as the record says."""
 
     def __init__(
-        self, loop: Loop, life: SidecarLifecycle, tell: TellBalancer, takes_clients: Callable[[], bool]
+        self, loop: Loop, life: SidecarLifecycle, update_balancer: UpdateBalancer, takes_clients: Callable[[], bool]
     ) -> None:
         self.loop = loop
         self.life = life
-        self.tell = tell
+        self.update_balancer = update_balancer
         self.takes_clients = takes_clients
         self.overlay = Overlay()
         self.fleet: Fleet | None = None
@@ -64,12 +64,12 @@
 
     def update_list(self, update: MembershipUpdate, addresses: dict[str, str]) -> None:
         """Passes discovery's list on to the balancer, with the overrides applied."""
-        self.tell(*self.overlay.update(update, addresses))
+        self.update_balancer(*self.overlay.update(update, addresses))
 
     # ---- the fleet ------------------------------------------------------------------------------
 
-    def apply_fleet(self, overrides: Mapping[str, Override], whole: bool) -> None:
-        """Applies overrides of the fleet; `whole`: they replace all earlier ones.
+    def apply_fleet(self, overrides: Mapping[str, Override], replace_all: bool) -> None:
+        """Applies overrides of the fleet; `replace_all`: they replace all earlier ones.
 
         Their times come from the clock of whoever sent the command. If that clock is ahead of this one, the provider
         counts as started now and not in an hour. A repeated override keeps the time that it got first.
@@ -82,9 +82,9 @@
                 repeated = before is not None and before.active == override.active
                 override = before if before is not None and repeated else Override(now, override.active)
             adjusted[name] = override
-        update = self.overlay.apply_fleet(adjusted, whole)
+        update = self.overlay.apply_fleet(adjusted, replace_all)
         if update is not None:
-            self.tell(*update)
+            self.update_balancer(*update)
 
     def _fleet(self, command: OperatorCommand) -> Coroutine[str]:
         if self.fleet is None:
@@ -150,18 +150,18 @@
                 try:
                     store.save(self.overlay.record)
                 except OSError as error:
-                    store.seen = None  # read again at the next poll
+                    store.last_stamp = None  # read again at the next poll
                     if not isinstance(error, BlockingIOError):
                         emit(OPERATOR_RECORD_FAILED, folder=str(store.path.parent), why=error)
 
     def apply_record(self, record: OverrideRecord) -> None:
-        """Puts a record in force: tells the balancer, and begins or ends the drain."""
+        """Puts a record in force: updates the balancer, and begins or ends the drain."""
         before, record = self.overlay.record, record.pruned(self.loop.now())
         if record == before:
             return
         update = self.overlay.apply_record(record)
         if update is not None:
-            self.tell(*update)
+            self.update_balancer(*update)
         if record.drain.active != before.drain.active:
             self.life.step(LifecycleEvent.DRAIN if record.drain.active else LifecycleEvent.UNDRAIN)
         disabled = sorted(name for name, override in record.overrides.items() if override.active)
@@ -192,7 +192,7 @@
                 raise No("partners are off: the operator's file names no partners.site")
             return self.partners.execute(command)
         if command.verb is Verb.READY:
-            if self.life.ends:
+            if self.life.is_ending:
                 raise No("this process comes to its end")
             if not self.begun or not self.takes_clients():
                 raise No("not yet")
--- a/loftweir/operations/overlay.py
+++ b/loftweir/operations/overlay.py
@@ -1,4 +1,4 @@
-"""The operators' overrides applied to discovery's list: what the balancer is told of each provider. No I/O, no clock.
+"""The operators' overrides applied to discovery's list: the endpoints that the balancer gets. No I/O, no clock.
 
 A provider is disabled while this sidecar's own override or the fleet's is active. It then drains, whatever the list
 says, even if it leaves the list and returns under another address. A provider that was enabled again has usually been
@@ -16,7 +16,7 @@
 
 
 class Overlay:
-    """Invariant: the balancer was told `effective` of each provider in `listed`, by the results of these methods."""
+    """Invariant: the results of these methods have given the balancer `effective` of each provider in `listed`."""
 
     def __init__(self) -> None:
         self.listed: dict[str, Endpoint] = {}  # as discovery has them, without those that are gone
@@ -54,16 +54,16 @@
         return replace(update, endpoints=tuple(map(self.effective, update.endpoints))), dict(addresses)
 
     def apply_record(self, record: OverrideRecord) -> tuple[MembershipUpdate, dict[str, str]] | None:
-        """Replaces this sidecar's record; returns what the balancer is to be told, or None for nothing."""
+        """Replaces this sidecar's record; returns the update for the balancer, None if nothing changed."""
         names = changed_names(self.record, record)
         self.record = record
         return self._update_of(names)
 
     def apply_fleet(
-        self, overrides: Mapping[str, Override], whole: bool
+        self, overrides: Mapping[str, Override], replace_all: bool
     ) -> tuple[MembershipUpdate, dict[str, str]] | None:
-        """Adds overrides of the fleet, or replaces all of them if `whole`; returns what the balancer is to be told."""
-        after = dict(overrides) if whole else {**self.fleet, **overrides}
+        """Adds overrides of the fleet, or replaces all of them; returns the update for the balancer, if any."""
+        after = dict(overrides) if replace_all else {**self.fleet, **overrides}
         names = changed_names(OverrideRecord(self.fleet), OverrideRecord(after))
         self.fleet = after
         return self._update_of(names)
--- a/loftweir/operations/store.py
+++ b/loftweir/operations/store.py
@@ -31,22 +31,22 @@
         self.path = folder / NAME
         self.lock = os.open(folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         self.serving = os.open(folder / SERVING, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        self.seen: tuple[int, int, int] | None = None  # inode, time and size of the file last read or written
+        self.last_stamp: tuple[int, int, int] | None = None  # inode, time and size of the file last read or written
 
     def has_changed(self) -> bool:
         """Whether the file differs from the one last read or written."""
-        return self._stamp() != self.seen
+        return self._stamp() != self.last_stamp
 
     def _stamp(self) -> tuple[int, int, int] | None:
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return found.st_ino, found.st_mtime_ns, found.st_size
+        return status.st_ino, status.st_mtime_ns, status.st_size
 
     def load(self) -> OverrideRecord:
         """Returns the record in the file, an empty one if there is no file; raises `Damaged` if it can't be trusted."""
-        self.seen = self._stamp()
+        self.last_stamp = self._stamp()
         try:
             with open(self.path, "rb") as file:
                 data = file.read(MAX_FILE_BYTES + 1)
@@ -72,7 +72,7 @@
             except OSError:
                 temporary.unlink(missing_ok=True)
                 raise
-            self.seen = self._stamp()
+            self.last_stamp = self._stamp()
         finally:
             fcntl.flock(self.lock, fcntl.LOCK_UN)
         return record
--- a/loftweir/settings.py
+++ b/loftweir/settings.py
@@ -163,27 +163,34 @@
             self.values[path] = value
 
     def get(self, path: str) -> Any:
+        """Return the value at a path; None: there is none."""
         value = self.values.get(path)
         return None if value == "-" else value
 
     def as_integer(self, path: str, value: str) -> int:
+        """Convert a value to a whole number, or raise WireError."""
         return parse_integer(path, value)
 
     def as_number(self, path: str, value: str) -> float:
+        """Convert a value to a finite number, or raise WireError."""
         return parse_number(path, value)
 
     def as_text(self, path: str, value: str) -> str:
+        """Return a text that is not empty, or raise WireError."""
         if not value:
             raise WireError(f"field {path}: it is empty")
         return value
 
     def as_flag(self, path: str, value: str) -> bool:
+        """Convert a value to a flag, or raise WireError."""
         return parse_choice(path, value, {"true": True, "false": False, "1": True, "0": False})
 
     def as_texts(self, path: str, value: str) -> tuple[str, ...]:
+        """Convert a value to a list of texts, or raise WireError."""
         return tuple(self.as_text(path, part) for part in value.split(","))
 
     def count(self, path: str) -> int | None:
+        """Return how many objects a list has; None: there is no list."""
         if self.get(f"{path}.count") is None:
             return None
         return min(self.integer(f"{path}.count"), len(self.values) + 1)
@@ -208,6 +215,7 @@
         self.not_objects: set[str] = set()  # reported paths whose values should be objects and are not
 
     def get(self, path: str) -> Any:
+        """Return the value at a path; None: there is none."""
         value: Any = self.data
         names = path.split(".")
         for depth, name in enumerate(names):
@@ -231,32 +239,38 @@
             super().add_fault(path, value, expected)
 
     def as_integer(self, path: str, value: Any) -> int:
+        """Convert a value to a whole number, or raise WireError."""
         number = self.as_number(path, value)
         if not number.is_integer():
             raise WireError(f"field {path}: {value!r} is not a whole number")
         return int(value)
 
     def as_number(self, path: str, value: Any) -> float:
+        """Convert a value to a finite number, or raise WireError."""
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise WireError(f"field {path}: {value!r} is not a number")
         return parse_number(path, str(value))
 
     def as_text(self, path: str, value: Any) -> str:
+        """Return a text that is not empty, or raise WireError."""
         if not isinstance(value, str) or not value:
             raise WireError(f"field {path}: {value!r} is not text")
         return value
 
     def as_flag(self, path: str, value: Any) -> bool:
+        """Convert a value to a flag, or raise WireError."""
         if value not in (0, 1) or isinstance(value, float):
             raise WireError(f"field {path}: {value!r} is neither true nor false")
         return bool(value)
 
     def as_texts(self, path: str, value: Any) -> tuple[str, ...]:
+        """Convert a value to a list of texts, or raise WireError."""
         if not isinstance(value, list) or not value:
             raise WireError(f"field {path}: {value!r} is not a list of names")
         return tuple(self.as_text(path, part) for part in value)
 
     def count(self, path: str) -> int | None:
+        """Return how many objects a list has; None: there is no list."""
         value = self.get(path)
         if value is None or isinstance(value, Null):
             return None
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -79,7 +79,7 @@
         self.commands = CommandHandler(loop, self.life, self.update_list, self._takes_clients)
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
         client_sockets = max(int(platform.sockets * limits.consumers_of_sockets), 1)
-        others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
+        other_descriptors = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
         self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Imported here, so that a sidecar without replication doesn't pay for the import.
@@ -88,7 +88,7 @@
             self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.apply_fleet
             )
-            others += part.descriptor_count(platform.name, options.replication)
+            other_descriptors += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
@@ -97,8 +97,8 @@
                 loop, platform.name, options, sites, self.fleet, self._update_partner_providers, self._settings
             )
             self.commands.partners = self.partners
-            others += partners.descriptors(options.partners, sites)
-        provider_sockets = max(platform.sockets - client_sockets - others, 1)
+            other_descriptors += partners.descriptors(options.partners, sites)
+        provider_sockets = max(platform.sockets - client_sockets - other_descriptors, 1)
         self.back = Backend(loop, platform.settings, options, provider_sockets, int(memory * limits.answers_of_memory))
         self.host = Host(loop, platform.settings, platform.seed, self.back, self.discovery)
         self.back.on_attempt_ended = self.host.attempt_ended
@@ -333,7 +333,7 @@
     def _stop(self, wakes: socket.socket) -> Coroutine[None]:
         """End the process; requests that were taken are answered.
 
-        If another process accepts clients at this address, this one stops accepting at once. Otherwise it goes on for
+        If another process accepts clients at this address, this one stops accepting at once. Otherwise it continues for
         as long as clients may not know of its end. Requests that arrive late are answered while the process is there.
         """
         front, limits = self.front, self.options.limits
--- a/loftweir/state/sealed.py
+++ b/loftweir/state/sealed.py
@@ -39,8 +39,8 @@
     if not newline or len(fields) != 3 or fields[0] != name:
         raise Damaged(f"not a file of {name.decode()}")
     if fields[1] != b"%d" % version:
-        found = fields[1].decode("ascii", "replace")[:16]
-        raise Damaged(f"of version {found}, this one reads {version}", len(name) + 1)
+        found_version = fields[1].decode("ascii", "replace")[:16]
+        raise Damaged(f"of version {found_version}, this one reads {version}", len(name) + 1)
     body = rest.removesuffix(b"\n")
     if fields[2] != b"%08x" % crc32(body):
         if rest.endswith(b"\n"):
--- a/loftweir/state/snapshot.py
+++ b/loftweir/state/snapshot.py
@@ -58,12 +58,12 @@
     """Returns the snapshot in a file's contents; raises `Damaged` if they can't be trusted."""
     body = unseal(FILE_NAME, VERSION, data)
     try:
-        found = msgspec.json.decode(body, type=Snapshot)
-        for entry in found.entries:
+        snapshot = msgspec.json.decode(body, type=Snapshot)
+        for entry in snapshot.entries:
             Lifecycle(entry.lifecycle)
     except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
         raise Damaged(f"not in its form: {error}", len(data) - len(body) - 1) from None
-    return found
+    return snapshot
 
 
 class ListSource(Enum):
@@ -75,15 +75,15 @@
     OLD = "old"  # the platform's: the snapshot is older than `trust_for`, or written before the clock was set back
 
 
-def choose_list(given: MembershipUpdate, snapshot: Snapshot | None, now: int, trust_for: int) -> ListSource:
+def choose_list(platform_list: MembershipUpdate, snapshot: Snapshot | None, now: int, trust_for: int) -> ListSource:
     """Chooses the snapshot if it is newer than the platform's list and at most `trust_for` old, else that list."""
     if snapshot is None:
         return ListSource.GIVEN
-    if given.endpoints and snapshot.index < given.version:
+    if platform_list.endpoints and snapshot.index < platform_list.version:
         return ListSource.STALE
     if not 0 <= now - snapshot.taken_at <= trust_for:
         return ListSource.OLD
-    if given.endpoints and snapshot.index == given.version:
+    if platform_list.endpoints and snapshot.index == platform_list.version:
         return ListSource.GIVEN
     return ListSource.SNAPSHOT
 
--- a/loftweir/telemetry/catalogue.py
+++ b/loftweir/telemetry/catalogue.py
@@ -391,7 +391,7 @@
     "answered",
     distinguished_by=None,
 )
-DISCOVERY_WATCH_STANDS = Event(
+DISCOVERY_WATCH_ESTABLISHED = Event(
     "discovery.watch_stands",
     INFO,
     ("version", "age_ms"),
--- a/loftweir/telemetry/formats.py
+++ b/loftweir/telemetry/formats.py
@@ -49,6 +49,7 @@
         """Puts time and level before the event."""
 
         def add_fields(self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]) -> None:
+            """Add time, level, and the fields of the event."""
             log_data["time"] = stamp(record.created)
             log_data["level"] = record.levelname.lower()
             log_data.update(message_dict)
@@ -64,6 +65,7 @@
         """Puts time and level before the event."""
 
         def format(self, record: logging.LogRecord) -> str:
+            """Return the line for a record."""
             assert isinstance(record.msg, dict)
             head = {"time": stamp(record.created), "level": record.levelname.lower()}
             return str(Logfmter.format_params(head | record.msg))
@@ -97,6 +99,7 @@
         self.colour = colour
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line for a record."""
         assert isinstance(record.msg, dict)
         head = {"time": stamp(record.created), "level": record.levelname.lower()}
         return console_line(head | record.msg, self.colour)
--- a/loftweir/telemetry/log.py
+++ b/loftweir/telemetry/log.py
@@ -36,6 +36,7 @@
         self.formatter = Console(colour=False)
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Write the line for a record."""
         if self.writer is None:
             self.writer = Writer(2, DEFAULT_BUFFER_BYTES, self.dropped_line)
         self.writer.write(self.line(record))
--- a/loftweir/telemetry/reading.py
+++ b/loftweir/telemetry/reading.py
@@ -77,17 +77,17 @@
 def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
-    return re.sub(r"\\(.)", lambda found: "\n" if found[1] == "n" else found[1], value[1:-1])
+    return re.sub(r"\\(.)", lambda match: "\n" if match[1] == "n" else match[1], value[1:-1])
 
 
-def read_records(lines: Iterable[str], wanted: Filter) -> Iterator[tuple[Record | None, str]]:
+def read_records(lines: Iterable[str], record_filter: Filter) -> Iterator[tuple[Record | None, str]]:
     """Yields the records that match, each with its line, and None with each line that is not of this log."""
     for line in lines:
         record = parse_line(line)
         if record is None:
             if line.strip():
                 yield None, line
-        elif wanted.matches(record):
+        elif record_filter.matches(record):
             yield record, line
 
 
--- a/loftweir/telemetry/writer.py
+++ b/loftweir/telemetry/writer.py
@@ -37,6 +37,7 @@
         self.fd, self._write = open_nonblocking(fd)
 
     def fileno(self) -> int:
+        """Return the descriptor, for the event loop."""
         return self.fd
 
     def write(self, line: bytes) -> None:
--- a/tests/cold_scene.py
+++ b/tests/cold_scene.py
@@ -15,7 +15,8 @@
 from loftweir import interface as api
 from loftweir.balance import Balancer
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 START = 1_700_000_000 * SECOND  # of the simulation, on all clocks
 FAULT_AT = START + 5 * SECOND  # providers start cold from then on
 COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL_AFTER = 0.14, 24 * SECOND, 2.5, SECOND
--- a/tests/discovery_scene.py
+++ b/tests/discovery_scene.py
@@ -66,13 +66,13 @@
     discovery has a change: a good response that is written from then on contains it.
     """
 
-    def __init__(self, options, ends, changes=1 << 62, ask_within=60 * SECOND, seed=1, callers=1, me=0):
+    def __init__(self, options, ends, changes=1 << 62, ask_within=60 * SECOND, seed=1, sidecars=1, me=0):
         self.loop, self.ends, self.changes = Clock(), ends, changes
         self.read_at, self.first_update, self.failed_at, self.called_at = None, None, [], []
         safety = replace(settings().safety, ask_within=ask_within)
-        self.balancer = make_balancer(seed, discovery_pushes=False, safety=safety, balancers=callers, me=me)
+        self.balancer = make_balancer(seed, discovery_pushes=False, safety=safety, balancers=sidecars, me=me)
         super().__init__(self.loop, "here", options, self._updated)
-        self.apply_settings(False, callers)
+        self.apply_settings(False, sidecars)
         self.version = 1
 
     def _updated(self, update, _):
@@ -101,10 +101,10 @@
         now = self.loop.now()
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
         self.called_at.append(now)
-        after, held = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
-        way, takes = self.ends(now, until, held)
+        after, wait = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
+        way, takes = self.ends(now, until, wait)
         if way == "good":
-            written = now if after < (2 if now >= self.changes else 1) else now + held
+            written = now if after < (2 if now >= self.changes else 1) else now + wait
             if after == 1 and now < self.changes < written:
                 written = self.changes
             takes += written - now
@@ -145,9 +145,9 @@
 class Queued(Calls):
     """One of many sidecars that call one `Busy` discovery."""
 
-    def __init__(self, clock, busy, seed, callers=1):
-        me = seed % callers  # the settings give each sidecar its number among so many
-        super().__init__(Options(), lambda *_: None, ask_within=10 * SECOND, seed=seed, callers=callers, me=me)
+    def __init__(self, clock, busy, seed, sidecars=1):
+        me = seed % sidecars  # the settings give each sidecar its number among so many
+        super().__init__(Options(), lambda *_: None, ask_within=10 * SECOND, seed=seed, sidecars=sidecars, me=me)
         self.loop, self.busy, self.read, self.random = clock, busy, {}, random.Random(seed)
         self._carry_out(self.balancer.handle(0, [MembershipUpdate(UpdateKind.REMEMBERED)]))
 
@@ -159,16 +159,16 @@
 
     def _call(self, sock, target, until):
         query = dict(part.split("=") for part in target.partition("?")[2].split("&") if part)
-        after, held = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
-        return (yield from self._wait_in_queue(*self.busy.turn(self.loop.now()), after, held, until))
+        after, wait = int(query.get("after", -1)), int(query.get("wait_ms", 0)) * MS
+        return (yield from self._wait_in_queue(*self.busy.turn(self.loop.now()), after, wait, until))
 
-    def _wait_in_queue(self, turn, good, after, held, until):
+    def _wait_in_queue(self, turn, good, after, wait, until):
         """Wait until the call is answered, or until it is given up."""
         change_at = next((change for change in self.busy.changes[max(0, after - 1) :]), 1 << 62)
-        answered = turn if after < 1 or not good else max(turn, min(turn + held, change_at))
+        answered = turn if after < 1 or not good else max(turn, min(turn + wait, change_at))
         yield Wait(None, 0, min(answered, until))
         if answered > until:
-            raise Silent("silent", partial(self._wait_in_queue, turn, good, after, held))
+            raise Silent("silent", partial(self._wait_in_queue, turn, good, after, wait))
         if not good:
             raise CallFailed("answered 503")
         kind = UpdateKind.FULL if after < 0 else UpdateKind.CHANGES
@@ -217,8 +217,8 @@
 class Turn:
     """A call in the queue, and its state."""
 
-    def __init__(self, after, due, good, held_until):
-        self.after, self.due, self.good, self.held_until = after, due, good, held_until
+    def __init__(self, after, due, good, wait_until):
+        self.after, self.due, self.good, self.wait_until = after, due, good, wait_until
         self.written = False
         self.given_up = False  # its response may still be accepted
 
@@ -261,12 +261,12 @@
     def _take_turn(self, turn):
         """Handle a call whose turn it is: answer it, or keep it open. A change that ends the wait is queued too."""
         now, busy = self.loop.now(), self.busy
-        if turn.held_until is None or busy.version(now) > turn.after >= 0 or turn.after < 0 or now >= turn.held_until:
+        if turn.wait_until is None or busy.version(now) > turn.after >= 0 or turn.after < 0 or now >= turn.wait_until:
             turn.written = True
             return
-        change_at = next((change for change in busy.changes if change > now), turn.held_until)
-        turn.due = min(change_at, turn.held_until)
-        if change_at < turn.held_until:
+        change_at = next((change for change in busy.changes if change > now), turn.wait_until)
+        turn.due = min(change_at, turn.wait_until)
+        if change_at < turn.wait_until:
             turn.due = max(turn.due, busy.free_at)
 
 
--- a/tests/pages.py
+++ b/tests/pages.py
@@ -151,20 +151,20 @@
     def with_free_ports(self, text):
         """The text with the page's ports replaced by free ones."""
 
-        def free(found):
-            if found[2] not in self.ports:
+        def free(match):
+            if match[2] not in self.ports:
                 taken = self.ports.values()
                 while (port := free_port()) in taken:
                     pass
-                self.ports[found[2]] = port
-            return found[1] + self.ports[found[2]]
+                self.ports[match[2]] = port
+            return match[1] + self.ports[match[2]]
 
         return ADDRESS.sub(free, text)
 
     def with_page_ports(self, text):
         """The text with the page's own ports again."""
         shown = {free: port for port, free in self.ports.items()}
-        return ADDRESS.sub(lambda found: found[1] + shown.get(found[2], found[2]), text)
+        return ADDRESS.sub(lambda match: match[1] + shown.get(match[2], match[2]), text)
 
     def regions(self, document):
         """The parser for sybil: yields all fenced blocks, comments with directives, and indented blocks of a page."""
@@ -172,7 +172,7 @@
         comments = [c for c in COMMENTS(document) if not any(f.start <= c.start < f.end for f in fences)]
         fences = [f for f in fences if not any(c.start <= f.start < c.end for c in comments)]
         taken = [*fences, *comments]
-        indented = [Region(found.end(), found.end() + 1) for found in INDENTED.finditer(document.text)]
+        indented = [Region(match.end(), match.end() + 1) for match in INDENTED.finditer(document.text)]
         indented = [r for r in indented if not any(t.start <= r.start < t.end for t in taken)]
         for regions, evaluator in ((fences, self.block), (comments, self.comment), (indented, self.indented)):
             for region in regions:
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -16,7 +16,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 LEAST_PORT = 10_000  # the lowest port that a test uses
 PORT_TRIES = 1_000  # ports that are tried before a test gives up
 FIRST_EPHEMERAL_PORT = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
@@ -59,9 +60,9 @@
 def eventually(check, seconds=10):
     """Poll until `check()` is true or the time is up; return its last result in both cases."""
     end = time.monotonic() + seconds
-    while not (found := check()) and time.monotonic() < end:
+    while not (result := check()) and time.monotonic() < end:
         time.sleep(0.01)
-    return found
+    return result
 
 
 def listener():
@@ -96,7 +97,7 @@
     def __init__(self, answer):
         self.answer = answer
         self.seen = []  # (head, body, number of its connection)
-        self.ends = []  # numbers of the connections that have ended
+        self.ended_connections = []  # numbers of the connections that have ended
         self.sockets = []
         self.listener = listener()
         self.address = address_of(self.listener)
@@ -128,7 +129,7 @@
                     sock.sendall(piece)
         except OSError:
             pass
-        self.ends.append(number)
+        self.ended_connections.append(number)
         for end in (lambda: sock.shutdown(socket.SHUT_RDWR), sock.close):
             with suppress(OSError):
                 end()
@@ -207,27 +208,27 @@
         `known`: the entries of the list in the configuration, by default one for each server. `changes` replace parts
         of the configuration. `fault`: see `run_program`.
         """
-        self.catalog = StubDiscovery()
+        self.discovery = StubDiscovery()
         self.providers = [StubServer(answer) for answer in answers]
-        for server in (self.catalog, *self.providers):
+        for server in (self.discovery, *self.providers):
             self.addCleanup(server.close)
         self.entries = [entry(f"s{n}", p.address) for n, p in enumerate(self.providers)]
-        self.catalog.entries = self.entries if known is None else known
+        self.discovery.entries = self.entries if known is None else known
         with listener() as free:
             self.listen = address_of(free)
-        self.environment = {"RELAY_DISCOVERY": self.catalog.address}
+        self.environment = {"RELAY_DISCOVERY": self.discovery.address}
         self.config = {
             "name": "n0",
             "listen": self.listen,
-            "discovery": self.catalog.address,
+            "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(list_body(0, self.catalog.entries, True)),
+            "known": json.loads(list_body(0, self.discovery.entries, True)),
             "settings": SETTINGS,
         }
         self.config |= changes
         self.run_program(json.dumps(self.config), fault)
-        if not changes and self.catalog.entries:
+        if not changes and self.discovery.entries:
             self.assertEqual(eventually(lambda: self.health() == 200), True, self.log())
 
     def run_program(self, config, fault=""):
@@ -271,8 +272,8 @@
 
     def wait_until_list_read(self):
         """Wait until the program has read the current list: then it asks for the changes after it."""
-        target = f"after={self.catalog.index}&"
-        self.assertTrue(eventually(lambda: any(target in head for head, *_ in self.catalog.seen)), self.log())
+        target = f"after={self.discovery.index}&"
+        self.assertTrue(eventually(lambda: any(target in head for head, *_ in self.discovery.seen)), self.log())
 
     def client(self):
         """A new client connection."""
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 SETTINGS = """
-zone=a dcs=a,b balancers=2 me=0 discovery=ask quantum=5000000 weights=nominal unheard.of=1
+zone=a dcs=a,b balancers=2 me=0 discovery=ask quantum=5000000 weights=nominal unknown.path=1
 profiles.count=1 profiles.0.name=read profiles.0.effect=once profiles.0.target=200000000
 profiles.0.hardLimit=1000000000 profiles.0.dedupScope=all profiles.0.window=0
 safety.graceToAnswer=20000000 safety.stopSendingWithin=500000000 safety.coldFrom=0.2
@@ -118,9 +118,9 @@
 
 
 def test_an_exception_in_the_balancer_becomes_give_in(capsys):
-    reply = run(launch_with_list(1) + batch("TO\t1", request_line(name="unheard"), now=2000))
+    reply = run(launch_with_list(1) + batch("TO\t1", request_line(name="unknown"), now=2000))
     assert "GIVE_IN\t" in reply
-    assert "unheard" in reply
+    assert "unknown" in reply
 
 
 def run_process(text, hash_seed="0"):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -100,15 +100,15 @@
 PROVIDERS = [endpoint("a1"), endpoint("a2"), endpoint("b1", "b")]
 
 
-def reasons(found, name):
+def reasons(explanation, name):
     """All reasons for which a provider was passed over."""
-    return {reason for d in found.decisions for reason in d.others.get(name, [])}
+    return {reason for d in explanation.decisions for reason in d.others.get(name, [])}
 
 
 def test_explain_spreads_requests_in_the_zone_and_gives_the_reason_for_the_other_zone():
-    found = explain(settings(), full_list(*PROVIDERS), Traffic("read", 40))
-    assert found.attempts == {"a1": 20, "a2": 20, "b1": 0} and found.outcomes == {"served": 40}
-    assert reasons(found, "b1") == {"other zone"} and reasons(found, "a1") == set()
+    explanation = explain(settings(), full_list(*PROVIDERS), Traffic("read", 40))
+    assert explanation.attempts == {"a1": 20, "a2": 20, "b1": 0} and explanation.outcomes == {"served": 40}
+    assert reasons(explanation, "b1") == {"other zone"} and reasons(explanation, "a1") == set()
 
 
 @pytest.mark.parametrize(
@@ -116,22 +116,22 @@
     [("silent", "no room"), ("resets", "set aside"), ("refuses", "turned a call away"), ("full", "turned a call away")],
 )
 def test_explain_gives_the_reason_why_a_misbehaving_provider_is_passed_over(how, reason):
-    found = explain(
+    explanation = explain(
         settings(), full_list(*PROVIDERS, endpoint("a3")), Traffic("read", 60, 20 * MS), behaves={"a1": how}
     )
-    assert reason in reasons(found, "a1")
-    assert found.attempts["a1"] < found.attempts["a2"]
+    assert reason in reasons(explanation, "a1")
+    assert explanation.attempts["a1"] < explanation.attempts["a2"]
 
 
 def test_explain_gives_the_reasons_draining_cold_and_failing_the_class():
     now = 100 * SECOND
     draining, cold = endpoint("a2", lifecycle=Lifecycle.DRAINING), endpoint("b1", "b", started_at=now)
-    found = explain(settings(balancers=3), full_list(PROVIDERS[0], draining, cold), Traffic("read", 5), began=now)
-    assert reasons(found, "a2") == {"drains"} and reasons(found, "b1") == {"cold", "other zone"}
-    found = explain(
+    explanation = explain(settings(balancers=3), full_list(PROVIDERS[0], draining, cold), Traffic("read", 5), began=now)
+    assert reasons(explanation, "a2") == {"drains"} and reasons(explanation, "b1") == {"cold", "other zone"}
+    explanation = explain(
         settings(), full_list(*PROVIDERS[:2]), Traffic("read", 40, 20 * MS), behaves={"a1": "errs", "a2": "errs"}
     )
-    assert "fails the class" in reasons(found, "a1") | reasons(found, "a2")
+    assert "fails the class" in reasons(explanation, "a1") | reasons(explanation, "a2")
 
 
 def test_explain_is_deterministic_for_a_seed_and_reports_the_outcome_of_every_request():
@@ -147,8 +147,8 @@
     entries = [entry("x1", "127.0.0.1:1", "alm-1"), entry("x2", "127.0.0.1:2", "alm-1", "leaving")]
     (tmp_path / "list.json").write_bytes(list_body(3, entries, True))
     arguments = ("explain", "--config", EXAMPLE, "-n", "6", "--class", "apply-submit")
-    found = json.loads(call(*arguments, "--list", str(tmp_path / "list.json"), "--json").stdout)
-    assert found["attempts"] == {"x1": 6, "x2": 0} and len(found["decisions"]) == 6
+    explanation = json.loads(call(*arguments, "--list", str(tmp_path / "list.json"), "--json").stdout)
+    assert explanation["attempts"] == {"x1": 6, "x2": 0} and len(explanation["decisions"]) == 6
     live = StubServer(lambda head, body: http_response(200, list_body(4, entries[:1], True)))
     table = call(*arguments, "--live", "--each", environment={"RELAY_DISCOVERY": live.address}).stdout
     live.close()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -18,8 +18,8 @@
         body = os.urandom(64 * 1024)
         headers = {"Req-Id": "r-1", "Req-Kind": KEYED, "Idempotency-Key": "k-1", "Req-Deadline-Ms": "2000"}
         headers |= {"Connection": "keep-alive, X-Hop", "X-Hop": "1", "X-End": "2"}
-        status, got, response = self.send_request("POST", "/api?a=1&b=%20", headers, body)
-        self.assertEqual((status, got, response.getheader("Content-Type")), (200, answer, "text/x"))
+        status, received, response = self.send_request("POST", "/api?a=1&b=%20", headers, body)
+        self.assertEqual((status, received, response.getheader("Content-Type")), (200, answer, "text/x"))
         ((head, sent, _),) = self.providers[0].seen
         self.assertEqual(head.splitlines()[0], "POST /api?a=1&b=%20 HTTP/1.1")
         self.assertEqual(sent, body)
@@ -128,7 +128,7 @@
         gate.set()
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200))
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200))
-        self.assertEqual(self.providers[0].ends, [])
+        self.assertEqual(self.providers[0].ended_connections, [])
 
     def test_an_id_in_flight_is_not_sent_a_second_time(self):
         """A second request with the id would run twice, and the balancer would confuse the attempts of the two."""
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -168,7 +168,7 @@
         cold = StubServer(count)
         for provider in (cold, *warm):
             self.addCleanup(provider.close)
-        self.catalog.entries = [entry(f"s{n}", p.address) for n, p in enumerate(warm)]
+        self.discovery.entries = [entry(f"s{n}", p.address) for n, p in enumerate(warm)]
         configs = {n: self.config(n) for n in range(self.PROCESSES)}
         for number, config in configs.items():
             config["settings"] = SETTINGS | {"balancers": self.PROCESSES, "me": number}
@@ -190,8 +190,8 @@
         time.sleep(3)
         start = time.time()
         new = entry("cold", cold.address, since_ms=int(start * 1000))
-        self.catalog.entries.append(new)
-        self.catalog.change(new)
+        self.discovery.entries.append(new)
+        self.discovery.change(new)
         for thread in threads:
             thread.join()
         self.assertGreater(served.count(200), 0.75 * len(served))  # a sixth of the fleet is cold
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -56,8 +56,8 @@
     access = "loud"
     [limit]
     """
-    found = faults_of(lambda: load(tmp_path, text))
-    assert found.keys() == {
+    faults = faults_of(lambda: load(tmp_path, text))
+    assert faults.keys() == {
         "stray",
         "providers",
         "limits.request_wihtin",
@@ -68,12 +68,12 @@
         "log.access",
         "limit",
     }
-    assert "did you mean limits.request_within?" in found["limits.request_wihtin"].expected
-    assert "did you mean limits?" in found["limit"].expected
-    assert found["limits.idle_for"].value == 5 and '"250ms"' in found["limits.idle_for"].expected
-    assert "1 to 65535" in found["limits.backlog"].expected
-    assert "off, troubled, sampled, all" in found["log.access"].expected
-    assert str(found["limits.body"]).endswith(
+    assert "did you mean limits.request_within?" in faults["limits.request_wihtin"].expected
+    assert "did you mean limits?" in faults["limit"].expected
+    assert faults["limits.idle_for"].value == 5 and '"250ms"' in faults["limits.idle_for"].expected
+    assert "1 to 65535" in faults["limits.backlog"].expected
+    assert "off, troubled, sampled, all" in faults["log.access"].expected
+    assert str(faults["limits.body"]).endswith(
         'loftweir.toml: limits.body: got \'64 parsecs\', expected a size such as "64KiB" or "4MiB", from 1B to 64MiB'
     )
 
@@ -88,9 +88,9 @@
 
 def test_contradicting_keys_are_faults(tmp_path):
     text = '[limits]\nsends_within = "3s"\nidle_of_sockets = "60%"\n[log]\naccess = "sampled"\naccess_sample = "0%"\n'
-    found = faults_of(lambda: load(tmp_path, text))
-    assert found.keys() == {"limits.sends_within", "limits.idle_of_sockets", "log.access_sample"}
-    assert found["limits.sends_within"].value == "3s"
+    faults = faults_of(lambda: load(tmp_path, text))
+    assert faults.keys() == {"limits.sends_within", "limits.idle_of_sockets", "log.access_sample"}
+    assert faults["limits.sends_within"].value == "3s"
 
 
 @pytest.mark.parametrize(
@@ -104,8 +104,8 @@
     ],
 )
 def test_invalid_members_are_reported_with_their_place(tmp_path, members, place):
-    found = faults_of(lambda: load(tmp_path, f'[replication]\nmembers = "{members}"\n'))
-    assert place in found["replication.members"].expected
+    faults = faults_of(lambda: load(tmp_path, f'[replication]\nmembers = "{members}"\n'))
+    assert place in faults["replication.members"].expected
 
 
 def test_a_member_without_a_folder_and_an_election_timeout_near_the_heartbeat_are_faults(tmp_path):
@@ -153,9 +153,9 @@
     assert (options.log.keep, sources["log.keep"]) == (8192, "file")
     assert (options.limits.backlog, sources["limits.backlog"]) == (64, "environment")
     assert sources["log.access"] == "default"
-    found = faults_of(lambda: load(tmp_path, "", {"LOFTWEIR_LOG_LEVLE": "x", "LOFTWEIR_LOG_KEEP": "x"}))
-    assert "LOFTWEIR_LOG_LEVEL?" in found["LOFTWEIR_LOG_LEVLE"].expected
-    assert found["LOFTWEIR_LOG_KEEP"].file == "environment"
+    faults = faults_of(lambda: load(tmp_path, "", {"LOFTWEIR_LOG_LEVLE": "x", "LOFTWEIR_LOG_KEEP": "x"}))
+    assert "LOFTWEIR_LOG_LEVEL?" in faults["LOFTWEIR_LOG_LEVLE"].expected
+    assert faults["LOFTWEIR_LOG_KEEP"].file == "environment"
 
 
 @given(st.sampled_from([*DURATIONS, *SIZES]), st.integers(0, 10**9))
@@ -193,9 +193,9 @@
     settings["profiles"][2]["window"] = 0
     known = {"index": 1, "endpoints": [entry("s0", "127.0.0.1:1", status="asleep") | {"group": "x"}, 5]}
     bad = config(listen="nowhere", seed="xyz", limits={"sockets": True}, settings=settings, known=known)
-    found = platform_faults(tmp_path, bad, {"RELAY_DISCOVERY": "no port"})
+    faults = platform_faults(tmp_path, bad, {"RELAY_DISCOVERY": "no port"})
     of_entry = {f"known.endpoints.1.{name}" for name in entry("", "")}
-    assert found.keys() == of_entry | {
+    assert faults.keys() == of_entry | {
         "listen",
         "RELAY_DISCOVERY",
         "seed",
@@ -207,9 +207,9 @@
         "known.endpoints.0.status",
         "known.endpoints.0.group",
     }
-    assert found["RELAY_DISCOVERY"].file == "environment"
-    assert found["limits.memory_mb"].value == MISSING
-    assert "active, leaving, left" in found["known.endpoints.0.status"].expected
+    assert faults["RELAY_DISCOVERY"].file == "environment"
+    assert faults["limits.memory_mb"].value == MISSING
+    assert "active, leaving, left" in faults["known.endpoints.0.status"].expected
 
 
 def test_all_unreadable_settings_are_reported(tmp_path):
@@ -217,8 +217,8 @@
     settings["profiles"][0]["effect"] = "maybe"
     settings["profiles"][1]["target"] = "soon"
     del settings["safety"]["fall"]
-    found = platform_faults(tmp_path, config(settings=settings))
-    assert found.keys() == {"settings.profiles.0.effect", "settings.profiles.1.target", "settings.safety.fall"}
+    faults = platform_faults(tmp_path, config(settings=settings))
+    assert faults.keys() == {"settings.profiles.0.effect", "settings.profiles.1.target", "settings.safety.fall"}
 
 
 def test_a_contradiction_between_the_two_files_is_a_fault(tmp_path):
@@ -231,8 +231,8 @@
 def test_the_faults_of_both_files_are_reported_together(tmp_path):
     (tmp_path / "c.json").write_text("{}")
     (tmp_path / "o.toml").write_text("[log]\nlevel = 1\n")
-    found = faults_of(lambda: read(origin({}, str(tmp_path / "c.json"), str(tmp_path / "o.toml"))))
-    assert {"log.level", "listen", "settings"} <= found.keys()
+    faults = faults_of(lambda: read(origin({}, str(tmp_path / "c.json"), str(tmp_path / "o.toml"))))
+    assert {"log.level", "listen", "settings"} <= faults.keys()
 
 
 def test_changes_are_listed_by_key_and_whether_a_reload_applies_them(tmp_path):
--- a/tests/test_crossings_servers.py
+++ b/tests/test_crossings_servers.py
@@ -207,33 +207,33 @@
 
 
 def test_an_event_of_a_closed_socket_is_not_passed_to_the_next_one_with_its_number():
-    loop, seen = Loop(), []
-    (near, far), (other, other_far) = socket.socketpair(), socket.socketpair()
+    loop, events = Loop(), []
+    (near, far), (closed, closed_far) = socket.socketpair(), socket.socketpair()
     fresh = []
 
     def first():
         yield Wait(near, READABLE, None)
-        number = other.fileno()
+        number = closed.fileno()
         second.cancel()
-        loop.close(other)
+        loop.close(closed)
         fresh.extend(socket.socketpair())
         assert fresh[0].fileno() == number
-        seen.append((yield Wait(fresh[0], READABLE, loop.now() + 20 * MS)))
+        events.append((yield Wait(fresh[0], READABLE, loop.now() + 20 * MS)))
         fresh[1].send(b"x")
-        seen.append((yield Wait(fresh[0], READABLE, loop.now() + 5000 * MS)))
+        events.append((yield Wait(fresh[0], READABLE, loop.now() + 5000 * MS)))
         loop.stopped = True
 
     def waits():
-        yield Wait(other, READABLE, None)
-        seen.append("an event of the closed socket")
+        yield Wait(closed, READABLE, None)
+        events.append("an event of the closed socket")
 
     loop.start(first())
     second = loop.start(waits())
     far.send(b"x")
-    other_far.send(b"x")  # both events are in the kernel, so one poll returns both
+    closed_far.send(b"x")  # both events are in the kernel, so one poll returns both
     loop.run()
-    assert seen == [0, READABLE]
-    for sock in (near, far, other_far, *fresh):
+    assert events == [0, READABLE]
+    for sock in (near, far, closed_far, *fresh):
         sock.close()
 
 
@@ -271,8 +271,8 @@
         self.early = EarlyServer(does)
         self.addCleanup(self.early.close)
         self.start(ok)
-        self.catalog.change(entry("early", self.early.address))
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > 1))
+        self.discovery.change(entry("early", self.early.address))
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > 1))
 
     def test_a_request_answered_or_cut_before_its_last_byte_never_ran_and_another_provider_serves_it(self):
         body = os.urandom(8 << 20)  # more than the kernel buffers
@@ -342,7 +342,7 @@
 class BrokenTest(SidecarTest):
     operator = '[log]\naccess = "all"\n\n[limits]\nsilent_for = "1s"\n'  # for long bodies that have begun
 
-    def one(self, data, end, still=False, after=0.0):
+    def send_to_broken_server(self, data, end, still=False, after=0.0):
         """Send a request to a server that sends `data` and then ends by `end`, `after` seconds later.
 
         With `still` the program is stopped from the request on until both are in the kernel. Returns the status, the
@@ -373,9 +373,9 @@
                     self.assertTrue(sent.wait(5))
             else:
                 go.set()
-            found = pending.result()
+            result = pending.result()
         gate.set()
-        return found
+        return result
 
     def send_and_read(self):
         """Send a request; return the status, the body (None if it is visibly incomplete), the time and the outcome."""
@@ -387,20 +387,20 @@
             body = response.read()
         except (http.client.IncompleteRead, ConnectionResetError):
             body = None
-        took = time.monotonic() - began
+        elapsed = time.monotonic() - began
         self.assertTrue(eventually(lambda: self.logged("access")))
         (call,) = self.logged("access")[0]["calls"]
-        return response.status, body, took, call["outcome"]
+        return response.status, body, elapsed, call["outcome"]
 
     def test_a_response_that_breaks_off_is_not_used_and_its_request_may_have_run(self):
         for (name, (data, at_fin)), end in itertools.product(BROKEN.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(what=name, end=end.__name__):
-                status, body, took, outcome = self.one(data, end, still=end is not stays_silent)
+                status, body, elapsed, outcome = self.send_to_broken_server(data, end, still=end is not stays_silent)
                 expected = {closes_its_side: at_fin, reset: 502, stays_silent: 504}[end]
                 self.assertEqual((status, outcome), (expected, OUTCOMES[expected]))
                 if status == 200:
                     self.assertEqual(body, data.partition(NO_LENGTH[8:])[2])
-                self.assertLess(took, 1.3)
+                self.assertLess(elapsed, 1.3)
                 self.assertEqual(len(self.providers[0].seen), 1)
 
     def test_a_response_that_breaks_off_while_it_is_forwarded_is_visibly_incomplete(self):
@@ -412,12 +412,12 @@
         }
         for (name, data), end in itertools.product(framings.items(), (closes_its_side, reset, stays_silent)):
             with self.subTest(framing=name, end=end.__name__):
-                # A response without a length is held for 0.2 s.
-                status, body, took, outcome = self.one(data, end, after=0.3)
+                # A response without a length is buffered for 0.2 s.
+                status, body, elapsed, outcome = self.send_to_broken_server(data, end, after=0.3)
                 whole = name == "no length" and end is closes_its_side
                 self.assertEqual((status, outcome), (200, "ok"))
                 self.assertTrue(body == (long if whole else None if status == 200 else b"failed\n"))
-                self.assertLess(took, 2)
+                self.assertLess(elapsed, 2)
                 self.assertEqual(len(self.providers[0].seen), 1)
 
     def test_a_long_response_of_unknown_length_that_is_reset_at_once_fails_and_is_not_forwarded(self):
@@ -425,13 +425,13 @@
         framings = {"chunked": CHUNKED + b"%x\r\n%s\r\n" % (len(long), long), "no length": NO_LENGTH + long}
         for (name, data), after in itertools.product(framings.items(), (0.0, 0.002, 0.05)):
             with self.subTest(framing=name, after=after):
-                status, body, took, outcome = self.one(data, reset, after=after)
+                status, body, elapsed, outcome = self.send_to_broken_server(data, reset, after=after)
                 self.assertEqual((status, body, outcome), (502, b"failed\n", "reset"))
-                self.assertLess(took, 1)
+                self.assertLess(elapsed, 1)
 
-    def test_a_response_of_unknown_length_is_forwarded_earlier_if_it_is_far_over_the_held_size(self):
+    def test_a_response_of_unknown_length_is_forwarded_earlier_if_it_is_far_over_the_buffer_limit(self):
         longer = os.urandom(400_000)
-        status, body, _, outcome = self.one(NO_LENGTH + longer, reset, after=0.1)
+        status, body, _, outcome = self.send_to_broken_server(NO_LENGTH + longer, reset, after=0.1)
         self.assertEqual((status, body, outcome), (200, None, "ok"))
 
     def test_a_content_length_besides_chunked_encoding_is_not_forwarded(self):
@@ -462,36 +462,36 @@
         request = f"GET /api HTTP/1.1\r\nHost: h\r\nReq-Id: r\r\nReq-Kind: {READ}\r\n"
         request += f"Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
         host, port = self.listen.split(":")
-        got = b""
+        received = b""
         with socket.create_connection((host, int(port)), timeout=10) as sock, suppress(ConnectionResetError):
             sock.sendall(request.encode())
             while data := sock.recv(65536):
-                got += data
-                if got.endswith(b"0\r\n\r\n"):
+                received += data
+                if received.endswith(b"0\r\n\r\n"):
                     break
-        return got, time.monotonic() - began
+        return received, time.monotonic() - began
 
     def test_a_short_response_of_unknown_length_that_falls_silent_is_ended_soon_after_its_deadline(self):
         """A response counts when its last byte arrives, and as lost half a second past its deadline."""
         for head, part in ((NO_LENGTH, b"xxx"), (CHUNKED, b"3\r\nxxx\r\n")):
             with self.subTest(head=head):
-                got, took = self.receive_in_parts([head + part] + [part] * 2, 0.15)
-                self.assertTrue(got.startswith(b"HTTP/1.1 200 ") and b"xxx" in got, got)
-                self.assertFalse(got.endswith(b"0\r\n\r\n"), "it must not look complete")
-                self.assertLess(took, 2)
+                received, elapsed = self.receive_in_parts([head + part] + [part] * 2, 0.15)
+                self.assertTrue(received.startswith(b"HTTP/1.1 200 ") and b"xxx" in received, received)
+                self.assertFalse(received.endswith(b"0\r\n\r\n"), "it must not look complete")
+                self.assertLess(elapsed, 2)
 
-    def test_a_response_that_goes_on_past_its_deadline_is_forwarded_to_its_end(self):
+    def test_a_response_that_continues_past_its_deadline_is_forwarded_to_its_end(self):
         """It may be a long response, so it is not cut off as long as the server sends more."""
         part = b"3\r\nxxx\r\n"
-        got, took = self.receive_in_parts([CHUNKED + part] + [part] * 9 + [b"0\r\n\r\n"], 0.12)
-        self.assertEqual((got.count(b"xxx"), got[-5:]), (10, b"0\r\n\r\n"))
-        self.assertGreater(took, 1)
+        received, elapsed = self.receive_in_parts([CHUNKED + part] + [part] * 9 + [b"0\r\n\r\n"], 0.12)
+        self.assertEqual((received.count(b"xxx"), received[-5:]), (10, b"0\r\n\r\n"))
+        self.assertGreater(elapsed, 1)
 
 
-class SmallHeldSizeTest(SidecarTest):
+class SmallBufferLimitTest(SidecarTest):
     operator = '[limits]\nheld = "2B"\n'
 
-    def test_data_behind_a_complete_response_above_the_held_size_is_not_forwarded(self):
+    def test_data_behind_a_complete_response_above_the_buffer_limit_is_not_forwarded(self):
         number = itertools.count()
         for behind in (b"", b"noise", STALE):
             with self.subTest(behind=behind):
@@ -570,22 +570,22 @@
     def settings_of(name):
         return SETTINGS | {"profiles": [OF_CLASS[name]]}
 
-    def check_change(self, was, becomes, moment, end, status, attempts):
-        out, over = [threading.Event() for _ in range(4)], threading.Event()
-        goes, order = [threading.Event() for _ in range(4)], iter(range(4))
-        self.addCleanup(over.set)
+    def check_change(self, before, after, moment, end, status, attempts):
+        received, done = [threading.Event() for _ in range(4)], threading.Event()
+        proceed, order = [threading.Event() for _ in range(4)], iter(range(4))
+        self.addCleanup(done.set)
 
         def answer(head, body):
             number = next(order)
-            out[number].set()
-            if number < held:
-                goes[number].wait(10)
+            received[number].set()
+            if number < delayed:
+                proceed[number].wait(10)
                 end(self.server_of(head).sockets[-1])
-                over.wait(5)
+                done.wait(5)
             return http_response(200, b"own")
 
-        held = 2 if moment == "retry in flight" else 1
-        self.start(answer, answer, answer, settings=was)
+        delayed = 2 if moment == "retry in flight" else 1
+        self.start(answer, answer, answer, settings=before)
         self.assertTrue(eventually(lambda: self.health() == 200))
         client = self.client()
         client.connect()
@@ -593,22 +593,22 @@
         client.sock.sendall(b"Idempotency-Key: k\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         self.assertIn(b" 100 ", client.sock.recv(100), "the head has been read")
         if moment == "head":
-            self.change(becomes)
+            self.change(after)
         client.sock.sendall(b"{}")
         began = time.monotonic()
-        for number in range(held):
-            self.assertTrue(out[number].wait(5))
-            if moment != "head" and number == held - 1:
-                self.change(becomes)
+        for number in range(delayed):
+            self.assertTrue(received[number].wait(5))
+            if moment != "head" and number == delayed - 1:
+                self.change(after)
             if end is not stays_silent:
                 time.sleep(max(0, began + (0.7 if end is not reset else 0.25) - time.monotonic()))
-            goes[number].set()
+            proceed[number].set()
         response = http.client.HTTPResponse(client.sock)
         response.begin()
         self.assertEqual((response.status, sum(len(p.seen) for p in self.providers)), (status, attempts))
         if end is stays_silent:
             self.assertLess(time.monotonic() - began, 2)
-        over.set()
+        done.set()
 
     def server_of(self, head):
         """The server that received the last request: one attempt is in flight at a time."""
@@ -679,17 +679,17 @@
             self.assertIn(status, (200, 503))
             if status == 200:
                 served += 1
-                head, seen = json.loads(answer)
-                self.assertEqual(seen, (body or b"").decode())
+                head, received_body = json.loads(answer)
+                self.assertEqual(received_body, (body or b"").decode())
                 line, *lines = head.splitlines()
                 self.assertEqual(line.split()[1], f"/api?q={own}")
-                got = dict(field.split(": ", 1) for field in lines)
-                left = int(got.pop("Req-Deadline-Ms"))
-                self.assertTrue(0 < left <= 2000)
+                received_fields = dict(field.split(": ", 1) for field in lines)
+                deadline_left = int(received_fields.pop("Req-Deadline-Ms"))
+                self.assertTrue(0 < deadline_left <= 2000)
                 for name in ("Host", "Accept-Encoding", "Content-Length"):
-                    got.pop(name, None)
+                    received_fields.pop(name, None)
                 del fields["Req-Deadline-Ms"]
-                self.assertEqual(got, fields)
+                self.assertEqual(received_fields, fields)
         return served
 
 
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -77,10 +77,10 @@
             sock.sendall(request[:cut])
             time.sleep(0.002)
             sock.sendall(request[cut:])
-            got = b""
-            while not got.endswith(b"y" * 3000):
-                got += sock.recv(1 if cut < 20 else 65536)
-            self.assertEqual(statuses(got), [200])
+            received = b""
+            while not received.endswith(b"y" * 3000):
+                received += sock.recv(1 if cut < 20 else 65536)
+            self.assertEqual(statuses(received), [200])
         self.assertEqual({body for _, body, _ in self.providers[0].seen}, {b"0123456789"})
 
     def test_pipelined_requests_are_answered_in_order(self):
@@ -88,10 +88,10 @@
         sock = self.connection()
         odd = post("odd", b"3").replace(b"Host: x", b"Host:  x")  # not in the common form
         sock.sendall(post("one", b"1") + post("two", b"2") + odd + post("four", b"4"))
-        got = b""
-        while len(statuses(got)) < 4 or not got.endswith(b"4"):
-            got += sock.recv(65536)
-        self.assertEqual([part[-1:] for part in got.split(b"HTTP/1.1 ")[1:]], [b"1", b"2", b"3", b"4"])
+        received = b""
+        while len(statuses(received)) < 4 or not received.endswith(b"4"):
+            received += sock.recv(65536)
+        self.assertEqual([part[-1:] for part in received.split(b"HTTP/1.1 ")[1:]], [b"1", b"2", b"3", b"4"])
 
     def test_a_response_cut_anywhere_is_forwarded_whole(self):
         cuts = iter(range(1, 140, 7))
@@ -148,13 +148,13 @@
         thread.start()
         try:
             with ThreadPoolExecutor(12) as pool:
-                found = [f.result()[0] for f in [pool.submit(self.invoke, ONCE) for _ in range(120)]]
+                results = [f.result()[0] for f in [pool.submit(self.invoke, ONCE) for _ in range(120)]]
         finally:
             stop.set()
             thread.join()
             self.program.send_signal(signal.SIGCONT)
-        self.assertGreater(found.count(200), 60)
-        self.assertLessEqual(set(found), {200, 503})
+        self.assertGreater(results.count(200), 60)
+        self.assertLessEqual(set(results), {200, 503})
         ids = [line for head, _, _ in self.providers[0].seen for line in head.splitlines() if "Req-Id" in line]
         self.assertEqual(len(ids), len(set(ids)), "none was sent twice")
 
@@ -179,32 +179,32 @@
         """Its later requests wait unread for its own earlier ones. They are old, but that is no sign of overload."""
         self.start(lambda head, body: time.sleep(0.06) or http_response(200, body))
         for apart in (0.0, 0.002):  # all at once, and each in a packet of its own
-            sock, got = self.connection(), b""
+            sock, received = self.connection(), b""
             for number in range(30):
                 sock.sendall(post(f"{apart}-{number}", b"!", deadline_ms=3000))
                 time.sleep(apart)
-            while got.count(b"HTTP/1.1 ") < 30:
-                got += sock.recv(65536)
-            self.assertEqual(statuses(got), [200] * 30)
+            while received.count(b"HTTP/1.1 ") < 30:
+                received += sock.recv(65536)
+            self.assertEqual(statuses(received), [200] * 30)
 
     def test_bodies_may_take_a_share_of_the_memory_and_are_rejected_beyond_it(self):
         """Clients that fill the memory with bodies that never end are rejected; others are still served."""
         self.operator = '[limits]\nrequests_of_memory = "1%"\n'
         self.start(ok, limits={"sockets": 256, "memory_mb": 20})  # 209,715 bytes
         self.assertTrue(eventually(lambda: self.health() == 200))
-        holding = [self.connection() for _ in range(6)]
+        incomplete = [self.connection() for _ in range(6)]
         body = b"x" * 60_000
-        for number, sock in enumerate(holding):
+        for number, sock in enumerate(incomplete):
             sock.sendall(post(f"h{number}", body)[:-1])
-        got = []
-        for sock in holding:
+        answers = []
+        for sock in incomplete:
             sock.settimeout(0.5)
             with suppress(TimeoutError):
-                got += statuses(sock.recv(65536))
-        self.assertEqual(set(got), {503})
-        self.assertGreaterEqual(len(got), 2)
+                answers += statuses(sock.recv(65536))
+        self.assertEqual(set(answers), {503})
+        self.assertGreaterEqual(len(answers), 2)
         self.assertEqual(self.invoke(ONCE, body=b"small")[0], 200)
-        for sock in holding:
+        for sock in incomplete:
             sock.close()
         self.assertTrue(eventually(lambda: self.invoke(ONCE, body=body)[0] == 200), "their memory is free again")
 
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -66,8 +66,8 @@
         """Check the deadlines that were sent against the time that the client had left."""
         assert self.seen
         for at, sent in self.seen:
-            left = DEADLINE - (at - began)
-            assert sent <= left + SLACK, f"a deadline of {sent:.3f} s was sent with {left:.3f} s left"
+            time_left = DEADLINE - (at - began)
+            assert sent <= time_left + SLACK, f"a deadline of {sent:.3f} s was sent with {time_left:.3f} s left"
 
 
 def check_sent_deadlines(steps, declines=0):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -86,14 +86,14 @@
 
     def read(self, pause: float = 0.0) -> bytes | str:
         """Run the loop until the connection ends; return what the client read, or a text about its reset."""
-        got: list[bytes] = []
+        received: list[bytes] = []
         why: list[str] = []
 
         def reads() -> None:
             try:
                 time.sleep(pause)
                 while part := self.peer.recv(65536):
-                    got.append(part)
+                    received.append(part)
             except OSError as error:
                 why.append(type(error).__name__)
             self.peer.close()
@@ -109,7 +109,7 @@
         self.loop.spawn(until_read())
         self.loop.run()
         reader.join()
-        return why[0] + f" after {sum(map(len, got))}" if why else b"".join(got)
+        return why[0] + f" after {sum(map(len, received))}" if why else b"".join(received)
 
 
 def idle_too_long(setup):
@@ -172,8 +172,8 @@
 
     client.stage = Stage.BUSY
     setup.loop.spawn(answers())
-    got = setup.read(pause=0.1)
-    assert isinstance(got, bytes) and got.endswith(LONG), got
+    received = setup.read(pause=0.1)
+    assert isinstance(received, bytes) and received.endswith(LONG), received
 
 
 def test_a_client_that_reads_nothing_is_awaited_no_longer_than_a_write():
@@ -231,8 +231,8 @@
     front.host.balancer, front.accepting = SimpleNamespace(providers=[]), None
     del taken
     setup.loop.after(0, setup.peer.shutdown, socket.SHUT_WR)
-    got = setup.read()
-    assert isinstance(got, bytes) and b"not ready" in got, got
+    received = setup.read()
+    assert isinstance(received, bytes) and b"not ready" in received, received
 
 
 def test_a_response_without_length_that_is_cut_off_ends_in_a_reset():
@@ -252,8 +252,8 @@
     client.task = setup.loop.start(client._forward(b"HTTP/1.1 200 OK\r\n", flow))
     setup.peer.recv(64)
     assert setup.front.close() == 1
-    got = setup.read()
-    assert isinstance(got, str) and got.startswith("ConnectionResetError"), got
+    received = setup.read()
+    assert isinstance(received, str) and received.startswith("ConnectionResetError"), received
 
 
 def test_half_a_request_that_is_evicted_gets_an_error_response():
@@ -265,8 +265,10 @@
     setup.client.begin()
     assert setup.client.stage is Stage.BEGUN
     assert setup.front.evict()
-    got = setup.read()
-    assert isinstance(got, bytes) and got.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in got, got
+    received = setup.read()
+    assert isinstance(received, bytes) and received.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in received, (
+        received
+    )
 
 
 # ---- the real program ---------------------------------------------------------------------------
@@ -297,20 +299,20 @@
 
     def read(self, sock):
         """All that arrives until the end, or until a reset."""
-        got = b""
+        received = b""
         try:
             while part := sock.recv(65536):
-                got += part
+                received += part
         except ConnectionResetError:
-            got += b" RESET"
+            received += b" RESET"
         sock.close()
-        return got
+        return received
 
-    def assert_one_answer(self, got, status=200):
-        self.assertEqual(got.count(b"HTTP/1.1 "), 1, got)
-        self.assertTrue(got.startswith(b"HTTP/1.1 %d " % status), got)
-        self.assertIn(b"Connection: close", got)
-        self.assertNotIn(b"RESET", got)
+    def assert_one_answer(self, received, status=200):
+        self.assertEqual(received.count(b"HTTP/1.1 "), 1, received)
+        self.assertTrue(received.startswith(b"HTTP/1.1 %d " % status), received)
+        self.assertIn(b"Connection: close", received)
+        self.assertNotIn(b"RESET", received)
 
     def begin_stop(self):
         self.terminate()
@@ -373,9 +375,9 @@
         )
         sock = self.connect()
         sock.sendall(REQUEST % b"again")
-        got = self.read(sock)
-        self.assertEqual(got.count(b"HTTP/1.1 "), 1, got)
-        self.assertIn(got[9:12], (b"200", b"503"))
+        received = self.read(sock)
+        self.assertEqual(received.count(b"HTTP/1.1 "), 1, received)
+        self.assertIn(received[9:12], (b"200", b"503"))
         self.assertEqual(self.ended()["left"], 0)
 
     def test_with_half_of_the_providers_hanging_each_request_is_answered_in_time(self):
@@ -388,12 +390,12 @@
                 sock.sendall(REQUEST % b"r%d" % number)
             self.terminate()
         began = time.monotonic()
-        got = [self.read(sock) for sock in socks]
+        received = [self.read(sock) for sock in socks]
         self.assertLess(time.monotonic() - began, 1.0)
-        for answer in got:
+        for answer in received:
             self.assertEqual(answer.count(b"HTTP/1.1 "), 1, answer)
             self.assertNotIn(b"RESET", answer)
-        self.assertGreaterEqual(sum(answer.startswith(b"HTTP/1.1 200") for answer in got), 6)
+        self.assertGreaterEqual(sum(answer.startswith(b"HTTP/1.1 200") for answer in received), 6)
         self.assertEqual(self.ended()["left"], 0)
 
     def test_connections_in_the_listeners_queue_are_accepted_before_it_is_closed(self):
@@ -412,22 +414,22 @@
                         sock.sendall(REQUEST % b"r%d" % number)
                     time.sleep(0.8)  # longer than `accept_after_term`: its end and the connections come together
                 gate.set()
-                got = [self.read(sock) for sock in busy + socks]
-                self.assertEqual([g for g in got if g.count(b"HTTP/1.1 ") != 1 or b"RESET" in g], [])
+                received = [self.read(sock) for sock in busy + socks]
+                self.assertEqual([g for g in received if g.count(b"HTTP/1.1 ") != 1 or b"RESET" in g], [])
                 if not limits:
-                    self.assertEqual([g for g in got if not g.startswith(b"HTTP/1.1 200")], [])
+                    self.assertEqual([g for g in received if not g.startswith(b"HTTP/1.1 200")], [])
                 self.assertEqual(self.ended()["left"], 0)
 
     def test_a_request_that_arrived_before_its_idle_connection_was_closed_is_served(self):
         """By the loop's next turn its idle time is over, or the process is ending."""
         self.operator = '[limits]\nidle_for = "500ms"\n'
-        for ends in (lambda: None, self.terminate):
-            with self.subTest(ends=ends):
+        for end in (lambda: None, self.terminate):
+            with self.subTest(end=end):
                 self.begin(ok)
                 sock = self.connect()
                 sock.sendall(REQUEST % b"first")
                 self.assertTrue(sock.recv(65536).startswith(b"HTTP/1.1 200 "))
-                ends()
+                end()
                 with self.paused():
                     sock.sendall(REQUEST % b"second")
                     time.sleep(1.2)
@@ -465,9 +467,9 @@
         self.begin_stop()
         time.sleep(0.9)  # the last response is due 0.7 s after SIGTERM, the end comes 0.6 s later
         sock.sendall(REQUEST[30:] % b"late")
-        got = self.read(sock)
-        self.assertEqual(got.count(b"HTTP/1.1 "), 1, got)
-        self.assertNotIn(b"RESET", got)
+        received = self.read(sock)
+        self.assertEqual(received.count(b"HTTP/1.1 "), 1, received)
+        self.assertNotIn(b"RESET", received)
         self.ended()
 
     def test_at_the_end_of_the_process_unread_bytes_do_not_cost_a_slow_client_its_response(self):
@@ -495,7 +497,7 @@
 
     def test_sigterm_before_the_first_list(self):
         self.start(ok, known=[])
-        self.catalog.fail(True)
+        self.discovery.fail(True)
         self.assertTrue(eventually(lambda: self.health() == 503))
         sock = self.connect()
         with self.paused():
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -67,7 +67,7 @@
 )
 def test_an_example_that_fails_is_reported_with_its_place(text, fault, tmp_path):
     faults = faults_of(text, tmp_path, timeout=1 if "took over" in fault else 20)
-    assert any(fault in found for found in faults), faults
+    assert any(fault in fault_text for fault_text in faults), faults
 
 
 VALID = "\n".join(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -171,12 +171,12 @@
                 (attempt,) = attempts(balancer.handle(now, [request(f"{kind}{n}", kind)]))
                 sent.append((n, kind, attempt.provider))
                 balancer.handle(now + MS, [attempt_ended(attempt, Outcome.OK, elapsed=MS)])
-        got = [(n, kind) for n, kind, provider in sent if provider == "b0"]
-        assert {kind for _, kind in got} == ({"read"} if reenabled else set())
+        cold_requests = [(n, kind) for n, kind, provider in sent if provider == "b0"]
+        assert {kind for _, kind in cold_requests} == ({"read"} if reenabled else set())
         if reenabled:
             # Its even share of 100 per second would be 25 when warm, and is 5 to 13 with its capacity in these 8 s.
-            assert got[0][0] <= 50 and 40 <= len(got) <= 100, got
-            assert min(b - a for (a, _), (b, _) in pairwise(got)) >= 2
+            assert cold_requests[0][0] <= 50 and 40 <= len(cold_requests) <= 100, cold_requests
+            assert min(b - a for (a, _), (b, _) in pairwise(cold_requests)) >= 2
 
 
 def test_with_fewer_balancers_than_zones_cold_providers_of_other_zones_get_requests():
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -95,7 +95,7 @@
     def ids(self):
         return [id_of(head) for server in self.providers for head, _, _ in server.seen]
 
-    def has(self, name):
+    def servers_reached_by(self, name):
         """The numbers of the servers that have received a request."""
         return [n for n, p in enumerate(self.providers) if name in [id_of(head) for head, _, _ in p.seen]]
 
@@ -105,7 +105,7 @@
         self.terminate()
         self.program.wait(10)
         for server in self.providers:
-            self.assertTrue(eventually(lambda p=server: len(p.ends) == len(p.sockets)))
+            self.assertTrue(eventually(lambda p=server: len(p.ended_connections) == len(p.sockets)))
         return sorted(name for name in self.ids() if name != "warm")
 
     def test_the_client_has_left_when_its_request_is_read(self):
@@ -138,7 +138,7 @@
                     gate = Gate("first")
                     self.start(gate)
                     sock = self.connected(request_bytes("first") + request_bytes("second") * together)
-                    self.assertTrue(eventually(lambda: self.has("first")))
+                    self.assertTrue(eventually(lambda: self.servers_reached_by("first")))
                     sock.sendall(request_bytes("second") * (not together))
                     with self.paused():
                         gate.open()
@@ -162,9 +162,9 @@
                     self.start(*gates)
                     self.assertTrue(eventually(lambda: self.served("warm") and all(p.seen for p in self.providers)))
                     sock = self.connected(request_bytes("r"))
-                    self.assertTrue(eventually(lambda: self.has("r")))
+                    self.assertTrue(eventually(lambda: self.servers_reached_by("r")))
                     with self.paused():
-                        gates[self.has("r")[0]].open()
+                        gates[self.servers_reached_by("r")[0]].open()
                         leave(sock)
                     self.assertEqual(self.forwarded(), ["r", "stays"])
 
@@ -173,12 +173,12 @@
             with self.subTest(how):
                 self.start(ok, known=[])
                 self.assertTrue(eventually(self.health))
-                self.assertTrue(eventually(lambda: any("after=" in head for head, _, _ in self.catalog.seen)))
+                self.assertTrue(eventually(lambda: any("after=" in head for head, _, _ in self.discovery.seen)))
                 sock = self.connected(request_bytes("r"))
                 self.assertEqual(self.health(), 503)  # sent later: the request has been read
                 with self.paused():
-                    self.catalog.entries = self.entries
-                    self.catalog.change(*self.entries)
+                    self.discovery.entries = self.entries
+                    self.discovery.change(*self.entries)
                     leave(sock)
                 self.assertTrue(eventually(lambda: self.health() == 200))
                 self.assertEqual(self.forwarded(), ["stays"])
@@ -225,11 +225,11 @@
         self.assertTrue(eventually(lambda: self.health() == 200))
         for how, leave in LEAVES.items():
             with self.subTest(how):
-                before = len(self.providers[0].ends)
+                before = len(self.providers[0].ended_connections)
                 sock = self.connected(request_bytes("breaks", ONCE, b"x" * (9 << 20))[: 2 << 20])
                 self.assertTrue(eventually(lambda: self.most_received() >= 1 << 20))
                 leave(sock)
-                self.assertTrue(eventually(lambda b=before: len(self.providers[0].ends) > b, 2))
+                self.assertTrue(eventually(lambda b=before: len(self.providers[0].ended_connections) > b, 2))
                 with self.paused():
                     sock = self.connected(request_bytes("late", ONCE, b"x" * (9 << 20))[: 1 << 16])
                     leave(sock)
@@ -245,12 +245,14 @@
         self.assertTrue(eventually(lambda: self.health() == 200))
         for how, leave in LEAVES.items():
             with self.subTest(how):
-                crowd = [self.connected(request_bytes("long", ONCE, b"x" * (7 << 20))[:4096])]
-                crowd += [self.connected(request_bytes("short", ONCE, b"x" * (64 << 10))[:4096]) for _ in range(60)]
-                crowd.append(self.connected(request_bytes("waits", ONCE, b"x" * 60_000)))
+                connections = [self.connected(request_bytes("long", ONCE, b"x" * (7 << 20))[:4096])]
+                connections += [
+                    self.connected(request_bytes("short", ONCE, b"x" * (64 << 10))[:4096]) for _ in range(60)
+                ]
+                connections.append(self.connected(request_bytes("waits", ONCE, b"x" * 60_000)))
                 self.assertEqual(self.health(), 200)  # sent later: all of them have been read
                 with self.paused():
-                    for sock in crowd:
+                    for sock in connections:
                         leave(sock)
                 self.served("warm")
         self.assertEqual(self.forwarded(), ["stays"])
@@ -298,19 +300,19 @@
         loop = Loop()
         back = Backend(loop, settings(), Options(), 9, 1 << 20)
         host = Host(loop, settings(), 1, back, lists=None)
-        for left in (True, False):
+        for has_left in (True, False):
             invocation = Invocation("r", settings().classes["push"], 1000 * MS, None)
-            invocation.client_left = lambda left=left: left
+            invocation.client_left = lambda has_left=has_left: has_left
             host.accept(invocation)
-            self.assertEqual((invocation.open, bool(host.balancer.last_request_at)), (not left, not left))
+            self.assertEqual((invocation.open, bool(host.balancer.last_request_at)), (not has_left, not has_left))
             host.release(invocation)
             self.assertEqual(host.invocations, {})
 
     def test_an_idle_connection_is_not_used_for_a_body_that_was_forwarded_already(self):
         """If it were taken and released, it would count as idle from then on, for longer than its server allows."""
-        loop, ends = Loop(), []
+        loop, outcomes = Loop(), []
         back = Backend(loop, settings(), Options(), 9, 1 << 20)
-        back.on_attempt_ended = lambda attempt, outcome, payload: ends.append(outcome)
+        back.on_attempt_ended = lambda attempt, outcome, payload: outcomes.append(outcome)
         ours, theirs = socket.socketpair()
         for sock in (ours, theirs):
             self.addCleanup(sock.close)
@@ -323,7 +325,7 @@
         upload.begun = True
         request = HttpRequest(b"POST", b"/api", [], {}, upload)
         back.begin(ProviderAttempt(Invocation("r", settings().classes["push"], 1000 * MS, request), "s", 0, loop.time))
-        self.assertEqual(ends, [Outcome.NOT_SENT])
+        self.assertEqual(outcomes, [Outcome.NOT_SENT])
         self.assertEqual([c.idle_since for c in back.pool.idle], [idle_since])
 
 
@@ -336,19 +338,20 @@
         """None of them leaves. The list that discovery has at its return is read, and a new client is served by the
         server in that list."""
         self.start(ok, ok, known=[], limits={"cores": 1.0, "memory_mb": 192, "sockets": 64})
-        self.catalog.entries = self.entries[:1]
-        self.catalog.change(*self.entries[:1])
+        self.discovery.entries = self.entries[:1]
+        self.discovery.change(*self.entries[:1])
         self.assertTrue(eventually(lambda: self.health() == 200))
-        address = self.catalog.listener.getsockname()
-        self.catalog.close()
-        crowd = [self.connected(request_bytes(f"idle{n}")) for n in range(40)] + [self.connected() for _ in range(200)]
+        address = self.discovery.listener.getsockname()
+        self.discovery.close()
+        connections = [self.connected(request_bytes(f"idle{n}")) for n in range(40)]
+        connections += [self.connected() for _ in range(200)]
         self.assertEqual(self.invoke()[0], 200)
-        self.catalog.entries, self.catalog.whole = self.entries[1:], True
-        self.catalog.index += 1
-        self.catalog.listener = socket.create_server(address)
-        threading.Thread(target=self.catalog._accept, daemon=True).start()
+        self.discovery.entries, self.discovery.whole = self.entries[1:], True
+        self.discovery.index += 1
+        self.discovery.listener = socket.create_server(address)
+        threading.Thread(target=self.discovery._accept, daemon=True).start()
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200 and self.providers[1].seen))
-        self.assertEqual(len(crowd), 240)
+        self.assertEqual(len(connections), 240)
 
     def test_a_client_that_sends_requests_without_end_does_not_starve_the_others(self):
         """Health checks are answered at once, and their responses read as they arrive: there is always input."""
@@ -388,7 +391,7 @@
         self.start(ok)
         self.invoke()
         before = self.memory()
-        much = (
+        payloads = (
             request_bytes("body", ONCE, b"x" * (20 << 20)),
             request_bytes("half", ONCE, b"x" * (4 << 20))[:-1],
             b"".join(request_bytes(f"p{n}") for n in range(3000)),
@@ -398,10 +401,10 @@
             socks = [self.connected() for _ in range(40)]
             for number, sock in enumerate(socks):
                 sock.setblocking(False)
-                left = memoryview(much[number % 4])
+                unsent = memoryview(payloads[number % 4])
                 with suppress(OSError):
-                    while left:
-                        left = left[sock.send(left) :]
+                    while unsent:
+                        unsent = unsent[sock.send(unsent) :]
             self.assertLess(self.timed(), 1)
             for sock in socks:
                 leave(sock)
--- a/tests/test_life.py
+++ b/tests/test_life.py
@@ -23,8 +23,8 @@
 class LifeTest(SidecarTest):
     def test_a_bad_configuration_ends_the_program_with_one_log_line_for_each_fault(self):
         nowhere = '{"listen": "nowhere", "discovery": "127.0.0.1:1", "seed": "z"}'
-        rest = {"limits.sockets", "limits.memory_mb", "seed", "settings", "known"}
-        cases = {"{": {""}, "[]": {""}, "{}": rest | {"listen", "discovery"}, nowhere: rest | {"listen"}}
+        other_keys = {"limits.sockets", "limits.memory_mb", "seed", "settings", "known"}
+        cases = {"{": {""}, "[]": {""}, "{}": other_keys | {"listen", "discovery"}, nowhere: other_keys | {"listen"}}
         for config, paths in cases.items():
             with self.subTest(config=config):
                 self.run_program(config)
@@ -35,67 +35,67 @@
     def test_it_is_ready_only_once_it_knows_a_provider(self):
         self.start(ok, known=[])
         self.assertTrue(eventually(lambda: self.health() == 503))
-        self.catalog.entries = self.entries
-        self.catalog.change(*self.entries)
+        self.discovery.entries = self.entries
+        self.discovery.change(*self.entries)
         self.assertTrue(eventually(lambda: self.health() == 200))
 
     def test_a_list_of_version_0_is_watched_and_not_fetched_repeatedly(self):
         self.start(ok)
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > 1))
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > 1))
         time.sleep(0.5)
         # The first call does not wait. The next one does, for 4 s less the program's own delay, and is still in flight.
-        first, second = (head.split()[1] for head, _, _ in self.catalog.seen)
+        first, second = (head.split()[1] for head, _, _ in self.discovery.seen)
         self.assertEqual(first, "/catalog/members?after=0&wait_ms=0")
         self.assertRegex(second, r"^/catalog/members\?after=0&wait_ms=(4000|3\d{3})$")
 
     def test_a_drain_is_followed_and_the_watch_continues(self):
         self.start(ok, ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
+        self.assertTrue(eventually(lambda: self.discovery.seen))
         for number, leaving in enumerate((self.entries[0], self.entries[0] | {"status": "active"})):
-            self.catalog.change(leaving | {"status": ("leaving", "active")[number]})
+            self.discovery.change(leaving | {"status": ("leaving", "active")[number]})
             self.wait_until_list_read()
             before = len(self.providers[0].seen)
             for _ in range(6):
                 self.assertEqual(self.invoke()[0], 200)
             self.assertEqual(len(self.providers[0].seen) > before, bool(number))
-        self.assertEqual(self.catalog.ends, [], "the watch uses one connection")
+        self.assertEqual(self.discovery.ended_connections, [], "the watch uses one connection")
 
     def test_failed_calls_to_discovery_are_repeated_and_the_old_list_stays_in_use(self):
         self.start(ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
-        self.catalog.fail(True)
+        self.assertTrue(eventually(lambda: self.discovery.seen))
+        self.discovery.fail(True)
         self.assertTrue(eventually(lambda: "discovery" in self.log()))
         self.assertEqual(self.invoke()[0], 200)
-        calls = len(self.catalog.seen)
-        self.catalog.fail(False)
-        self.catalog.change(entry("s0", self.providers[0].address, status="leaving"))
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 15))
+        calls = len(self.discovery.seen)
+        self.discovery.fail(False)
+        self.discovery.change(entry("s0", self.providers[0].address, status="leaving"))
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls + 1, 15))
 
     def test_a_call_to_a_silent_discovery_times_out_and_is_repeated(self):
         self.start(ok, known=[])
-        listed, self.catalog.answer = self.catalog.answer, lambda head, body: time.sleep(5)
+        listed, self.discovery.answer = self.discovery.answer, lambda head, body: time.sleep(5)
         self.assertTrue(eventually(lambda: "silent" in self.log()), self.log())
-        self.catalog.answer, self.catalog.entries = listed, self.entries
+        self.discovery.answer, self.discovery.entries = listed, self.entries
         self.assertTrue(eventually(lambda: self.health() == 200))
 
     def test_a_discovery_that_never_waits_is_not_called_in_a_tight_loop(self):
         self.start(ok)
-        listed = self.catalog.answer
-        self.catalog.answer = lambda head, body: listed(head.replace("wait_ms=", "wait_ms=0&was="), body)
-        self.catalog.change()
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > 3))
-        calls, began = len(self.catalog.seen), time.monotonic()
+        listed = self.discovery.answer
+        self.discovery.answer = lambda head, body: listed(head.replace("wait_ms=", "wait_ms=0&was="), body)
+        self.discovery.change()
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > 3))
+        calls, began = len(self.discovery.seen), time.monotonic()
         time.sleep(1)
-        self.assertLess(len(self.catalog.seen) - calls, 20 * (time.monotonic() - began))
+        self.assertLess(len(self.discovery.seen) - calls, 20 * (time.monotonic() - began))
 
-    def switch_discovery(self, catalog):
-        self.reload(json.dumps(self.config | {"discovery": catalog.address}))
+    def switch_discovery(self, discovery):
+        self.reload(json.dumps(self.config | {"discovery": discovery.address}))
 
     def served_by(self, number):
         before = [len(p.seen) for p in self.providers]
         statuses = [self.invoke()[0] for _ in range(4)]
-        got = [len(p.seen) - b for p, b in zip(self.providers, before, strict=True)]
-        return statuses == [200] * 4 and got[number] == 4
+        received = [len(p.seen) - b for p, b in zip(self.providers, before, strict=True)]
+        return statuses == [200] * 4 and received[number] == 4
 
     def switches(self, old, new, number):
         old.index = 7 - number  # a version that the new discovery does not have
@@ -103,39 +103,39 @@
         self.switch_discovery(new)
         self.assertTrue(eventually(lambda: self.served_by(number), 4), self.log())
         old.change()  # the stub writes a response, and so notices that its reader has gone
-        self.assertTrue(eventually(lambda: old.ends, 4), "the old watch ends")
+        self.assertTrue(eventually(lambda: old.ended_connections, 4), "the old watch ends")
         self.assertTrue(eventually(lambda: "after=" in new.seen[-1][0], 4), "the new one continues")
 
     def test_each_sighup_switches_to_the_discovery_address_of_the_new_file_at_once(self):
         """Also with RELAY_DISCOVERY set, and with an older list there. The sidecar counts as notified 4 s later."""
         self.start(ok, ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
+        self.assertTrue(eventually(lambda: self.discovery.seen))
         other = StubDiscovery()
         self.addCleanup(other.close)
-        self.switches(self.catalog, other, 0)
-        self.switches(other, self.catalog, 1)
+        self.switches(self.discovery, other, 0)
+        self.switches(other, self.discovery, 1)
         self.assertIsNone(self.program.poll())
 
     def test_changes_from_the_old_discovery_are_followed_while_the_new_one_is_silent(self):
         self.start(ok, ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
+        self.assertTrue(eventually(lambda: self.discovery.seen))
         silent = StubDiscovery()
         self.addCleanup(silent.close)
         silent.answer = lambda head, body: time.sleep(9)
         self.switch_discovery(silent)
         self.assertTrue(eventually(lambda: silent.seen, 4))
-        self.catalog.change(self.entries[0] | {"status": "leaving"})
+        self.discovery.change(self.entries[0] | {"status": "leaving"})
         self.assertTrue(eventually(lambda: self.served_by(1), 1.5))
 
     def test_a_bad_new_file_is_logged_and_the_old_discovery_stays_in_use(self):
         self.start(ok, ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
+        self.assertTrue(eventually(lambda: self.discovery.seen))
         for number, bad in enumerate(("{", json.dumps(self.config | {"discovery": "nowhere"}))):
             self.reload(bad)
             self.assertTrue(eventually(lambda n=number: len(self.logged("reload.fault")) == n + 1))
-        self.catalog.change(self.entries[0] | {"status": "leaving"})
+        self.discovery.change(self.entries[0] | {"status": "leaving"})
         self.assertTrue(eventually(lambda: self.served_by(1)))
-        self.assertEqual(self.catalog.ends, [])
+        self.assertEqual(self.discovery.ended_connections, [])
 
     def test_sighup_around_sigterm_does_no_harm(self):
         gate = threading.Event()
@@ -144,10 +144,10 @@
         waiting.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE})
         self.assertTrue(eventually(lambda: self.providers[0].seen))
         for _ in range(3):
-            self.switch_discovery(self.catalog)
+            self.switch_discovery(self.discovery)
             self.terminate()
         self.assertTrue(eventually(lambda: self.logged("stop.begun")))
-        self.switch_discovery(self.catalog)
+        self.switch_discovery(self.discovery)
         gate.set()
         self.assertEqual(waiting.getresponse().status, 200)
         self.assertEqual(self.program.wait(10), 0)
@@ -225,9 +225,9 @@
             return [client for client in clients if client.sock in readable]
 
         self.assertTrue(eventually(lambda: len(answered()) >= count), self.log())
-        found = answered()
-        self.assertEqual(len(found), count)
-        return found
+        answered_clients = answered()
+        self.assertEqual(len(answered_clients), count)
+        return answered_clients
 
     def test_sigterm_answers_all_requests_taken_and_accepts_more_for_a_while(self):
         gate = threading.Event()
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -85,10 +85,10 @@
         assert self.calls.read_at is not None
         return self.calls.read_at - self.changes
 
-    def __call__(self, now, until, held):
+    def __call__(self, now, until, wait):
         rng, begun_before = self.rng, False
         if self.just_after:
-            if not held or now < self.changes:
+            if not wait or now < self.changes:
                 return "good", 1
             self.changes = self.calls.changes = now + 1
             self.just_after, begun_before = False, True
@@ -106,7 +106,7 @@
             return "fails", until - now - 1
         if way == AT_ONCE:
             return "fails", max(0, self.changes - now) + rng.randrange(1, 5) * MS
-        return "fails", max(self.changes - now, (held or until - now) - 1)
+        return "fails", max(self.changes - now, (wait or until - now) - 1)
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("way", ["silent", "fails"])
 def test_a_fetch_and_a_watch_that_fail_leave_the_next_call_to_the_balancer(way):
     for method in ("fetch", "watch"):
-        calls = Calls(Options(), lambda now, until, held: (way, MS), changes=0)
+        calls = Calls(Options(), lambda now, until, wait: (way, MS), changes=0)
         calls.fetch() if method == "fetch" else calls.watch(True)
         calls.loop.run(listclock.READ_WITHIN - listclock.LONGEST_BACKOFF)
         assert len(calls.failed_at) >= 1 and calls.read_at is None
@@ -144,7 +144,7 @@
 
 def test_a_change_missed_by_a_silent_fetch_is_read_in_time():
     ways = iter([("silent", 0), ("silent", 0), ("good", listclock.SHORTEST_FRESH_TIMEOUT)])
-    calls = Calls(Options(), lambda now, until, held: next(ways), changes=0)
+    calls = Calls(Options(), lambda now, until, wait: next(ways), changes=0)
     calls.fetch()
     calls.loop.run(listclock.NOTIFIED_AFTER - listclock.LONGEST_BACKOFF)
     assert calls.read_at is not None and not calls.failed_at
@@ -159,9 +159,9 @@
         "agent_wait": (DiscoveryOptions(agent_wait=MINUTE), "at most 4350ms"),
     }
     for name, (discovery, most) in cases.items():
-        found = dict(contradictions(Options(discovery=discovery)))
-        assert list(found) == [f"discovery.{name}"]
-        assert most in found[f"discovery.{name}"] and "counts as told" in found[f"discovery.{name}"]
+        late_settings = dict(contradictions(Options(discovery=discovery)))
+        assert list(late_settings) == [f"discovery.{name}"]
+        assert most in late_settings[f"discovery.{name}"] and "counts as told" in late_settings[f"discovery.{name}"]
     assert not list(contradictions(Options()))
 
 
@@ -181,7 +181,7 @@
     """200 sidecars, refused at one moment and at each later call: there are never many calls in a tenth of a second."""
     called = []
     for seed in range(200):
-        calls = Calls(Options(), lambda now, until, held: ("fails", MS), ask_within=ask_within, seed=seed)
+        calls = Calls(Options(), lambda now, until, wait: ("fails", MS), ask_within=ask_within, seed=seed)
         calls.watch(True)
         calls.loop.run(20 * SECOND)
         called += calls.called_at[1:]
@@ -191,17 +191,17 @@
     assert max(settled) <= 2.5 * sum(settled) / len(settled)
 
 
-@pytest.mark.parametrize("callers", [1, listclock.SMALL_FLEET, listclock.SMALL_FLEET + 1, 200])
-def test_in_a_large_fleet_only_an_established_watch_is_repeated_at_once(callers):
-    options, small = Options(), callers <= listclock.SMALL_FLEET
-    silent = Calls(options, lambda now, until, held: ("silent", 0), callers=callers)
+@pytest.mark.parametrize("sidecars", [1, listclock.SMALL_FLEET, listclock.SMALL_FLEET + 1, 200])
+def test_in_a_large_fleet_only_an_established_watch_is_repeated_at_once(sidecars):
+    options, small = Options(), sidecars <= listclock.SMALL_FLEET
+    silent = Calls(options, lambda now, until, wait: ("silent", 0), sidecars=sidecars)
     silent.watch(True)
     silent.loop.run(10 * SECOND)
     apart = silent.called_at[1] - silent.called_at[0]
     least, most = (0, 0) if small else (listclock.LONGEST_BACKOFF // 2, listclock.LONGEST_BACKOFF)
     assert least <= apart - options.discovery.answer_within <= most
 
-    established = Calls(options, lambda now, until, held: ("silent" if held else "good", MS), callers=callers)
+    established = Calls(options, lambda now, until, wait: ("silent" if wait else "good", MS), sidecars=sidecars)
     established.watch(True)
     established.loop.run(10 * SECOND)
     discovery = options.discovery
@@ -212,7 +212,7 @@
 def test_a_first_failure_is_retried_soon_only_in_a_small_fleet_with_an_old_list():
     soon, later = (listclock.LONGEST_BACKOFF // 2, 0), (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF // 2)
     old, large = listclock.READ_WITHIN - listclock.LONGEST_BACKOFF, listclock.SMALL_FLEET + 1
-    for wait_for_failures, age, callers, expected in (
+    for failures, age, sidecars, expected in (
         (1, None, 1, soon),
         (1, old, 1, soon),
         (1, old, listclock.SMALL_FLEET, soon),
@@ -222,7 +222,7 @@
         (2, old, 1, later),
         (2, None, 1, later),
     ):
-        assert listclock.backoff(MINUTE, wait_for_failures, age, callers) == expected, (wait_for_failures, age, callers)
+        assert listclock.backoff(MINUTE, failures, age, sidecars) == expected, (failures, age, sidecars)
 
 
 def test_the_age_of_the_list_counts_from_when_discovery_can_be_reached(monkeypatch):
@@ -256,7 +256,7 @@
 
     def begin(self):
         self.start(lambda head, body: http_response(200, b"0"), lambda head, body: http_response(200, b"1"))
-        self.assertTrue(eventually(lambda: self.watched(self.catalog.seen)), self.log())
+        self.assertTrue(eventually(lambda: self.watched(self.discovery.seen)), self.log())
         self.config["settings"] = SETTINGS | {"safety": SETTINGS["safety"] | {"askWithin": 60 * SECOND}}
         self.reload(json.dumps(self.config))
         self.assertTrue(eventually(lambda: self.logged("reload.done")), self.log())
@@ -278,7 +278,7 @@
         self.addCleanup(gate.set)
         self.begin()
 
-        def catalog(head, _):
+        def answer_call(head, _):
             calls.append(time.monotonic())
             if len(calls) == 1:
                 return answer(gate)
@@ -286,8 +286,8 @@
                 return http_response(503)
             return http_response(200, list_body(2 + len(calls), [self.entries[0] | {"status": "leaving"}], False))
 
-        self.catalog.answer = catalog
-        self.catalog.change()  # the established watch is answered, and its next call falls silent
+        self.discovery.answer = answer_call
+        self.discovery.change()  # the established watch is answered, and its next call falls silent
         self.assertTrue(eventually(lambda: calls, 5))
         self.check_read_in_time(calls[0])
 
@@ -326,14 +326,14 @@
         self.addCleanup(gate.set)
         self.begin()
 
-        def catalog(head, _):
+        def answer_call(head, _):
             calls.append(time.monotonic())
             late = 5 if len(calls) == 1 else 30
             gate.wait(late)
             return http_response(200, list_body(50, [self.entries[0] | {"status": "leaving"}], False))
 
-        self.catalog.answer = catalog
-        self.catalog.change()
+        self.discovery.answer = answer_call
+        self.discovery.change()
         self.assertTrue(eventually(lambda: calls, 5))
         self.check_read_in_time(calls[0])
         self.assertGreater(len(calls), 1, "no call was repeated")
@@ -344,7 +344,7 @@
         self.addCleanup(gate.set)
         self.begin()
 
-        def catalog(head, _):
+        def answer_call(head, _):
             calls.append(head.split()[1])
             if len(calls) == 1:
                 return http_response(503)  # the established watch
@@ -356,8 +356,8 @@
                 return b""
             return http_response(200, list_body(11, [self.entries[0] | {"status": "leaving"}], False))
 
-        self.catalog.answer = catalog
-        self.catalog.change()
+        self.discovery.answer = answer_call
+        self.discovery.change()
         self.assertTrue(eventually(lambda: any("after=10" in target for target in calls), 8), calls)
         continued = next(target for target in calls if "after=10" in target)
         self.assertNotIn("wait_ms=0", continued, "the next call of an established watch waits")
@@ -369,15 +369,15 @@
         calls, answered_at = [], []
         self.begin()
 
-        def catalog(head, _):
+        def answer_call(head, _):
             calls.append((time.monotonic(), head.split()[1]))
             if len(calls) == 1:
                 time.sleep(0.3)  # longer than `calls_apart`
                 answered_at.append(time.monotonic())
             return http_response(503) if len(calls) == 2 else http_response(200, list_body(9 + len(calls), [], False))
 
-        self.catalog.answer = catalog
-        self.catalog.change()
+        self.discovery.answer = answer_call
+        self.discovery.change()
         self.assertTrue(eventually(lambda: len(calls) > 2, 5), calls)
         repeated_at, target = calls[2]
         self.assertLess(repeated_at - answered_at[0], 0.2, "later, the call would count as a new watch")
@@ -399,10 +399,10 @@
         self.begin()
         fail()
         self.wait_for_failures(3)
-        with self.catalog.condition:
-            self.catalog.index += 1
-            self.catalog.changed = [self.entries[0] | {"status": "leaving"}]
-            self.catalog.entries = [*self.catalog.changed, self.entries[1]]
+        with self.discovery.condition:
+            self.discovery.index += 1
+            self.discovery.changed = [self.entries[0] | {"status": "leaving"}]
+            self.discovery.entries = [*self.discovery.changed, self.entries[1]]
         changed_at = time.monotonic()
         recover()
         self.check_read_in_time(changed_at)
@@ -410,13 +410,13 @@
     def wait_for_failures(self, number):
         """Wait until so many calls have failed."""
 
-        def found():
+        def enough_failures():
             return sum(record.get("kind") == "failed" for record in self.logged("discovery.list")) >= number
 
-        self.assertTrue(eventually(found, 30), self.log())
+        self.assertTrue(eventually(enough_failures, 30), self.log())
 
     def test_calls_answered_503(self):
-        self.fails_and_recovers(lambda: self.catalog.fail(True), lambda: self.catalog.fail(False))
+        self.fails_and_recovers(lambda: self.discovery.fail(True), lambda: self.discovery.fail(False))
 
     def test_a_discovery_that_refuses_connections_and_returns(self):
-        self.fails_and_recovers(lambda: self.catalog.close(), lambda: self.catalog.restart())
+        self.fails_and_recovers(lambda: self.discovery.close(), lambda: self.discovery.restart())
--- a/tests/test_list_crossings.py
+++ b/tests/test_list_crossings.py
@@ -80,10 +80,12 @@
         self.start(lambda head, body: http_response(200, b"0"), lambda head, body: http_response(200, b"1"))
         self.gate = threading.Event()
         self.addCleanup(self.gate.set)
-        with self.catalog.condition:
-            self.catalog.index = 40
-        self.catalog.change()
-        self.assertTrue(eventually(lambda: any("after=41&wait" in head for head, *_ in self.catalog.seen)), self.log())
+        with self.discovery.condition:
+            self.discovery.index = 40
+        self.discovery.change()
+        self.assertTrue(
+            eventually(lambda: any("after=41&wait" in head for head, *_ in self.discovery.seen)), self.log()
+        )
 
     def server(self, answer):
         server = StubServer(answer)
@@ -118,15 +120,15 @@
         changed = threading.Event()
         self.addCleanup(changed.set)
 
-        def catalog(head, body):
+        def answer_call(head, body):
             if len(new.seen) == 1:
                 changed.wait(10)
                 return http_response(200, list_body(5, self.entries, True))
             return answer_after(self.gate)(head, body)
 
-        new = self.server(catalog)
+        new = self.server(answer_call)
         self.change_address_to(new)
-        self.catalog.change(leaving(self.entries[0]))
+        self.discovery.change(leaving(self.entries[0]))
         self.assertTrue(eventually(self.updates), self.log())
         changed.set()
         self.assertTrue(eventually(lambda: len(new.seen) > 1), self.log())
@@ -140,15 +142,15 @@
 
     def test_a_change_on_the_old_watch_is_followed_after_the_address_changed_and_changed_back(self):
         """The new call there is not answered until the old watch has returned the change."""
-        catalog = self.catalog.answer
-        self.catalog.answer = lambda head, body: (
-            catalog(head, body) if "after" in head else answer_after(self.gate)(head, body)
+        answer_call = self.discovery.answer
+        self.discovery.answer = lambda head, body: (
+            answer_call(head, body) if "after" in head else answer_after(self.gate)(head, body)
         )
         self.change_address_to(self.silent())
-        calls = len(self.catalog.seen)
-        self.change_address_to(self.catalog)
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls), self.log())
-        self.catalog.change(leaving(self.entries[0]))
+        calls = len(self.discovery.seen)
+        self.change_address_to(self.discovery)
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls), self.log())
+        self.discovery.change(leaving(self.entries[0]))
         self.assertTrue(eventually(self.updates, 3), self.log())
         self.check_nothing_goes_to_the_first()
         self.assertFalse(self.logged("coroutine.broken"))
@@ -156,7 +158,7 @@
     def test_a_change_on_the_old_watch_is_followed_after_two_address_changes_without_response(self):
         self.change_address_to(self.silent())
         self.change_address_to(self.silent())
-        self.catalog.change(leaving(self.entries[0]))
+        self.discovery.change(leaving(self.entries[0]))
         self.assertTrue(eventually(self.updates, 3), self.log())
         self.check_nothing_goes_to_the_first()
 
@@ -164,14 +166,14 @@
         new = self.silent()
         self.config["discovery"] = new.address
         with self.paused():
-            self.catalog.change(leaving(self.entries[0]))
+            self.discovery.change(leaving(self.entries[0]))
             time.sleep(0.1)  # it is written while the program is stopped, so before the program sees the signal
             self.reload(json.dumps(self.config))
         self.assertTrue(eventually(lambda: new.seen and self.updates()), self.log())
         self.check_nothing_goes_to_the_first()
 
     def test_an_address_change_while_discovery_is_down_takes_effect_at_once(self):
-        self.catalog.close()
+        self.discovery.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
         moved = [leaving(self.entries[0]), self.entries[1]]
         self.change_address_to(self.server(lambda head, body: http_response(200, list_body(2, moved, True))))
@@ -181,10 +183,10 @@
 
 class RestartedTest(WatchingTest):
     def test_a_discovery_whose_versions_start_again_is_asked_for_the_whole_list(self):
-        self.catalog.close()
+        self.discovery.close()
         self.assertTrue(eventually(lambda: self.logged("discovery.watch_failed")), self.log())
-        self.catalog.index, self.catalog.entries = 3, [leaving(self.entries[0]), self.entries[1]]
-        self.catalog.restart()
+        self.discovery.index, self.discovery.entries = 3, [leaving(self.entries[0]), self.entries[1]]
+        self.discovery.restart()
         self.assertTrue(eventually(lambda: self.updates("full"), NOTIFIED_AFTER / SECOND), self.log())
         self.check_nothing_goes_to_the_first()
 
@@ -207,15 +209,15 @@
         allowed = SETTINGS["allowed"] | {"connectTimeout": 5 * SECOND}
         safety = SETTINGS["safety"] | {"stopSendingWithin": 100_000_000}
         self.start(known=[only], settings=SETTINGS | {"allowed": allowed, "safety": safety})
-        self.assertTrue(eventually(lambda: self.catalog.seen and self.health() == 200), self.log())
-        found = []
-        thread = threading.Thread(target=lambda: found.append(self.invoke(ONCE, 3000)))
+        self.assertTrue(eventually(lambda: self.discovery.seen and self.health() == 200), self.log())
+        responses = []
+        thread = threading.Thread(target=lambda: responses.append(self.invoke(ONCE, 3000)))
         thread.start()
         self.addCleanup(thread.join)
         self.assertTrue(eventually(lambda: self.syn_sent(full)), "no attempt has begun")
-        calls = len(self.catalog.seen)
-        self.catalog.change(leaving(only), entry("s1", other.address))
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls), self.log())
+        calls = len(self.discovery.seen)
+        self.discovery.change(leaving(only), entry("s1", other.address))
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls), self.log())
         full.settimeout(5)
         first, _ = full.accept()
         self.addCleanup(first.close)
@@ -224,7 +226,7 @@
         late.settimeout(5)
         self.assertEqual(late.recv(4096), b"", "a request was sent to a provider that drains")
         thread.join(5)
-        self.assertEqual(found and found[0][:2], (200, b"other"))
+        self.assertEqual(responses and responses[0][:2], (200, b"other"))
 
     @staticmethod
     def syn_sent(listener):
@@ -239,9 +241,9 @@
             self.addCleanup(other.close)
             only = entry("s0", address_of(slow))
             self.start(known=[only], settings=SETTINGS)
-            self.assertTrue(eventually(lambda: self.catalog.seen and self.health() == 200), self.log())
-            found, body = [], b"x" * (8 << 20)
-            thread = threading.Thread(target=lambda: found.append(self.invoke(ONCE, 3000, body=body)))
+            self.assertTrue(eventually(lambda: self.discovery.seen and self.health() == 200), self.log())
+            responses, body = [], b"x" * (8 << 20)
+            thread = threading.Thread(target=lambda: responses.append(self.invoke(ONCE, 3000, body=body)))
             thread.start()
             self.addCleanup(thread.join)
             slow.settimeout(5)
@@ -249,16 +251,16 @@
             self.addCleanup(sock.close)
             sock.settimeout(5)
             data = sock.recv(4096)
-            calls = len(self.catalog.seen)
-            self.catalog.change(leaving(only), entry("s1", other.address))
-            self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls), self.log())
-            head, _, rest = data.partition(b"\r\n\r\n")
-            size = len(rest)
+            calls = len(self.discovery.seen)
+            self.discovery.change(leaving(only), entry("s1", other.address))
+            self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls), self.log())
+            head, _, body_start = data.partition(b"\r\n\r\n")
+            size = len(body_start)
             while size < len(body):
                 size += len(sock.recv(1 << 20))
             sock.sendall(http_response(200, b"whole"))
             thread.join(5)
-            self.assertEqual(found and found[0][:2], (200, b"whole"), self.log())
+            self.assertEqual(responses and responses[0][:2], (200, b"whole"), self.log())
             self.assertEqual(other.seen, [])
 
 
--- a/tests/test_list_crowd.py
+++ b/tests/test_list_crowd.py
@@ -38,10 +38,10 @@
     `knows_fleet`: the sidecars know how many of them call discovery.
     """
     late = 0
-    for play in range(25):
+    for run in range(25):
         clock, busy = Clock(), Full(takes, 1400 * MS, [20 * SECOND + n * apart for n in range(5)])
-        callers = sidecars if knows_fleet else 1
-        fleet = [Queued(clock, busy, 1000 * play + seed, callers) for seed in range(sidecars)]
+        known_size = sidecars if knows_fleet else 1
+        fleet = [Queued(clock, busy, 1000 * run + seed, known_size) for seed in range(sidecars)]
         clock.run(60 * SECOND)
         late += sum(
             sidecar.read.get(version, 1 << 62) - busy.changes[version - 2] > listclock.NOTIFIED_AFTER
@@ -89,12 +89,12 @@
     and "answered late, 2982 ms", without ever a watch. To the end, first calls took most of discovery's time.
     """
     late = []
-    for play in range(10):
+    for run in range(10):
         clock, busy = Clock(), Counted(250 * MS, 12 * MS, 3200 * MS, CHANGES)
-        fleet = [Watching(clock, busy, 1000 * play + me, sidecars) for me in range(sidecars)]
+        fleet = [Watching(clock, busy, 1000 * run + me, sidecars) for me in range(sidecars)]
         clock.run(25 * SECOND)
         late += [
-            (play, change // MS, sidecar.read.get(version, 1 << 62) // MS)
+            (run, change // MS, sidecar.read.get(version, 1 << 62) // MS)
             for sidecar in fleet
             for version, change in enumerate(CHANGES, 2)
             if sidecar.read.get(version, 1 << 62) > notified_at(sidecar, change)
@@ -102,23 +102,23 @@
     assert not late, (len(late), late)
 
 
-@pytest.mark.parametrize("callers", [17, 32, 200, 580])
-def test_many_sidecars_take_turns_at_their_first_calls(callers):
-    turns = [listclock.first_call_delay(10 * SECOND, callers, me) for me in range(callers)]
+@pytest.mark.parametrize("sidecars", [17, 32, 200, 580])
+def test_many_sidecars_take_turns_at_their_first_calls(sidecars):
+    turns = [listclock.first_call_delay(10 * SECOND, sidecars, me) for me in range(sidecars)]
     assert all(before == least for (before, _), (_, least) in itertools.pairwise(turns))
     assert turns[0][1] == 0 and turns[-1][0] <= listclock.FIRST_CALL_WITHIN_LARGE_FLEET
 
 
 def test_the_next_call_waits_for_the_whole_backoff_while_a_late_response_may_arrive():
     """A call made sooner takes a busy discovery's time again, for nothing if that response arrives."""
-    for failures, callers in ((1, 1), (1, 32), (3, 32)):
-        delays = listclock.backoff(60 * SECOND, failures, None, callers, response_pending=True)
+    for failures, sidecars in ((1, 1), (1, 32), (3, 32)):
+        delays = listclock.backoff(60 * SECOND, failures, None, sidecars, response_pending=True)
         assert delays == (listclock.LONGEST_BACKOFF, listclock.LONGEST_BACKOFF)
 
 
 def test_a_failure_tells_whether_a_late_response_may_still_arrive():
     updates = []
-    sidecar = Watching(Clock(), Counted(2 * SECOND, MS, 3 * SECOND, []), 1, callers=32)
+    sidecar = Watching(Clock(), Counted(2 * SECOND, MS, 3 * SECOND, []), 1, sidecars=32)
     sidecar.on_update = lambda update, _: updates.append((update.kind, update.response_pending))
     sidecar.watch(True)
     sidecar.loop.run(1500 * MS)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -51,16 +51,16 @@
 
 
 def test_every_logged_event_is_in_the_catalogue_with_its_fields():
-    found = {}
+    logged = {}
     for name, fields, file in emitted():
         if name == "event":  # passed through by a helper
             continue
         event = getattr(catalogue, name, None)
         assert event is not None, f"{file} logs {name}"
         assert fields == set(event.fields), f"{file} logs {name}"
-        found[event.name] = True
+        logged[event.name] = True
     passed_through = {"start.fault", "reload.fault", "log.dropped"}
-    assert found.keys() | passed_through == EVENTS.keys(), "every event of the catalogue is logged somewhere"
+    assert logged.keys() | passed_through == EVENTS.keys(), "every event of the catalogue is logged somewhere"
 
 
 def test_the_on_call_page_has_the_catalogues_table():
@@ -107,9 +107,9 @@
     line = FORMATS[form]().format(record).encode("utf-8", "backslashreplace").decode()
     assert line.isprintable() and len(line.splitlines()) == 1
     if form != "console":
-        found = parse_line(line)
-        assert found is not None and found["event"] == "invocation.overdue" and found["level"] == "error"
-        assert found["class"] == "c"
+        record = parse_line(line)
+        assert record is not None and record["event"] == "invocation.overdue" and record["level"] == "error"
+        assert record["class"] == "c"
 
 
 def test_a_long_value_is_cut_and_shows_its_length():
@@ -241,7 +241,7 @@
 
     def watch_stands(self):
         """Whether the watch has begun: from then on the program logs only what a test causes."""
-        return any("wait_ms=" in head and "wait_ms=0" not in head for head, *_ in self.catalog.seen)
+        return any("wait_ms=" in head and "wait_ms=0" not in head for head, *_ in self.discovery.seen)
 
     def send_requests(self, requests):
         """Sends requests over one connection, checks that all are served, and returns the time of the slowest."""
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -219,11 +219,11 @@
 
     def test_a_forwarded_body_whose_client_falls_silent_or_leaves_does_not_count_against_the_provider(self):
         self.start_with_little_memory(ok, memory_mb=16)
-        for ends, times in (("silent", 1), ("leaves", 4)):
+        for ending, times in (("silent", 1), ("leaves", 4)):
             for n in range(times):
-                client, sock, head = self.client_socket(b"%s%d" % (ends.encode(), n))
+                client, sock, head = self.client_socket(b"%s%d" % (ending.encode(), n))
                 sock.sendall(head + b"Content-Length: 9000000\r\n\r\n" + b"x" * 300000)
-                if ends == "silent":
+                if ending == "silent":
                     self.assertIn(b" 408 ", sock.recv(100))
                 else:
                     time.sleep(0.1)
@@ -247,7 +247,7 @@
         with listener() as gone:
             address = address_of(gone)
         self.start_with_little_memory(ok, memory_mb=16)
-        self.catalog.change(entry("gone", address))
+        self.discovery.change(entry("gone", address))
         self.wait_until_list_read()
         for _ in range(4):
             self.assertEqual(self.invoke(ONCE, body=b"x" * 5 * MIB)[0], 200)
@@ -279,7 +279,7 @@
 
         def answer(head, body):
             yield b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(long), long)
-            time.sleep(0.1)  # the end arrives before any response has been held for its full time
+            time.sleep(0.1)  # the end arrives before any response has been buffered for its full time
             yield b"0\r\n\r\n"
 
         self.start(answer)
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -53,29 +53,29 @@
 
 def test_a_wait_ends_by_its_event_its_timeout_or_a_wake_up(pair):
     near, far = pair
-    loop, ends = Loop(), []
+    loop, results = Loop(), []
 
     def waits():
-        ends.append((yield Wait(near, READABLE, loop.now() + 20 * MS)))
+        results.append((yield Wait(near, READABLE, loop.now() + 20 * MS)))
         far.send(b"x")
-        ends.append((yield Wait(near, READABLE, loop.now() + 5000 * MS)))
-        ends.append((yield Wait(None, 0, loop.now() + 5000 * MS)))
+        results.append((yield Wait(near, READABLE, loop.now() + 5000 * MS)))
+        results.append((yield Wait(None, 0, loop.now() + 5000 * MS)))
 
     def wakes():
-        while len(ends) < 2:
+        while len(results) < 2:
             yield Wait(None, 0, loop.now() + MS)
         task.wake()
 
     task = loop.start(waits())
     run(loop, wakes())
-    assert ends == [0, READABLE, WOKEN] and task.over
+    assert results == [0, READABLE, WOKEN] and task.over
 
 
 @settings(max_examples=20, deadline=None)
 @given(st.lists(st.integers(0, 40), min_size=1, max_size=10))
 def test_each_wait_of_a_task_ends_at_its_own_time_whichever_heap_entry_it_uses(delays):
     """Whether it ended early or not, a timer left over from one wait never ends another one too soon or too late."""
-    loop, seen = Loop(), []
+    loop, on_time = Loop(), []
 
     def waits():
         for number, delay in enumerate(delays):
@@ -84,8 +84,8 @@
             if woken:
                 loop.after(MS, task[0].wake)
             value = yield Wait(None, 0, began + delay * MS // 4)
-            took = loop.now() - began
-            seen.append(value == (WOKEN if woken else 0) and (woken or took >= delay * MS // 4))
+            elapsed = loop.now() - began
+            on_time.append(value == (WOKEN if woken else 0) and (woken or elapsed >= delay * MS // 4))
 
     task = [loop.spawn(waits())]
 
@@ -94,7 +94,7 @@
             yield Wait(None, 0, loop.now() + MS)
 
     run(loop, until_over())
-    assert all(seen) and len(seen) == len(delays)
+    assert all(on_time) and len(on_time) == len(delays)
 
 
 def test_a_task_has_one_live_timer_however_often_it_waits(pair):
@@ -125,13 +125,13 @@
 
 def test_a_descriptor_stays_registered_until_it_is_closed(pair):
     near, far = pair
-    loop, seen = Loop(), []
+    loop, reported = Loop(), []
 
     class Watching:
         mask = READABLE
 
         def ready(self, events):
-            seen.append(events)
+            reported.append(events)
 
     loop.watch(near.fileno(), Watching())
     far.send(b"x")
@@ -140,7 +140,7 @@
         yield Wait(None, 0, loop.now() + 30 * MS)
 
     run(loop, nothing())
-    assert len(seen) == 1, "the event is handed out once, and the loop does not spin without a watcher"
+    assert len(reported) == 1, "the event is handed out once, and the loop does not spin without a watcher"
     assert loop.registered == {}
     loop.watch(near.fileno(), Watching())
     fd = near.fileno()
--- a/tests/test_many_servers.py
+++ b/tests/test_many_servers.py
@@ -15,7 +15,8 @@
 from loftweir import interface as api
 from loftweir.balance import Balancer
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS = 1_000_000  # ns
+SECOND = 1_000_000_000  # ns
 PROVIDERS = 1024
 DECISION_LIMIT = 50e-6  # s of processor time for one request, from its arrival to its answer
 ADDITIONS = 100_000  # of the reference loop that measures the machine's speed
@@ -171,14 +172,14 @@
         self.invoke_all(256)
         self.assertGreater(len(many.seen_by()), 200, "requests are spread over the providers of the list")
 
-        left = {found["address"] for found in entries[:3]}
-        self.catalog.change(*(found | {"status": "leaving"} for found in entries[3:]))
+        active = {listed["address"] for listed in entries[:3]}
+        self.discovery.change(*(listed | {"status": "leaving"} for listed in entries[3:]))
         self.wait_until_list_read()
         many.seen.clear()
         self.invoke_all(30)
-        self.assertEqual(many.seen_by(), left)
+        self.assertEqual(many.seen_by(), active)
 
-        self.catalog.change(*entries[3:])
+        self.discovery.change(*entries[3:])
         self.wait_until_list_read()
         many.seen.clear()
         self.invoke_all(256)
--- a/tests/test_mass_restart.py
+++ b/tests/test_mass_restart.py
@@ -38,16 +38,16 @@
     """Sidecars, each with a folder of its own, with providers and a discovery. Only `far` is in another zone."""
 
     def setUp(self):
-        self.catalog = StubDiscovery()
+        self.discovery = StubDiscovery()
         self.old, self.new, self.leaving = (
             StubServer(answering("old")),
             StubServer(answering("new")),
             StubServer(answering("leaving")),
         )
         self.far = StubServer(answering("far"))
-        for server in (self.catalog, self.old, self.new, self.leaving, self.far):
+        for server in (self.discovery, self.old, self.new, self.leaving, self.far):
             self.addCleanup(server.close)
-        self.catalog.entries = [entry("s-old", self.old.address)]
+        self.discovery.entries = [entry("s-old", self.old.address)]
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.programs = {}
 
@@ -57,10 +57,12 @@
         return {
             "name": f"n{number}",
             "listen": listen,
-            "discovery": self.catalog.address,
+            "discovery": self.discovery.address,
             "seed": f"{number:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "known": json.loads(list_body(0, self.catalog.entries, True)),  # the platform's list, also after a restart
+            "known": json.loads(
+                list_body(0, self.discovery.entries, True)
+            ),  # the platform's list, also after a restart
             "settings": SETTINGS,
         }
 
@@ -70,7 +72,7 @@
         (own / "config.json").write_text(json.dumps(config), encoding="utf-8")
         environment = {
             "RELAY_CONFIG": str(own / "config.json"),
-            "RELAY_DISCOVERY": self.catalog.address,
+            "RELAY_DISCOVERY": self.discovery.address,
             "PYTHONPATH": str(ROOT),
             "TMPDIR": str(own),
             "LOFTWEIR_STATE_KEEP": "on",
@@ -130,15 +132,15 @@
 
         Discovery and the servers in `lost` are down by then. Returns when the restart began.
         """
-        self.catalog.entries = moved
-        self.catalog.change(entry("s-old", self.old.address, status="left"), *moved)
+        self.discovery.entries = moved
+        self.discovery.change(entry("s-old", self.old.address, status="left"), *moved)
         for number in configs:
             self.assertEqual(eventually(lambda n=number: self.snapshot_index(n) == 1, 15), True, number)
         for program in self.programs.values():
             program.send_signal(signal.SIGKILL)
         for program in self.programs.values():
             program.wait(10)
-        self.catalog.fail(True)
+        self.discovery.fail(True)
         for server in (self.old, *lost):
             server.close()
         began = time.monotonic()
@@ -183,7 +185,7 @@
 
     def test_a_snapshot_older_than_the_given_list_is_not_used(self):
         config = self.config(0)
-        config["known"] = json.loads(list_body(5, self.catalog.entries, True))
+        config["known"] = json.loads(list_body(5, self.discovery.entries, True))
         entries = [Entry("s-new", self.new.address, "a", "m", 0, "ready", 1.0, 0)]
         self.start_with_snapshot(encode(Snapshot(2, 3, time.time_ns(), entries)), config)
         self.assertEqual([t["choice"] for t in self.logged(0, "state.taken")], ["stale"])
@@ -194,8 +196,8 @@
         self.launch(0, config, write_apart="60s")
         # The first list is written at once, the next change waits a minute.
         self.assertEqual(self.serves(config, b"old"), True)
-        self.catalog.entries = [entry("s-new", self.new.address)]
-        self.catalog.change(entry("s-old", self.old.address, status="left"), *self.catalog.entries)
+        self.discovery.entries = [entry("s-new", self.new.address)]
+        self.discovery.change(entry("s-old", self.old.address, status="left"), *self.discovery.entries)
         self.assertEqual(self.serves(config, b"new"), True)
         self.assertEqual(self.snapshot_index(0), 0)
         self.programs[0].send_signal(signal.SIGTERM)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -39,11 +39,11 @@
 
 @given(st.binary(max_size=60))
 def test_any_line_is_a_command_or_is_answered_with_one_line(line):
-    found = parse_or_answer(line)
-    if isinstance(found, bytes):
-        assert found.startswith(b"ERR ") and found.endswith(b"\n") and found.count(b"\n") == 1
+    parsed = parse_or_answer(line)
+    if isinstance(parsed, bytes):
+        assert parsed.startswith(b"ERR ") and parsed.endswith(b"\n") and parsed.count(b"\n") == 1
     else:
-        assert bool(found.id) == bool(ARGUMENTS[found.verb])
+        assert bool(parsed.id) == bool(ARGUMENTS[parsed.verb])
 
 
 @given(RECORDS, RECORDS, RECORDS)
@@ -130,19 +130,19 @@
 
 
 def test_a_drain_can_be_undone_and_the_end_can_not():
-    life, seen = SidecarLifecycle(), []
-    life.changed = seen.append
+    life, previous_states = SidecarLifecycle(), []
+    life.changed = previous_states.append
     assert [
         life.step(s)
         for s in (LifecycleEvent.DRAIN, LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.UNDRAIN)
     ] == [True, False, True, False]
-    assert seen == [State.SERVING, State.LEAVING] and life.state is State.SERVING
+    assert previous_states == [State.SERVING, State.LEAVING] and life.state is State.SERVING
     for path in ((), (LifecycleEvent.DRAIN,), (LifecycleEvent.DRAIN, LifecycleEvent.EMPTIED)):
         life = SidecarLifecycle()
         for step in (*path, LifecycleEvent.END):
             assert life.step(step)
         for step in (LifecycleEvent.DRAIN, LifecycleEvent.UNDRAIN, LifecycleEvent.EMPTIED, LifecycleEvent.END):
-            assert not life.step(step) and life.ends
+            assert not life.step(step) and life.is_ending
         assert life.step(LifecycleEvent.SHUT) and not life.traits.healthy and life.traits.last
     assert set(TRAITS) == set(State) and {s for s, _ in TABLE} | set(TABLE.values()) == set(State)
     assert [s for s in State if TRAITS[s].healthy] == [State.SERVING]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -112,13 +112,13 @@
             due = [d for d in due if d[0] <= until]
             if not due:
                 break
-            at, kind, what = min(due)
+            at, kind, arguments = min(due)
             self.now = max(self.now + (1 if kind else 0), at)
             if kind:
-                self.timers.remove((at, what[0]))
-                self.handle(TimerFired(what[0]))
+                self.timers.remove((at, arguments[0]))
+                self.handle(TimerFired(arguments[0]))
             else:
-                self.end(*what, Outcome.TIMED_OUT)
+                self.end(*arguments, Outcome.TIMED_OUT)
         self.now = max(self.now, until)
         for request_id, (_, deadline, _) in self.open.items():
             assert self.now <= deadline + 20 * MS, f"{request_id} has no final answer at its deadline"
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -37,7 +37,7 @@
         with listener() as gone:
             address = address_of(gone)
         self.start(answer)
-        self.catalog.change(entry("gone", address))
+        self.discovery.change(entry("gone", address))
         self.wait_until_list_read()
 
     def test_a_request_that_never_ran_is_sent_to_another_provider_and_served(self):
@@ -53,7 +53,7 @@
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
             self.start(ok)
-            self.catalog.change(entry("full", address_of(full)))
+            self.discovery.change(entry("full", address_of(full)))
             self.wait_until_list_read()
             began = time.monotonic()
             self.assertEqual([self.invoke(ONCE)[0] for _ in range(3)], [200] * 3)
@@ -103,7 +103,7 @@
         self.start(ok)
         self.assertEqual(self.invoke()[0], 200)
         began = time.monotonic()
-        self.assertTrue(eventually(lambda: self.providers[0].ends))
+        self.assertTrue(eventually(lambda: self.providers[0].ended_connections))
         self.assertLess(time.monotonic() - began, 2.0)  # connIdle
 
     def test_a_provider_that_reads_slowly_gets_the_whole_body_through_short_writes(self):
@@ -159,10 +159,10 @@
 
     def test_a_provider_with_a_new_address_is_called_there(self):
         self.start(ok, ok)
-        self.catalog.change(entry("s1", self.providers[1].address, status="left"))
+        self.discovery.change(entry("s1", self.providers[1].address, status="left"))
         self.wait_until_list_read()
         self.assertEqual(self.invoke()[0], 200)
-        self.catalog.change(entry("s0", self.providers[1].address))
+        self.discovery.change(entry("s0", self.providers[1].address))
         self.assertTrue(eventually(lambda: self.invoke()[0] == 200 and self.providers[1].seen))
 
     def test_a_timeout_leaves_the_idle_connections_open_if_others_were_answered_meanwhile(self):
@@ -178,20 +178,20 @@
     def test_connections_to_a_provider_that_is_gone_or_omitted_are_closed(self):
         self.start(ok, ok, ok)
         self.assertEqual([self.invoke()[0] for _ in range(9)], [200] * 9)
-        self.catalog.entries = self.entries[2:]
-        self.catalog.change(self.entries[0] | {"status": "left"})
-        self.assertTrue(eventually(lambda: self.providers[0].ends, 1))
-        self.catalog.whole = True
-        self.catalog.change()
-        self.assertTrue(eventually(lambda: self.providers[1].ends, 1))
-        self.assertEqual(self.providers[2].ends, [])
+        self.discovery.entries = self.entries[2:]
+        self.discovery.change(self.entries[0] | {"status": "left"})
+        self.assertTrue(eventually(lambda: self.providers[0].ended_connections, 1))
+        self.discovery.whole = True
+        self.discovery.change()
+        self.assertTrue(eventually(lambda: self.providers[1].ended_connections, 1))
+        self.assertEqual(self.providers[2].ended_connections, [])
 
     def test_if_an_address_gets_a_new_name_the_old_connections_are_closed(self):
         self.start(ok)
         provider = self.providers[0]
         self.assertEqual(self.invoke()[0], 200)
-        self.catalog.change(entry("new", provider.address, since_ms=1), self.entries[0])
-        self.assertTrue(eventually(lambda: provider.ends == [1]))
+        self.discovery.change(entry("new", provider.address, since_ms=1), self.entries[0])
+        self.assertTrue(eventually(lambda: provider.ended_connections == [1]))
         self.assertEqual([self.invoke()[0] for _ in range(3)], [200] * 3)
         self.assertEqual({number for _, _, number in provider.seen}, {1, 2})
 
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -15,8 +15,8 @@
     def test_the_agent_is_watched_from_the_start_and_a_drain_is_followed(self):
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
-        self.assertTrue(eventually(lambda: self.catalog.seen, 5), "the agent is never called")
-        self.catalog.change(self.entries[0] | {"status": "leaving"})
+        self.assertTrue(eventually(lambda: self.discovery.seen, 5), "the agent is never called")
+        self.discovery.change(self.entries[0] | {"status": "leaving"})
         self.wait_until_list_read()
         before = len(self.providers[0].seen)
         for _ in range(8):
@@ -26,32 +26,32 @@
     def test_a_failing_agent_is_called_again_and_the_current_list_stays_in_use(self):
         self.start(ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
-        self.assertTrue(eventually(lambda: self.catalog.seen, 5))
-        self.catalog.fail(True)
+        self.assertTrue(eventually(lambda: self.discovery.seen, 5))
+        self.discovery.fail(True)
         time.sleep(0.5)
         self.assertEqual(self.invoke()[0], 200)
-        calls = len(self.catalog.seen)
-        self.catalog.fail(False)
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 15), "not called again")
+        calls = len(self.discovery.seen)
+        self.discovery.fail(False)
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls + 1, 15), "not called again")
 
     def test_a_call_to_a_silent_agent_times_out_soon_and_is_repeated(self):
         self.start(ok, ok, settings=PUSHED)
         self.assertTrue(eventually(lambda: self.health() == 200), self.log())
-        self.assertTrue(eventually(lambda: self.catalog.seen, 5))
-        answer, gate = self.catalog.answer, threading.Event()
+        self.assertTrue(eventually(lambda: self.discovery.seen, 5))
+        answer, gate = self.discovery.answer, threading.Event()
         self.addCleanup(gate.set)
-        self.catalog.answer = lambda head, body: answer(head, body) if gate.wait(20) else None
-        calls = len(self.catalog.seen)
+        self.discovery.answer = lambda head, body: answer(head, body) if gate.wait(20) else None
+        calls = len(self.discovery.seen)
         # A call waits for 1 s and times out 0.25 s later: more than two new calls within 6 s.
         self.assertTrue(
-            eventually(lambda: len(self.catalog.seen) > calls + 2, 6), "the call to a silent agent does not time out"
+            eventually(lambda: len(self.discovery.seen) > calls + 2, 6), "the call to a silent agent does not time out"
         )
         self.assertEqual(self.invoke()[0], 200)
-        self.catalog.answer = answer
+        self.discovery.answer = answer
         gate.set()
-        self.catalog.change(self.entries[0] | {"status": "leaving"})
-        calls = len(self.catalog.seen)
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > calls + 1, 6))
+        self.discovery.change(self.entries[0] | {"status": "leaving"})
+        calls = len(self.discovery.seen)
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > calls + 1, 6))
         self.wait_until_list_read()
         before = len(self.providers[0].seen)
         for _ in range(8):
@@ -63,16 +63,16 @@
     """A new process: the platform's list is older than that of the agent, which counts from the first moment on."""
 
     def run_program(self, config, fault=""):
-        self.catalog.change(self.entries[0] | {"status": "leaving"})
-        answer, self.gate = self.catalog.answer, threading.Event()
+        self.discovery.change(self.entries[0] | {"status": "leaving"})
+        answer, self.gate = self.discovery.answer, threading.Event()
         self.addCleanup(self.gate.set)
-        self.catalog.answer = lambda head, body: answer(head, body) if self.gate.wait(self.agent_takes) else None
+        self.discovery.answer = lambda head, body: answer(head, body) if self.gate.wait(self.agent_takes) else None
         super().run_program(config, fault)
 
     def begin(self, agent_takes):
         self.agent_takes = agent_takes
         self.start(ok, ok, settings=PUSHED)
-        self.assertTrue(eventually(lambda: self.catalog.seen, 10), self.log())
+        self.assertTrue(eventually(lambda: self.discovery.seen, 10), self.log())
         self.assertTrue(eventually(lambda: self.logged("start.listening"), 10), self.log())
 
     def test_no_client_is_accepted_before_the_agent_has_answered(self):
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -50,12 +50,12 @@
     balancer = make_balancer()
     balancer.handle(S, [full_list(*(endpoint(f"a{n}") for n in range(4)))])
     (first,) = attempts(balancer.handle(S, [request("r")]))
-    gone = balancer.settings.classes["read"]
+    removed = balancer.settings.classes["read"]
     other = RequestClass("other", Effect.REPEATABLE, 200 * MS, S)
     balancer.handle(S, [SettingsChanged(with_classes(other, max_attempts=1))])
     assert not attempts(balancer.handle(S, [attempt_ended(first, Outcome.ERROR)]))
     # The head of this request arrived before the change, its last byte after it.
-    (late,) = attempts(balancer.handle(S, [request("late", "read", request_class=gone)]))
+    (late,) = attempts(balancer.handle(S, [request("late", "read", request_class=removed)]))
     balancer.handle(S, [attempt_ended(late, Outcome.OK)])
     assert set(balancer.class_shares) == {"other"} and balancer.class_shares["other"] > 0.9
     assert len(attempts(balancer.handle(S, [request("n", "other"), list_changes(endpoint("a9"))]))) == 1
@@ -79,11 +79,11 @@
 from loftweir import daemon
 read = daemon.read
 def read_slowly(*words):
-    found = read(*words)
+    configuration = read(*words)
     Path("read").touch()
     while Path("hold").exists():
         time.sleep(0.01)
-    return found
+    return configuration
 daemon.read = read_slowly
 """
 RARE_RELOADS = "from loftweir import sidecar\nsidecar.RELOADS_APART = 60 * 10**9"
@@ -110,8 +110,8 @@
         self.assertEqual(self.invoke("grant-read")[0], 400)
         self.reload(self.settings(profile("grant-read", "repeatable"), profile(ONCE, "once"), maxAttempts=1))
         self.assertTrue(eventually(lambda: self.logged("reload.done")), self.log())
-        found = set(self.logged("reload.done")[0]["settings"])
-        self.assertEqual(found, {"max_attempts", "classes.grant-read", f"classes.{READ}", f"classes.{KEYED}"})
+        changed = set(self.logged("reload.done")[0]["settings"])
+        self.assertEqual(changed, {"max_attempts", "classes.grant-read", f"classes.{READ}", f"classes.{KEYED}"})
         self.assertEqual(self.invoke(READ)[0], 400)
         statuses = {self.invoke("grant-read")[0] for _ in range(12)}
         self.assertEqual(statuses, {200, 503}, "there is only one attempt, also if it is declined")
@@ -176,20 +176,20 @@
 class BurstTest(Reloading):
     def traffic(self):
         """Send requests without pause; return a function that ends them and returns the time and status of each."""
-        found, stop = [], threading.Event()
+        results, stop = [], threading.Event()
 
         def send_requests():
             client = self.client()
             while not stop.is_set():
                 began = time.monotonic()
                 status = self.invoke(client=client)[0]
-                found.append((time.monotonic() - began, status))
+                results.append((time.monotonic() - began, status))
 
         def end():
             stop.set()
             for thread in threads:
                 thread.join(20)
-            return found
+            return results
 
         threads = [threading.Thread(target=send_requests) for _ in range(2)]
         for thread in threads:
@@ -197,10 +197,10 @@
         self.addCleanup(end)
         return end
 
-    def check_unharmed(self, found):
-        self.assertLess(max(found)[0], 1, "seconds; the deadline is 2")
-        served = sum(status == 200 for _, status in found)
-        self.assertGreater(served, len(found) / 2, "on a busy machine a few may be rejected")
+    def check_unharmed(self, results):
+        self.assertLess(max(results)[0], 1, "seconds; the deadline is 2")
+        served = sum(status == 200 for _, status in results)
+        self.assertGreater(served, len(results) / 2, "on a busy machine a few may be rejected")
 
     def test_a_burst_causes_few_reloads_that_delay_no_request_and_the_last_file_is_in_force(self):
         self.start(ok)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -153,8 +153,8 @@
 @pytest.mark.parametrize("path", FIELDS)
 def test_a_field_with_an_invalid_value_is_named_and_no_other(path, tmp_path):
     for value in FIELDS[path][1]:
-        found = platform_faults(tmp_path, config(settings=with_field(path, value)))
-        assert found.keys() == {f"settings.{path}"}, value
+        faults = platform_faults(tmp_path, config(settings=with_field(path, value)))
+        assert faults.keys() == {f"settings.{path}"}, value
 
 
 @pytest.mark.parametrize("path", FIELDS)
@@ -163,11 +163,11 @@
     if not FIELDS[path][0]:
         load(tmp_path, settings)
         return
-    found = platform_faults(tmp_path, config(settings=settings))
+    faults = platform_faults(tmp_path, config(settings=settings))
     if path == "profiles.0":
-        assert found.keys() == {"settings.profiles.0"}
+        assert faults.keys() == {"settings.profiles.0"}
     else:
-        assert [(at, fault.value) for at, fault in found.items()] == [(f"settings.{path}", MISSING)]
+        assert [(at, fault.value) for at, fault in faults.items()] == [(f"settings.{path}", MISSING)]
 
 
 @pytest.mark.parametrize("path", [path for path in FIELDS if path != "accounts"])
@@ -202,9 +202,9 @@
 def test_a_class_a_zone_and_a_tenant_may_have_any_plain_name(name, tmp_path):
     settings = site(profiles__0__name="other", profiles__1__name=name, accounts__0__name=name)
     settings |= {"zone": name, "dcs": ["w", name]}
-    found = load(tmp_path, settings)
-    assert found.classes[name].effect is Effect.BY_KEY and found.classes[name].scope is Scope.CELL
-    assert found.zone == name and found.zones == ("w", name) and name in found.tenants
+    loaded = load(tmp_path, settings)
+    assert loaded.classes[name].effect is Effect.BY_KEY and loaded.classes[name].scope is Scope.CELL
+    assert loaded.zone == name and loaded.zones == ("w", name) and name in loaded.tenants
     settings["profiles"][1]["target"] = 0
     assert platform_faults(tmp_path, config(settings=settings)).keys() == {"settings.profiles.1.target"}
 
@@ -291,7 +291,7 @@
     def test_pushed_lists_without_ask_within_and_with_an_agent_that_is_down(self):
         settings = site(discovery="push", safety__askWithin=MISSING_FIELD)
         self.start_with(settings)
-        self.catalog.close()
+        self.discovery.close()
         stat = f"/proc/{self.program.pid}/stat"
 
         def ticks():
@@ -323,8 +323,8 @@
         self.assertEqual({number for _, _, number in received}, {1}, "all on one connection to the provider")
         for (name, tenant, more, most), (head, _, _) in zip(plan, received, strict=True):
             fields = dict(line.lower().split(": ", 1) for line in head.splitlines()[1:])
-            left = int(fields["req-deadline-ms"])
-            self.assertTrue(most * 0.3 < left <= most, (name, tenant, left))
+            deadline_left = int(fields["req-deadline-ms"])
+            self.assertTrue(most * 0.3 < deadline_left <= most, (name, tenant, deadline_left))
             self.assertEqual(fields.get("idempotency-key"), more.get("Idempotency-Key"))
             self.assertIn(fields.get("req-owner", ""), ("", tenant))
 
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -46,7 +46,7 @@
         """`ends_at`, when it stops, may be set later; it is `inf` until then."""
         super().__init__(daemon=True)
         self.address, self.kind, self.ends_at = address, kind, ends_at
-        self.sock, self.left, self.answers = None, 0, []
+        self.sock, self.requests_left, self.answers = None, 0, []
         self.closed_idle = 0  # idle connections that the program closed before their next request
 
     def run(self):
@@ -64,10 +64,10 @@
                 if self.sock is None:
                     self.sock = self.connect()
                 status = self.exchange(request)
-                self.left -= 1
+                self.requests_left -= 1
             except OSError:
                 status = 0
-            if status and self.left:
+            if status and self.requests_left:
                 break
             if self.sock is not None:
                 self.sock.close()
@@ -79,7 +79,7 @@
 
     def connect(self):
         host, port = self.address.split(":")
-        self.left = REQUESTS_PER_CONNECTION
+        self.requests_left = REQUESTS_PER_CONNECTION
         return socket.create_connection((host, int(port)), timeout=5)
 
     def exchange(self, request):
@@ -95,12 +95,12 @@
             data += more
         head, _, rest = data.partition(b"\r\n\r\n")
         fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])
-        left = int(fields[b"content-length"]) - len(rest)
-        while left > 0:
-            more = self.sock.recv(left)
+        body_left = int(fields[b"content-length"]) - len(rest)
+        while body_left > 0:
+            more = self.sock.recv(body_left)
             if not more:
                 return 0
-            left -= len(more)
+            body_left -= len(more)
         if fields.get(b"connection") == b"close":
             self.sock = None
         return int(head.split(b" ", 2)[1])
@@ -170,8 +170,8 @@
         Path(self.path.parent, "next").write_text(json.dumps(row._asdict()))
         Path(self.path.parent, "next").rename(Path(self.path.parent, CONTROL))
         began = Path(self.path.parent, BEGAN)
-        found = eventually(lambda: began.exists() and began.read_text(), 10)
-        fault_at = float(found or time.monotonic())
+        began_text = eventually(lambda: began.exists() and began.read_text(), 10)
+        fault_at = float(began_text or time.monotonic())
         for client in clients:
             client.ends_at = fault_at + row.seconds + SERVED_AGAIN_WITHIN + AFTER
         for client in clients:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -137,7 +137,7 @@
         self.assertEqual(self.served_by(), [True, True])
         self.assertEqual([self.call("DISABLE s0"), self.call("DISABLE s0")], ["OK", "OK"])
         self.assertEqual(self.served_by(), [False, True])
-        self.catalog.change(entry("s0", self.providers[0].address, since_ms=5))  # whatever the list says
+        self.discovery.change(entry("s0", self.providers[0].address, since_ms=5))  # whatever the list says
         self.wait_until_list_read()
         self.assertEqual(self.served_by(), [False, True])
         self.assertEqual(self.call("ENABLE s0"), "OK")
@@ -156,7 +156,7 @@
             sock.connect_ex(slow.getsockname())
         allowed = SETTINGS["allowed"] | {"connectTimeout": 3_000_000_000}
         self.open(ok, settings=SETTINGS | {"allowed": allowed})
-        self.catalog.change(entry("late", address_of(slow)), entry("s0", self.providers[0].address, "b"))
+        self.discovery.change(entry("late", address_of(slow)), entry("s0", self.providers[0].address, "b"))
         self.wait_until_list_read()
         client = self.client()
         client.request("POST", "/api", b"{}", {"Req-Id": "r", "Req-Kind": ONCE, "Req-Deadline-Ms": "3000"})
@@ -321,10 +321,10 @@
 
     def test_a_second_process_fetches_the_list_at_once(self):
         self.open(ok)
-        self.assertTrue(eventually(lambda: self.catalog.seen))
-        before = len(self.catalog.seen)
+        self.assertTrue(eventually(lambda: self.discovery.seen))
+        before = len(self.discovery.seen)
         self.launch_ready()
-        self.assertTrue(eventually(lambda: len(self.catalog.seen) > before, 1))
+        self.assertTrue(eventually(lambda: len(self.discovery.seen) > before, 1))
 
     def test_without_another_process_an_inherited_socket_stays_open_for_a_while(self):
         self.open(ok)
--- a/tests/test_usable.py
+++ b/tests/test_usable.py
@@ -13,7 +13,7 @@
         """Start with provider 0 in the sidecar's zone and provider 1 in another one."""
         self.start(near, far)
         address = self.providers[1].address
-        self.catalog.change(entry("s1", address, status="left"), entry("far", address, "b"))
+        self.discovery.change(entry("s1", address, status="left"), entry("far", address, "b"))
         self.wait_until_list_read()
         self.before = len(self.providers[1].seen)
 
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -69,8 +69,8 @@
     `failures` has the failures that the balancer is notified of.
     """
 
-    def __init__(self, *ends, callers=4):
-        super().__init__(Options(), None, ask_within=10 * SECOND, callers=callers)
+    def __init__(self, *ends, sidecars=4):
+        super().__init__(Options(), None, ask_within=10 * SECOND, sidecars=sidecars)
         self.rows, self.failures, self.made_at = list(ends), [], []
         self.watch(True)
         self.loop.run(40 * SECOND)
@@ -81,17 +81,17 @@
         super()._updated(update, addresses)
 
     def _call(self, sock, target, until):
-        now, held = self.loop.now(), int(target.partition("wait_ms=")[2] or 0) * MS
+        now, wait = self.loop.now(), int(target.partition("wait_ms=")[2] or 0) * MS
         self.called_at.append(now)
         answer = ListResponse(MembershipUpdate(UpdateKind.CHANGES, (), 1), {}, True, now)
         if now < 10 * SECOND or not self.rows:
-            yield Wait(None, 0, now + held)
+            yield Wait(None, 0, now + wait)
             return answer._replace(received_at=self.loop.now())
         self.made_at.append(now)
         way = self.rows.pop(0)
         if way == SILENT:
             yield Wait(None, 0, until)
-            raise Silent("silent", self._never if held else partial(self._refused_late, until + REFUSED_LATE_AFTER))
+            raise Silent("silent", self._never if wait else partial(self._refused_late, until + REFUSED_LATE_AFTER))
         yield Wait(None, 0, now + MS)
         raise Refused("answered 503", reusable=True)
 
@@ -174,8 +174,8 @@
 
     def begin(self):
         """Start everything, and wait until all sidecars watch the list."""
-        self.catalog = BusyDiscovery(new_watch=0.6, max_wait=0.5)
-        self.addCleanup(self.catalog.never.set)
+        self.discovery = BusyDiscovery(new_watch=0.6, max_wait=0.5)
+        self.addCleanup(self.discovery.never.set)
         self.start_servers()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -186,8 +186,8 @@
     def start_servers(self):
         self.providers = [StubServer(ok), StubServer(ok)]
         self.entries = [entry(f"s{n}", server.address) for n, server in enumerate(self.providers)]
-        self.catalog.entries = self.entries
-        for server in (self.catalog, *self.providers):
+        self.discovery.entries = self.entries
+        for server in (self.discovery, *self.providers):
             self.addCleanup(server.close)
 
     def start_sidecar(self, path, me):
@@ -197,7 +197,7 @@
         config = {
             "name": f"n{me}",
             "listen": listen,
-            "discovery": self.catalog.address,
+            "discovery": self.discovery.address,
             "seed": f"{SEEDS + me:016x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "known": json.loads(list_body(0, self.entries, True)),
@@ -205,24 +205,24 @@
         }
         path.write_text(json.dumps(config), encoding="utf-8")
         self.path = path
-        self.launch(RELAY_DISCOVERY=self.catalog.address)
+        self.launch(RELAY_DISCOVERY=self.discovery.address)
         return listen
 
     def all_watch(self):
-        held = {number for head, _, number in self.catalog.seen if "wait_ms=" in head and "wait_ms=0" not in head}
-        return len(held) == self.SIDECARS
+        watching = {number for head, _, number in self.discovery.seen if "wait_ms=" in head and "wait_ms=0" not in head}
+        return len(watching) == self.SIDECARS
 
     def test_no_request_goes_to_a_draining_provider_after_all_watches_fell_silent(self):
         self.begin()
-        self.catalog.silent = True
-        self.catalog.change()
+        self.discovery.silent = True
+        self.discovery.change()
         time.sleep(0.9)
-        with self.catalog.condition:
+        with self.discovery.condition:
             drained = self.entries[0] | {"status": "leaving"}
-            self.catalog.entries = [drained, self.entries[1]]
-        self.catalog.change(drained)
+            self.discovery.entries = [drained, self.entries[1]]
+        self.discovery.change(drained)
         changed_at = time.monotonic()
-        self.catalog.silent = False
+        self.discovery.silent = False
         time.sleep(changed_at + listclock.NOTIFIED_AFTER / SECOND - time.monotonic())
         before = len(self.providers[0].seen)
         for listen in self.listens:
