--- a/tests/test_window.py
+++ b/tests/test_window.py
@@ -88,7 +88,7 @@
         client = threading.Thread(target=lambda: answers.append(self.invoke(KEYED, deadline_ms=2800)))
         client.start()
         self.assertTrue(eventually(lambda: self.providers[0].seen), self.log())
-        self.catalog.change(entry("s1", second.address))
+        self.discovery.change(entry("s1", second.address))
         self.assertTrue(eventually(lambda: self.logged("discovery.list")[-1]["providers"] == 2), self.log())
         gate.set()
         self.assertTrue(eventually(second.has_connecting_client), self.log())
