--- a/loftweir/balance.py
+++ b/loftweir/balance.py
@@ -94,7 +94,7 @@
 # From the first request until the mean interval between requests is known, in multiples of `fall_after`.
 INTERVAL_KNOWN_AFTER = 4
 # Until then a client is taken to send each request this many times at most, as rejected requests are retried.
-CLIENT_TRIES = 3
+MAX_CLIENT_SENDS = 3
 # The rate of attempts to a cold provider while the traffic may be retries of an unknown number of clients, as a share
 # of the rate of an even spread.
 UNKNOWN_TRAFFIC_FACTOR = 0.5
@@ -720,7 +720,7 @@
             since = min(self.now - self.last_request_at, fall_after)
             half_life = max(1, self.settings.safety.warm_within // 2)
             self.intervals = 1 + self.intervals * 0.5 ** (since / half_life)
-            self.interval += (since * min(CLIENT_TRIES, 1 / capacity) - self.interval) / self.intervals
+            self.interval += (since * min(MAX_CLIENT_SENDS, 1 / capacity) - self.interval) / self.intervals
         self.last_request_at = self.now
         for name, share in self.class_shares.items():
             self.class_shares[name] = share + ((name == cls.name) - share) / CLASS_MEMORY
--- a/loftweir/net/stream.py
+++ b/loftweir/net/stream.py
@@ -187,7 +187,7 @@
     """Open a connection within `connect_timeout`; raise `ConnectError` if that fails.
 
     An error of this machine must not count against the peer: the connection is tried again for that time, and the
-    outcome is `NOT_SENT` if no try could even begin.
+    outcome is `NOT_SENT` if it could not even begin.
     """
     try:
         host, port = split_host_port(address)
--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -227,12 +227,12 @@
         self.loop.spawn(self._keep_log())
 
     def _initial_list(
-        self, given: MembershipUpdate, addresses: dict[str, str]
+        self, platform_list: MembershipUpdate, addresses: dict[str, str]
     ) -> tuple[MembershipUpdate, dict[str, str]]:
         """Return the list to start with: the platform's, or the snapshot if that is newer and not too old."""
         folder = os.environ.get("TMPDIR")
         if self.options.state.keep != "on" or not folder:
-            return given, addresses
+            return platform_list, addresses
         self.disk = Disk(Path(folder))
         snapshot: Snapshot | None = None
         try:
@@ -242,14 +242,15 @@
         except OSError as error:
             emit(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
         now = time.time_ns()
-        chosen = choose_list(given, snapshot, now, self.options.state.trust_for)
+        chosen = choose_list(platform_list, snapshot, now, self.options.state.trust_for)
         self.list_tracker = ListTracker(snapshot.epoch if snapshot else 0)
+        current = platform_list
         if snapshot is not None and chosen is ListSource.SNAPSHOT:
-            given, addresses = snapshot.update()
+            current, addresses = snapshot.update()
         age = (now - snapshot.taken_at) // MS if snapshot else 0
-        epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, given.version)
-        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
-        return given, addresses
+        epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, current.version)
+        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(current.endpoints))
+        return current, addresses
 
     def _write_snapshot(self) -> None:
         """Write the snapshot of the current list."""
--- a/loftweir/telemetry/catalogue.py
+++ b/loftweir/telemetry/catalogue.py
@@ -41,7 +41,7 @@
     "start.failed",
     ERROR,
     ("why",),
-    "the configuration is valid but the start failed, for example because the address is in use; it exits with 2",
+    "the configuration is valid but the start failed, for example because the address is in use; the exit code is 2",
     "free the address, or configure another one",
     None,
 )
@@ -49,14 +49,15 @@
     "start.listening",
     INFO,
     ("version", "pid", "address", "discovery", "providers", "operator"),
-    "it listens and takes requests; `operator` is the operator's file, if there is one",
+    "the sidecar listens and takes requests; `operator` is the operator's file, if there is one",
     distinguished_by=None,
 )
 STOP_BEGUN = Event(
     "stop.begun",
     INFO,
     ("signal", "open"),
-    "SIGTERM or SIGINT was received; it accepts connections a little longer and answers the `open` invocations",
+    "SIGTERM or SIGINT was received; the sidecar accepts connections a little longer and answers the `open` "
+    "invocations",
     distinguished_by=None,
 )
 STOP_DONE = Event(
@@ -139,8 +140,8 @@
     "discovery.list_failed",
     WARNING,
     ("why", "address"),
-    "the same, for a single fetch of the whole list",
-    "as above",
+    "a single fetch of the whole list failed; the last list stays in use. `why` is as in `discovery.watch_failed`",
+    "nothing if rare; else look at discovery",
     ("why",),
 )
 STATE_TAKEN = Event(
@@ -162,7 +163,7 @@
     "state.failed",
     ERROR,
     ("file", "why"),
-    "the snapshot could not be written: the file still has the one before, and the next change tries again",
+    "the snapshot could not be written: the file still has the one before, and the next change writes it again",
     "free space in `$TMPDIR`",
     ("why",),
 )
@@ -229,7 +230,7 @@
     ("why", "remedy"),
     "this sidecar is no longer a member: its storage failed, it was removed, or the program has a fault. It "
     "continues to serve, and follows the other members",
-    "as `remedy` says",
+    "do what `remedy` says",
     None,
 )
 REPLICATION_FOLLOWS = Event(
@@ -413,7 +414,8 @@
     DEBUG,
     ("after", "wait_ms", "ended", "ms"),
     "a call to discovery was answered: `ended` is `answered`, or `answered late` (after it had timed out, beside "
-    "the next calls); the rest as above",
+    "the next calls); `after`, `wait_ms` and `ms` are as in "
+    "`discovery.call_failed`",
     distinguished_by=None,
 )
 DISCOVERY_LIST = Event(
@@ -516,7 +518,7 @@
     WARNING,
     ("text",),
     "several meshes have a service with the same short name: which one gets it, by which rule, and what can be done",
-    "as the line says: pin the name, or use the global names of the others",
+    "pin the name, or use the global names of the others, as the line says",
     ("text",),
 )
 CATALOG_CLAIMED = Event(
@@ -525,7 +527,7 @@
     ("name", "index", "why"),
     "this sidecar, which holds the lease of a partner, claimed one of its names in the cluster, or released it "
     "with `index` 0; with `why`: this was rejected, and is tried again a minute later",
-    "with `why`: as it says",
+    "with `why`: remove the cause that it names",
     ("name",),
 )
 LOG_DROPPED = Event(
