--- a/loftweir/net/loop.py
+++ b/loftweir/net/loop.py
@@ -33,7 +33,9 @@
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000 * MS
 WOKEN = -1  # sent to a coroutine that another one woke
-READABLE, WRITABLE, HUNG_UP = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
+READABLE = select.EPOLLIN
+WRITABLE = select.EPOLLOUT
+HUNG_UP = select.EPOLLRDHUP  # the peer has closed its sending side
 # For a descriptor that other processes wait on too. Such a registration can't be modified later.
 EXCLUSIVE = select.EPOLLEXCLUSIVE
 ENDED = select.EPOLLERR | select.EPOLLHUP  # epoll reports these whether requested or not
--- a/tests/cold_scene.py
+++ b/tests/cold_scene.py
@@ -19,7 +19,11 @@
 SECOND = 1_000_000_000  # ns
 START = 1_700_000_000 * SECOND  # of the simulation, on all clocks
 FAULT_AT = START + 5 * SECOND  # providers start cold from then on
-COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL_AFTER = 0.14, 24 * SECOND, 2.5, SECOND
+# As in `interface.Safety`.
+COLD_FROM = 0.14
+WARM_WITHIN = 24 * SECOND
+FALL_MULTIPLE = 2.5
+FALL_AFTER = SECOND
 SAFETY = api.Safety(20 * MS, 750 * MS, COLD_FROM, WARM_WITHIN, FALL_MULTIPLE, FALL_AFTER, 10 * SECOND)
 CLASSES = {
     "read": api.RequestClass("read", api.Effect.REPEATABLE, 600 * MS, 3 * SECOND, late_worth=0.2),
--- a/tests/fault_shim.py
+++ b/tests/fault_shim.py
@@ -15,8 +15,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
-# Files in the program's folder: the row to inject, when its first failure was injected, how many were injected.
-CONTROL, BEGAN, COUNT = "syscall-faults.json", "syscall-faults.began", "syscall-faults.count"
+# Files in the program's folder.
+CONTROL = "syscall-faults.json"  # the row to inject
+BEGAN = "syscall-faults.began"  # when its first failure was injected
+COUNT = "syscall-faults.count"  # how many failures were injected
 CHECK_EVERY = 0.02  # seconds between two checks for the control file
 CALLS = ("accept", "socket", "connect", "read", "write", "epoll_add", "setsockopt")
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -22,8 +22,10 @@
 PORT_TRIES = 1_000  # ports that are tried before a test gives up
 FIRST_EPHEMERAL_PORT = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
 PORTS = random.SystemRandom()  # tests seed the global generator, so ports come from another one
-# The classes of the tests: one that may be retried, one that must run once, one whose duplicates are dropped by key.
-READ, ONCE, KEYED = "status-read", "apply-submit", "place-confirm"
+# The classes of the tests.
+READ = "status-read"  # may be retried
+ONCE = "apply-submit"  # must run once
+KEYED = "place-confirm"  # duplicates are dropped by key
 
 
 def profile(name, effect, scope="all"):
--- a/tests/test_list_clock.py
+++ b/tests/test_list_clock.py
@@ -43,7 +43,10 @@
 
 # How a call ends: it falls silent, or fails as late as it can, after its wait, or at once. The rows of these strings
 # seed the random numbers.
-SILENT, LATE, PAST, AT_ONCE = "silent", "late", "past its wait", "at once"
+SILENT = "silent"
+LATE = "late"
+PAST = "past its wait"
+AT_ONCE = "at once"
 # How the calls that end after a change end, until one is answered. What went before does not matter: the change may be
 # made as a backoff begins.
 AFTER = [[], [SILENT], [SILENT, SILENT], [SILENT, LATE], [SILENT, AT_ONCE], [LATE], [PAST], [AT_ONCE]]
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -7,7 +7,9 @@
 
 HOUR = 3600 * SECOND
 NOW = 1_000_000 * SECOND  # on the list's clock
-COLD, WARM = 0.2, 1.0  # capacities of a provider, as shares of the full one
+# Capacities of a provider, as shares of the full one.
+COLD = 0.2
+WARM = 1.0
 
 
 def new_balancer():
--- a/tests/test_syscall_faults.py
+++ b/tests/test_syscall_faults.py
@@ -23,8 +23,13 @@
 BEFORE = 1.0  # seconds of requests before the fault
 SERVED_AGAIN_WITHIN = 1.0  # seconds after the fault
 AFTER = 1.0  # seconds of requests from then on
-FEW, PART, ALL = 0.05, 0.2, 1.0  # shares of the calls that fail
-BRIEF, LONG = 0.2, 1.0  # how long the failures last, in seconds
+# Shares of the calls that fail.
+FEW = 0.05
+PART = 0.2
+ALL = 1.0
+# How long the failures last, in seconds.
+BRIEF = 0.2
+LONG = 1.0
 
 
 class Answered(NamedTuple):
--- a/tests/test_watch_recovery.py
+++ b/tests/test_watch_recovery.py
@@ -35,7 +35,9 @@
 SEEDS = 0x8C1F30D27A5BE960  # the first process's seed; the others count on from it
 ANSWERED_AT = 12 * SECOND  # when a change answers all watches; the next call of each is silent
 REFUSED_LATE_AFTER = 300 * MS  # from when a call is given up to its late refusal
-SILENT, REFUSED = "silent", "refused"
+# How a scripted call ends.
+SILENT = "silent"
+REFUSED = "refused"
 MAX_WAITS = [500 * MS, SECOND, 3 * SECOND]  # how long discovery lets a call wait in its queue
 
 
