--- a/loftweir/sidecar.py
+++ b/loftweir/sidecar.py
@@ -79,7 +79,7 @@
         self.commands = CommandHandler(loop, self.life, self.update_list, self._takes_clients)
         self.discovery = Discovery(loop, platform.discovery, options, self.commands.update_list, platform.seed)
         client_sockets = max(int(platform.sockets * limits.consumers_of_sockets), 1)
-        others = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
+        other_descriptors = limits.other_sockets + (DESCRIPTORS if platform.operator else 0)
         self.fleet: ReplicationAgent | None = None
         if options.replication.members:
             # Imported here, so that a sidecar without replication doesn't pay for the import.
@@ -88,7 +88,7 @@
             self.fleet = self.commands.fleet = part.ReplicationAgent(
                 loop, platform.name, options.replication, self.commands.apply_fleet
             )
-            others += part.descriptor_count(platform.name, options.replication)
+            other_descriptors += part.descriptor_count(platform.name, options.replication)
         self.partners: Partners | None = None
         if sites is not None and self.fleet is not None:
             from loftweir.partners import part as partners
@@ -97,8 +97,8 @@
                 loop, platform.name, options, sites, self.fleet, self._update_partner_providers, self._settings
             )
             self.commands.partners = self.partners
-            others += partners.descriptors(options.partners, sites)
-        provider_sockets = max(platform.sockets - client_sockets - others, 1)
+            other_descriptors += partners.descriptors(options.partners, sites)
+        provider_sockets = max(platform.sockets - client_sockets - other_descriptors, 1)
         self.back = Backend(loop, platform.settings, options, provider_sockets, int(memory * limits.answers_of_memory))
         self.host = Host(loop, platform.settings, platform.seed, self.back, self.discovery)
         self.back.on_attempt_ended = self.host.attempt_ended
@@ -227,12 +227,12 @@
         self.loop.spawn(self._keep_log())
 
     def _initial_list(
-        self, given: MembershipUpdate, addresses: dict[str, str]
+        self, platform_list: MembershipUpdate, addresses: dict[str, str]
     ) -> tuple[MembershipUpdate, dict[str, str]]:
         """Return the list to start with: the platform's, or the snapshot if that is newer and not too old."""
         folder = os.environ.get("TMPDIR")
         if self.options.state.keep != "on" or not folder:
-            return given, addresses
+            return platform_list, addresses
         self.disk = Disk(Path(folder))
         snapshot: Snapshot | None = None
         try:
@@ -242,14 +242,15 @@
         except OSError as error:
             emit(STATE_DAMAGED, file=str(self.disk.path), at=0, why=error.strerror or str(error))
         now = time.time_ns()
-        chosen = choose_list(given, snapshot, now, self.options.state.trust_for)
+        chosen = choose_list(platform_list, snapshot, now, self.options.state.trust_for)
         self.list_tracker = ListTracker(snapshot.epoch if snapshot else 0)
+        current = platform_list
         if snapshot is not None and chosen is ListSource.SNAPSHOT:
-            given, addresses = snapshot.update()
+            current, addresses = snapshot.update()
         age = (now - snapshot.taken_at) // MS if snapshot else 0
-        epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, given.version)
-        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(given.endpoints))
-        return given, addresses
+        epoch, index = (snapshot.epoch, snapshot.index) if snapshot else (0, current.version)
+        emit(STATE_TAKEN, choice=chosen.value, epoch=epoch, index=index, age_ms=age, providers=len(current.endpoints))
+        return current, addresses
 
     def _write_snapshot(self) -> None:
         """Write the snapshot of the current list."""
@@ -333,7 +334,7 @@
     def _stop(self, wakes: socket.socket) -> Coroutine[None]:
         """End the process; requests that were taken are answered.
 
-        If another process accepts clients at this address, this one stops accepting at once. Otherwise it goes on for
+        If another process accepts clients at this address, this one stops accepting at once. Otherwise it continues for
         as long as clients may not know of its end. Requests that arrive late are answered while the process is there.
         """
         front, limits = self.front, self.options.limits
