--- a/loftweir/cli/explain.py
+++ b/loftweir/cli/explain.py
@@ -33,7 +33,7 @@
 
     name = "duration"
 
-    def convert_value(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
+    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
         if isinstance(value, int):
             return value
         try:
